--- a/limiter/api.go
+++ b/limiter/api.go
@@ -10,38 +10,38 @@
 type KindLimits struct {
 	// MaxTasks is the largest number of tasks in one job; 0 means dispatcher.MaxTasks.
 	MaxTasks int
-	// MaxInFlight is how many tasks may run at once; 0 means without limit.
+	// MaxInFlight is the largest number of tasks that may run at once; 0 means no limit, and a negative number allows none.
 	MaxInFlight int
-	// RunTime is the declared run time of one task; the limiter corrects it by what it sees.
+	// RunTime is the declared run time of one task, which is used until the first measured run time replaces it.
 	RunTime time.Duration
 }
 
 // Config holds the parameters of a limiter.
 type Config struct {
-	// Kinds holds the limits by kind; a kind without an entry has none.
+	// Kinds holds the limits by kind; a kind without an entry is limited only by dispatcher.MaxTasks.
 	Kinds map[string]KindLimits
-	// TeamQuotas holds the tasks that may run at once by team; a team without an entry has no quota.
+	// TeamQuotas holds the largest number of tasks that may run at once, by team; a team without an entry has no quota.
 	TeamQuotas map[string]int
-	// MaxQueued is the largest number of jobs with tasks that wait; 0 means 4096.
+	// MaxQueued is the largest number of jobs with waiting tasks; 0 means 4096.
 	MaxQueued int
-	// ResponseTimeWeight and WastedMessageWeight are the bundle's weights of the same names, at least 0; both 0
-	// count as equal.
+	// ResponseTimeWeight and WastedMessageWeight are the bundle's response-time-weight and wasted-message-weight.
+	// Neither may be negative; if both are 0, they count as equal.
 	ResponseTimeWeight, WastedMessageWeight float64
-	// Order is the order of the queue; nil means ByDeadline with a step that follows the weights.
+	// Order is the order of the queue; nil means ByDeadline with a step derived from the weights.
 	Order Order
 }
 
-// Order is the order in which waiting jobs start: ByDeadline, ByArrival or ByRemaining.
+// Order is the order in which waiting jobs start: ByDeadline, ByArrival or ByRemainingWork.
 type Order interface{ isOrder() }
 
-// ByDeadline starts jobs by deadline, and those whose deadlines lie in the same step by the expected run
-// time of their remaining tasks.
+// ByDeadline starts jobs by deadline rounded down to a multiple of step, and jobs with equal rounded deadlines
+// by the total expected run time of their remaining tasks, shortest first.
 type ByDeadline struct{ step time.Duration }
 
 // ByArrival starts jobs in the order in which they were admitted.
 type ByArrival struct{}
 
-// ByRemainingWork starts the job whose remaining tasks have the least expected run time first.
+// ByRemainingWork starts the job whose remaining tasks have the least total expected run time first.
 type ByRemainingWork struct{}
 
 func (ByDeadline) isOrder()      {}
@@ -51,7 +51,7 @@
 // NewByDeadline returns an order whose deadlines are rounded down to step; 0 compares them exactly.
 func NewByDeadline(step time.Duration) ByDeadline { return ByDeadline{step: step} }
 
-// Job is what the limiter needs to know of a job.
+// Job holds the properties of a job that admission and scheduling depend on.
 type Job struct {
 	kind     string
 	team     string
@@ -67,28 +67,28 @@
 // Ticket identifies an admitted job within its limiter.
 type Ticket uint64
 
-// Decision is the answer to Admit: Run, Queued or Refused.
-type Decision interface{ isVerdict() }
+// Decision is the result of Admit: Runnable, Queued or Refused.
+type Decision interface{ isDecision() }
 
-// Runnable means that the job was admitted and no limit holds its first task back; Next grants its tasks.
+// Runnable means that the job was admitted, is first in the queue and is held back by no limit; Next grants its tasks.
 type Runnable struct{ ticket Ticket }
 
-// Queued means that the job was admitted and waits; Next grants its tasks in due course.
+// Queued means that the job was admitted and waits behind other jobs or a limit; Next grants its tasks later.
 type Queued struct {
 	ticket  Ticket
 	startAt time.Time
 }
 
-// Refused means that the job was not admitted and none of its tasks will be granted.
+// Refused means that the job was not admitted; none of its tasks will be granted.
 type Refused struct {
 	reason  dispatcher.Reason
 	detail  string
 	retryAt time.Time
 }
 
-func (Runnable) isVerdict() {}
-func (Queued) isVerdict()   {}
-func (Refused) isVerdict()  {}
+func (Runnable) isDecision() {}
+func (Queued) isDecision()   {}
+func (Refused) isDecision()  {}
 
 // Ticket returns the ticket of the admitted job.
 func (runnable Runnable) Ticket() Ticket { return runnable.ticket }
@@ -96,7 +96,7 @@
 // Ticket returns the ticket of the admitted job.
 func (queued Queued) Ticket() Ticket { return queued.ticket }
 
-// StartAt returns the time at which the first task is expected to start.
+// StartAt returns the expected start time of the first task.
 func (queued Queued) StartAt() time.Time { return queued.startAt }
 
 // Reason returns the class of the refusal.
@@ -108,7 +108,7 @@
 // RetryAt returns the earliest time at which a retry may succeed, or the zero time if a retry does not help.
 func (refused Refused) RetryAt() time.Time { return refused.retryAt }
 
-// Grant permits the start of one task; it must be given back to Release exactly once.
+// Grant permits the start of one task; it must be passed to Release exactly once.
 type Grant struct {
 	entry *entry
 	at    time.Time
@@ -118,7 +118,8 @@
 // Ticket returns the ticket of the job whose next task may start.
 func (grant Grant) Ticket() Ticket { return grant.entry.ticket }
 
-// First reports whether it is the first grant of the job, before which its start record is due.
+// First reports whether it is the first grant of the job; the start of the job must be recorded before the task
+// is sent.
 func (grant Grant) First() bool { return grant.first }
 
 // Expired is a job whose deadline passed before all of its tasks were granted.
@@ -130,5 +131,5 @@
 // Ticket returns the ticket of the job.
 func (expired Expired) Ticket() Ticket { return expired.ticket }
 
-// Granted returns how many tasks were granted before; with 0 the job may be answered as not run.
+// Granted returns the number of tasks granted before the deadline; if it is 0, no task of the job has started.
 func (expired Expired) Granted() int { return expired.granted }
--- a/limiter/budget.go
+++ b/limiter/budget.go
@@ -3,41 +3,43 @@
 import "time"
 
 const (
-	// retryPart and retryRate are the retry budget of the design: 10% of starts plus 10/s.
-	retryPart = 0.1
-	retryRate = 10.0
-	// retryBurst bounds what an idle time saves up, so that a fault does not begin with a storm of retries.
-	retryBurst = 100.0
+	// The retry budget is 10% of the starts plus 10 retries per second.
+	retriesPerStart  = 0.1
+	retriesPerSecond = 10.0
+	// maxRetryTokens bounds the tokens that accumulate while few retries are needed, so that a failure does not
+	// begin with a storm of retries.
+	maxRetryTokens = 100.0
 )
 
-// budget is a token bucket of retries that starts and time fill.
-type budget struct {
+// retryBudget is a token bucket for retries; it gains tokens with time and with each task start.
+type retryBudget struct {
 	tokens float64
 	last   time.Time
 }
 
-func (budget *budget) fill(now time.Time) {
-	if budget.last.IsZero() {
-		budget.last = now
-		budget.tokens = retryRate
+func (retryBudget *retryBudget) refill(now time.Time) {
+	if retryBudget.last.IsZero() {
+		retryBudget.last = now
+		retryBudget.tokens = retriesPerSecond
 	}
-	if elapsed := now.Sub(budget.last); elapsed > 0 {
-		budget.tokens += retryRate * elapsed.Seconds()
-		budget.last = now
+	if elapsed := now.Sub(retryBudget.last); elapsed > 0 {
+		retryBudget.tokens += retriesPerSecond * elapsed.Seconds()
+		retryBudget.last = now
 	}
-	budget.tokens = min(budget.tokens, retryBurst)
+	retryBudget.tokens = min(retryBudget.tokens, maxRetryTokens)
 }
 
-func (budget *budget) start(now time.Time) {
-	budget.fill(now)
-	budget.tokens = min(budget.tokens+retryPart, retryBurst)
+func (retryBudget *retryBudget) recordStart(now time.Time) {
+	retryBudget.refill(now)
+	retryBudget.tokens = min(retryBudget.tokens+retriesPerStart, maxRetryTokens)
 }
 
-func (budget *budget) take(now time.Time) bool {
-	budget.fill(now)
-	if budget.tokens < 1 {
+// take removes one token and reports whether there was one.
+func (retryBudget *retryBudget) take(now time.Time) bool {
+	retryBudget.refill(now)
+	if retryBudget.tokens < 1 {
 		return false
 	}
-	budget.tokens--
+	retryBudget.tokens--
 	return true
 }
--- a/limiter/doc.go
+++ b/limiter/doc.go
@@ -1,3 +1,3 @@
-// Package limiter decides which jobs an instance accepts and in which order
-// their tasks start; it performs no I/O and takes the time as an argument.
+// Package limiter admits or refuses jobs and schedules the start of their
+// tasks. It performs no I/O and takes the current time as an argument.
 package limiter
--- a/limiter/entry.go
+++ b/limiter/entry.go
@@ -11,47 +11,48 @@
 const (
 	// unlimited stands for an absent limit or quota.
 	unlimited = 1 << 30
-	// minRetryAfter keeps refused callers from returning within the time of a few tasks.
+	// minRetryAfter keeps refused callers from retrying before a few tasks have had time to finish.
 	minRetryAfter = 100 * time.Millisecond
-	// learnRate is the weight of one run time in a kind's mean.
-	learnRate = 0.05
-	// defaultRunTime stands for the run time of a kind that declares none.
+	// smoothingFactor is the weight of a new sample in the moving averages.
+	smoothingFactor = 0.05
+	// defaultRunTime is assumed for a kind that declares no run time.
 	defaultRunTime = 200 * time.Millisecond
-	// minDeadlineStep and maxDeadlineStep bound the step of deadlines within which short jobs pass long ones.
-	// Up to 2 s no job that started missed its deadline in the measurements, and beyond 10 s nothing got faster.
+	// minDeadlineStep and maxDeadlineStep bound the step of ByDeadline, within which short jobs overtake long ones.
+	// Up to 2 s, no started job missed its deadline; beyond 10 s, response times did not improve further.
 	minDeadlineStep = 2 * time.Second
 	maxDeadlineStep = 10 * time.Second
 )
 
-// kind holds the limits and counts of one kind.
+// kind holds the limits and the state of one kind.
 type kind struct {
 	name        string
 	maxTasks    int
 	maxInFlight int
 	inFlight    int
-	mean        time.Duration
-	learned     int
+	meanRunTime time.Duration
+	samples     int // measured run times in meanRunTime
 }
 
 func (kind *kind) hasRoom() bool { return kind.inFlight < kind.maxInFlight }
 
-// learn gives the first run times more weight, because declared ones can be wrong by a factor of 10.
-func (kind *kind) learn(runTime time.Duration) {
-	kind.learned++
-	rate := max(learnRate, 1/float64(kind.learned))
-	kind.mean += time.Duration(rate * float64(runTime-kind.mean))
+// observeRunTime adds a measured run time to the moving average. The first samples have a larger weight, because
+// declared run times can be wrong by a factor of 10.
+func (kind *kind) observeRunTime(runTime time.Duration) {
+	kind.samples++
+	factor := max(smoothingFactor, 1/float64(kind.samples))
+	kind.meanRunTime += time.Duration(factor * float64(runTime-kind.meanRunTime))
 }
 
-// seenRunTime returns the mean run time that tasks had, or 0 before the first one: by a declared run time that is
-// far too long, a kind would be refused for ever and never be seen.
-func (kind *kind) seenRunTime() time.Duration {
-	if kind.learned == 0 {
+// observedRunTime returns the mean measured run time, or 0 if no task has finished. The declared run time is not
+// used here: if it were far too long, every job of the kind would be refused and the mean never corrected.
+func (kind *kind) observedRunTime() time.Duration {
+	if kind.samples == 0 {
 		return 0
 	}
-	return kind.mean
+	return kind.meanRunTime
 }
 
-// team holds the quota and count of one team.
+// team holds the quota of one team and its tasks in flight.
 type team struct {
 	maxInFlight int
 	inFlight    int
@@ -61,58 +62,59 @@
 
 // entry is one admitted job.
 type entry struct {
-	ticket    Ticket
-	kind      *kind
-	team      *team
-	deadline  time.Time
-	remaining int
-	granted   int
-	inFlight  int
-	first     int64
-	second    int64
+	ticket       Ticket
+	kind         *kind
+	team         *team
+	deadline     time.Time
+	remaining    int // tasks not yet granted
+	granted      int
+	inFlight     int
+	primaryKey   int64
+	secondaryKey int64
 }
 
-// compare orders entries by the keys of the order in force, and equal ones by arrival.
-func compare(a, b *entry) int {
-	return cmp.Or(cmp.Compare(a.first, b.first), cmp.Compare(a.second, b.second), cmp.Compare(a.ticket, b.ticket))
+// compareEntries orders entries by their sort keys, and those with equal keys by arrival.
+func compareEntries(a, b *entry) int {
+	return cmp.Or(cmp.Compare(a.primaryKey, b.primaryKey), cmp.Compare(a.secondaryKey, b.secondaryKey), cmp.Compare(a.ticket, b.ticket))
 }
 
-// setKey sets the sort key of entry.
-func (limiter *Limiter) setKey(entry *entry) {
+// setSortKey sets the sort keys of entry according to the order in force.
+func (limiter *Limiter) setSortKey(entry *entry) {
 	switch order := limiter.order.(type) {
 	case ByDeadline:
-		entry.first = entry.deadline.Truncate(order.step).UnixNano()
-		entry.second = int64(entry.remaining) * int64(entry.kind.mean)
+		entry.primaryKey = entry.deadline.Truncate(order.step).UnixNano()
+		entry.secondaryKey = int64(entry.remaining) * int64(entry.kind.meanRunTime)
 	case ByRemainingWork:
-		entry.first = int64(entry.remaining) * int64(entry.kind.mean)
+		entry.primaryKey = int64(entry.remaining) * int64(entry.kind.meanRunTime)
 	case ByArrival:
 	}
 }
 
-// saturate learns how many tasks run at once when targets have no room left.
-func (limiter *Limiter) saturate() {
-	if len(limiter.refused) == 0 {
+// recordSaturation updates the average number of tasks in flight at the times when no target has room.
+func (limiter *Limiter) recordSaturation() {
+	if len(limiter.blockedKinds) == 0 {
 		return
 	}
-	if limiter.width == 0 {
-		limiter.width = float64(limiter.inFlight)
+	if limiter.saturatedInFlight == 0 {
+		limiter.saturatedInFlight = float64(limiter.inFlight)
 	}
-	limiter.width += learnRate * (float64(limiter.inFlight) - limiter.width)
+	limiter.saturatedInFlight += smoothingFactor * (float64(limiter.inFlight) - limiter.saturatedInFlight)
 }
 
-// expectedWait returns the time until the tasks ahead of a new entry have been granted.
+// expectedWait returns the expected time until the tasks ahead of a new entry have been granted.
 //
-// It divides the work ahead by the tasks that run at once: of all teams, of the
-// entry's team and of its kind. Jobs that wait for their own quota hold nobody
-// else back. Before targets ran out of room for the first time, work ahead is no
-// reason to wait.
+// It divides the work ahead by the number of tasks that run at once, separately
+// for all jobs, for the entry's team and for its kind, and returns the longest
+// of the three. Jobs at the limit of their team or kind do not delay other
+// jobs. As long as targets have never run out of room, the work ahead of all
+// teams causes no wait.
 func (limiter *Limiter) expectedWait(entry *entry) time.Duration {
 	var all, team, kind time.Duration
 	for _, ahead := range limiter.queue {
-		if compare(ahead, entry) > 0 {
+		if compareEntries(ahead, entry) > 0 {
 			break
 		}
-		work := time.Duration(ahead.remaining) * ahead.kind.mean
+		work := time.Duration(ahead.remaining) * ahead.kind.meanRunTime
 		if ahead.team.hasRoom() && ahead.kind.hasRoom() {
 			all += work
 		}
@@ -124,8 +126,8 @@
 		}
 	}
 	var wait time.Duration
-	if limiter.width > 0 {
-		wait = all / time.Duration(max(1, limiter.inFlight, int(limiter.width)))
+	if limiter.saturatedInFlight > 0 {
+		wait = all / time.Duration(max(1, limiter.inFlight, int(limiter.saturatedInFlight)))
 	}
 	if !entry.team.hasRoom() {
 		wait = max(wait, team/time.Duration(entry.team.maxInFlight))
@@ -136,15 +138,17 @@
 	return wait
 }
 
+// kind returns the state of the kind named name and creates it without limits if it is not known.
 func (limiter *Limiter) kind(name string) *kind {
 	known, ok := limiter.kinds[name]
 	if !ok {
-		known = &kind{name: name, maxTasks: dispatcher.MaxTasks, maxInFlight: unlimited, mean: defaultRunTime}
+		known = &kind{name: name, maxTasks: dispatcher.MaxTasks, maxInFlight: unlimited, meanRunTime: defaultRunTime}
 		limiter.kinds[name] = known
 	}
 	return known
 }
 
+// team returns the state of the team named name and creates it without a quota if it is not known.
 func (limiter *Limiter) team(name string) *team {
 	known, ok := limiter.teams[name]
 	if !ok {
@@ -154,17 +158,17 @@
 	return known
 }
 
-// order returns the order of the queue; a job that misses its deadline after the start wastes its messages, so the
-// weight of these draws the step towards exact deadlines.
+// order returns the order of the queue. A started job that misses its deadline wastes its messages, so the step of
+// deadlines shrinks with the weight of wasted messages.
 func (config Config) order() Order {
 	if config.Order != nil {
 		return config.Order
 	}
-	part := 0.5
+	timeFraction := 0.5
 	if sum := config.ResponseTimeWeight + config.WastedMessageWeight; sum > 0 {
-		part = config.ResponseTimeWeight / sum
+		timeFraction = config.ResponseTimeWeight / sum
 	}
-	return NewByDeadline(minDeadlineStep + time.Duration(part*float64(maxDeadlineStep-minDeadlineStep)))
+	return NewByDeadline(minDeadlineStep + time.Duration(timeFraction*float64(maxDeadlineStep-minDeadlineStep)))
 }
 
 func (limiter *Limiter) configure(config Config) {
@@ -174,9 +178,9 @@
 	}
 	limiter.order = config.order()
 	for _, entry := range limiter.queue {
-		limiter.setKey(entry)
+		limiter.setSortKey(entry)
 	}
-	slices.SortFunc(limiter.queue, compare)
+	slices.SortFunc(limiter.queue, compareEntries)
 	for name, limits := range config.Kinds {
 		kind := limiter.kind(name)
 		kind.maxTasks, kind.maxInFlight = dispatcher.MaxTasks, unlimited
@@ -186,8 +190,8 @@
 		if limits.MaxInFlight != 0 {
 			kind.maxInFlight = limits.MaxInFlight
 		}
-		if kind.learned == 0 && limits.RunTime > 0 {
-			kind.mean = limits.RunTime
+		if kind.samples == 0 && limits.RunTime > 0 {
+			kind.meanRunTime = limits.RunTime
 		}
 	}
 	for name, quota := range config.TeamQuotas {
--- a/limiter/limiter.go
+++ b/limiter/limiter.go
@@ -8,23 +8,23 @@
 	"github.com/hyssoplift/hyssoplift/dispatcher"
 )
 
-// defaultMaxQueued bounds the queue to what a second of work clears at the rates of one instance.
+// defaultMaxQueued bounds the queue to about a second of work at the job rate of one instance.
 const defaultMaxQueued = 4096
 
 // Limiter admits jobs and grants their tasks; it is safe for concurrent use.
 type Limiter struct {
-	mu        sync.Mutex
-	maxQueued int
-	order     Order
-	kinds     map[string]*kind
-	teams     map[string]*team
-	queue     []*entry // jobs with tasks that wait, in the order of their start
-	jobs      map[Ticket]*entry
-	next      Ticket
-	inFlight  int
-	width     float64 // tasks in flight when no more may start; 0 until that happens
-	budget    budget
-	refused   []*kind // kinds without a target in the current call of Next; kept to save allocations
+	mu                sync.Mutex
+	maxQueued         int
+	order             Order
+	kinds             map[string]*kind
+	teams             map[string]*team
+	queue             []*entry // jobs with waiting tasks, in the order in which they start
+	jobs              map[Ticket]*entry
+	lastTicket        Ticket
+	inFlight          int
+	saturatedInFlight float64 // moving average of tasks in flight while no target has room; 0 until that happens
+	retryBudget       retryBudget
+	blockedKinds      []*kind // kinds without a free target in the current call of Next; kept to avoid allocations
 }
 
 // New returns a limiter without jobs.
@@ -38,45 +38,45 @@
 	return limiter
 }
 
-// Configure puts a new configuration in force; jobs that were admitted stay, and kinds and teams that config does
-// not name keep their limits.
+// Configure replaces the configuration. Admitted jobs stay, and kinds and teams that config does not name keep
+// their limits.
 func (limiter *Limiter) Configure(config Config) {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	limiter.configure(config)
 }
 
-// Admit decides whether job is accepted; a refusal is final and holds no resources.
+// Admit decides whether job is accepted. The limiter keeps no state of refused jobs.
 func (limiter *Limiter) Admit(job Job, now time.Time) Decision {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	kind, team := limiter.kind(job.kind), limiter.team(job.team)
-	if refused, ok := limiter.refuse(job, kind, team, now); ok {
+	if refused, ok := limiter.checkLimits(job, kind, team, now); ok {
 		return refused
 	}
-	limiter.next++
-	entry := &entry{ticket: limiter.next, kind: kind, team: team, deadline: job.deadline, remaining: job.tasks}
-	limiter.setKey(entry)
+	limiter.lastTicket++
+	entry := &entry{ticket: limiter.lastTicket, kind: kind, team: team, deadline: job.deadline, remaining: job.tasks}
+	limiter.setSortKey(entry)
 	wait := limiter.expectedWait(entry)
-	// A refusal now costs the caller one message; a deadline that passes in the queue costs the whole wait.
-	if late := now.Add(wait + kind.seenRunTime()).Sub(job.deadline); wait > 0 && late > 0 {
+	// An immediate refusal costs the caller one message; a deadline that passes in the queue costs the whole wait.
+	if overrun := now.Add(wait + kind.observedRunTime()).Sub(job.deadline); wait > 0 && overrun > 0 {
 		return Refused{
 			reason:  dispatcher.ReasonOverload,
 			detail:  "the expected wait passes the deadline",
-			retryAt: now.Add(max(late, minRetryAfter)),
+			retryAt: now.Add(max(overrun, minRetryAfter)),
 		}
 	}
-	at, _ := slices.BinarySearchFunc(limiter.queue, entry, compare)
-	limiter.queue = slices.Insert(limiter.queue, at, entry)
+	index, _ := slices.BinarySearchFunc(limiter.queue, entry, compareEntries)
+	limiter.queue = slices.Insert(limiter.queue, index, entry)
 	limiter.jobs[entry.ticket] = entry
-	if at == 0 && kind.hasRoom() && team.hasRoom() {
+	if index == 0 && kind.hasRoom() && team.hasRoom() {
 		return Runnable{ticket: entry.ticket}
 	}
 	return Queued{ticket: entry.ticket, startAt: now.Add(wait)}
 }
 
-// refuse checks the rules that need no estimate.
-func (limiter *Limiter) refuse(job Job, kind *kind, team *team, now time.Time) (Refused, bool) {
+// checkLimits applies the rules that need no estimate of the wait, and reports whether one of them refuses job.
+func (limiter *Limiter) checkLimits(job Job, kind *kind, team *team, now time.Time) (Refused, bool) {
 	switch {
 	case job.tasks < 1 || job.tasks > kind.maxTasks:
 		return Refused{reason: dispatcher.ReasonImpossible, detail: "the kind does not allow this number of tasks"}, true
@@ -92,30 +92,31 @@
 	return Refused{}, false
 }
 
-// Next grants the next task that the limits allow, in the order of the queue.
+// Next grants the next task that the limits allow, in the order of the queue, or returns false if there is none.
 //
 // It calls pick with the kind of a task that may start, and skips the kind for
-// the rest of the call if pick reports that no target has room. It must not
-// call the limiter. Without a task to grant it returns false.
+// the rest of the call if pick reports that no target has room. Since it holds
+// the limiter's lock, pick must not call the limiter.
 func (limiter *Limiter) Next(now time.Time, pick func(kind string) bool) (Grant, bool) {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
-	limiter.refused = limiter.refused[:0]
+	limiter.blockedKinds = limiter.blockedKinds[:0]
 	for i, entry := range limiter.queue {
-		if !entry.kind.hasRoom() || !entry.team.hasRoom() || !now.Before(entry.deadline) || slices.Contains(limiter.refused, entry.kind) {
+		if !entry.kind.hasRoom() || !entry.team.hasRoom() || !now.Before(entry.deadline) || slices.Contains(limiter.blockedKinds, entry.kind) {
 			continue
 		}
 		if !pick(entry.kind.name) {
-			limiter.refused = append(limiter.refused, entry.kind)
+			limiter.blockedKinds = append(limiter.blockedKinds, entry.kind)
 			continue
 		}
 		return limiter.grant(i, entry, now), true
 	}
-	limiter.saturate()
+	limiter.recordSaturation()
 	return Grant{}, false
 }
 
-func (limiter *Limiter) grant(i int, entry *entry, now time.Time) Grant {
+// grant takes one task of entry, which is at index in the queue, and moves or removes the entry.
+func (limiter *Limiter) grant(index int, entry *entry, now time.Time) Grant {
 	grant := Grant{entry: entry, at: now, first: entry.granted == 0}
 	entry.granted++
 	entry.remaining--
@@ -123,19 +124,19 @@
 	entry.kind.inFlight++
 	entry.team.inFlight++
 	limiter.inFlight++
-	limiter.budget.start(now)
+	limiter.retryBudget.recordStart(now)
 	if entry.remaining == 0 {
-		limiter.queue = slices.Delete(limiter.queue, i, i+1)
+		limiter.queue = slices.Delete(limiter.queue, index, index+1)
 		return grant
 	}
-	limiter.setKey(entry)
-	for ; i > 0 && compare(entry, limiter.queue[i-1]) < 0; i-- {
-		limiter.queue[i], limiter.queue[i-1] = limiter.queue[i-1], limiter.queue[i]
+	limiter.setSortKey(entry)
+	for ; index > 0 && compareEntries(entry, limiter.queue[index-1]) < 0; index-- {
+		limiter.queue[index], limiter.queue[index-1] = limiter.queue[index-1], limiter.queue[index]
 	}
 	return grant
 }
 
-// Release ends the task of grant, whatever its fate, and learns from the time that it took.
+// Release ends the task of grant, whatever its fate, and adds its duration to the mean run time of its kind.
 func (limiter *Limiter) Release(grant Grant, now time.Time) {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
@@ -144,11 +145,12 @@
 	entry.kind.inFlight--
 	entry.team.inFlight--
 	limiter.inFlight--
-	entry.kind.learn(now.Sub(grant.at))
-	limiter.forget(entry)
+	entry.kind.observeRunTime(now.Sub(grant.at))
+	limiter.removeIfDone(entry)
 }
 
-// Cancel takes a job of which no task was granted out of the queue; it reports false if it is too late.
+// Cancel removes a job of which no task was granted from the queue. It reports false if a task was granted or the
+// job is not known.
 func (limiter *Limiter) Cancel(ticket Ticket) bool {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
@@ -156,11 +158,11 @@
 	if !ok || entry.granted > 0 {
 		return false
 	}
-	limiter.drop(entry)
+	limiter.dropWaiting(entry)
 	return true
 }
 
-// Drop gives up the tasks of a job that were not granted, as after a failed task, and returns their number.
+// Drop removes the tasks of a job that were not granted, as after a failed task, and returns their number.
 func (limiter *Limiter) Drop(ticket Ticket) int {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
@@ -168,7 +170,7 @@
 	if !ok {
 		return 0
 	}
-	return limiter.drop(entry)
+	return limiter.dropWaiting(entry)
 }
 
 // Expire drops the waiting tasks of jobs whose deadline has passed and returns these jobs.
@@ -184,46 +186,46 @@
 		}
 		expired = append(expired, Expired{ticket: entry.ticket, granted: entry.granted})
 		entry.remaining = 0
-		limiter.forget(entry)
+		limiter.removeIfDone(entry)
 	}
 	clear(limiter.queue[len(kept):])
 	limiter.queue = kept
 	return expired
 }
 
-// AllowRetry reports whether the retry budget allows one more retry, and takes it from the budget.
+// AllowRetry reports whether the retry budget allows one more retry, and if so deducts it from the budget.
 func (limiter *Limiter) AllowRetry(now time.Time) bool {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
-	return limiter.budget.take(now)
+	return limiter.retryBudget.take(now)
 }
 
-// Waiting returns how many jobs have tasks that wait.
+// Waiting returns the number of jobs with waiting tasks.
 func (limiter *Limiter) Waiting() int {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	return len(limiter.queue)
 }
 
-// InFlight returns how many grants have not come back to Release.
+// InFlight returns the number of grants that have not been passed to Release.
 func (limiter *Limiter) InFlight() int {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	return limiter.inFlight
 }
 
-func (limiter *Limiter) drop(entry *entry) int {
+func (limiter *Limiter) dropWaiting(entry *entry) int {
 	dropped := entry.remaining
 	if i := slices.Index(limiter.queue, entry); i >= 0 {
 		limiter.queue = slices.Delete(limiter.queue, i, i+1)
 	}
 	entry.remaining = 0
-	limiter.forget(entry)
+	limiter.removeIfDone(entry)
 	return dropped
 }
 
-// forget removes a job that neither waits nor runs.
-func (limiter *Limiter) forget(entry *entry) {
+// removeIfDone removes a job that has no task waiting or in flight.
+func (limiter *Limiter) removeIfDone(entry *entry) {
 	if entry.remaining == 0 && entry.inFlight == 0 {
 		delete(limiter.jobs, entry.ticket)
 	}
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -13,64 +13,67 @@
 	"github.com/hyssoplift/hyssoplift/dispatcher"
 )
 
-// testRunTime is the run time of every task of the random sequences, so that learned means stay as declared.
+// testRunTime is the declared and the measured run time of every task in TestRandomSequences, so that the mean run
+// times stay constant.
 const testRunTime = 100 * time.Millisecond
 
-// model is what a plain reference knows of one admitted job.
-type model struct {
+// modelJob is the reference model's state of one admitted job.
+type modelJob struct {
 	ticket   Ticket
 	job      Job
 	granted  int
 	inFlight int
-	over     bool // cancelled, dropped or expired: nothing more may be granted
+	closed   bool // cancelled, dropped or expired: no further task may be granted
 }
 
-func (model *model) remaining() int { return model.job.tasks - model.granted }
+func (modelJob *modelJob) remaining() int { return modelJob.job.tasks - modelJob.granted }
 
-// sequence drives a limiter and a reference, which sorts all jobs at every step, with the same random events.
+// sequence applies the same random operations to a limiter and to a reference model, which sorts all jobs at every
+// step.
 type sequence struct {
 	*testing.T
-	random  *rand.Rand
-	limiter *Limiter
-	config  Config
-	now     time.Time
-	jobs    []*model
-	open    []Grant
-	refused int
-	ended   int
+	random     *rand.Rand
+	limiter    *Limiter
+	config     Config
+	now        time.Time
+	jobs       []*modelJob
+	openGrants []Grant
+	refused    int
+	ended      int
 }
 
+// counts returns the number of tasks in flight of the kind and of the team of job.
 func (sequence *sequence) counts(job Job) (kind, team int) {
-	for _, model := range sequence.jobs {
-		if model.job.kind == job.kind {
-			kind += model.inFlight
+	for _, modelJob := range sequence.jobs {
+		if modelJob.job.kind == job.kind {
+			kind += modelJob.inFlight
 		}
-		if model.job.team == job.team {
-			team += model.inFlight
+		if modelJob.job.team == job.team {
+			team += modelJob.inFlight
 		}
 	}
 	return kind, team
 }
 
-// due returns the job whose task must be granted next, or nil.
-func (sequence *sequence) due(full string) *model {
+// nextDue returns the job whose task must be granted next, or nil; kind fullKind has no free target.
+func (sequence *sequence) nextDue(fullKind string) *modelJob {
 	jobs := slices.Clone(sequence.jobs)
-	slices.SortFunc(jobs, func(a, b *model) int {
+	slices.SortFunc(jobs, func(a, b *modelJob) int {
 		aStep, bStep := a.job.deadline.Truncate(time.Second), b.job.deadline.Truncate(time.Second)
 		return cmp.Or(aStep.Compare(bStep), cmp.Compare(a.remaining(), b.remaining()), cmp.Compare(a.ticket, b.ticket))
 	})
-	for _, model := range jobs {
-		kind, team := sequence.counts(model.job)
-		if !model.over && model.remaining() > 0 && model.job.deadline.After(sequence.now) && model.job.kind != full &&
-			kind < sequence.config.Kinds[model.job.kind].MaxInFlight && team < sequence.config.TeamQuotas[model.job.team] {
-			return model
+	for _, modelJob := range jobs {
+		kind, team := sequence.counts(modelJob.job)
+		if !modelJob.closed && modelJob.remaining() > 0 && modelJob.job.deadline.After(sequence.now) && modelJob.job.kind != fullKind &&
+			kind < sequence.config.Kinds[modelJob.job.kind].MaxInFlight && team < sequence.config.TeamQuotas[modelJob.job.team] {
+			return modelJob
 		}
 	}
 	return nil
 }
 
-func (sequence *sequence) find(ticket Ticket) *model {
-	return sequence.jobs[slices.IndexFunc(sequence.jobs, func(model *model) bool { return model.ticket == ticket })]
+func (sequence *sequence) find(ticket Ticket) *modelJob {
+	return sequence.jobs[slices.IndexFunc(sequence.jobs, func(modelJob *modelJob) bool { return modelJob.ticket == ticket })]
 }
 
 func (sequence *sequence) admit() {
@@ -78,117 +81,117 @@
 		sequence.random.IntN(14), sequence.now.Add(time.Duration(sequence.random.IntN(8000)-200)*time.Millisecond))
 	impossible := job.tasks == 0 || job.tasks > sequence.config.Kinds[job.kind].MaxTasks || !job.deadline.After(sequence.now)
 	before := len(sequence.limiter.jobs)
-	switch verdict := sequence.limiter.Admit(job, sequence.now).(type) {
+	switch decision := sequence.limiter.Admit(job, sequence.now).(type) {
 	case Refused:
 		sequence.refused++
-		retry := verdict.RetryAt()
+		retry := decision.RetryAt()
 		if len(sequence.limiter.jobs) != before || impossible != retry.IsZero() || !impossible && !retry.After(sequence.now) {
-			sequence.Fatalf("%+v was refused with %+v", job, verdict)
+			sequence.Fatalf("%+v was refused with %+v", job, decision)
 		}
 	case Runnable:
-		sequence.jobs = append(sequence.jobs, &model{ticket: verdict.Ticket(), job: job})
-		if due := sequence.due(""); impossible || due == nil || due.ticket != verdict.Ticket() {
+		sequence.jobs = append(sequence.jobs, &modelJob{ticket: decision.Ticket(), job: job})
+		if nextDue := sequence.nextDue(""); impossible || nextDue == nil || nextDue.ticket != decision.Ticket() {
 			sequence.Fatalf("%+v may not run yet", job)
 		}
 	case Queued:
-		sequence.jobs = append(sequence.jobs, &model{ticket: verdict.Ticket(), job: job})
-		if impossible || verdict.StartAt().Before(sequence.now) {
-			sequence.Fatalf("%+v was queued with %+v", job, verdict)
+		sequence.jobs = append(sequence.jobs, &modelJob{ticket: decision.Ticket(), job: job})
+		if impossible || decision.StartAt().Before(sequence.now) {
+			sequence.Fatalf("%+v was queued with %+v", job, decision)
 		}
 	}
 }
 
 func (sequence *sequence) grant() {
-	full := fmt.Sprint("kind-", sequence.random.IntN(6)) // half of the time no kind is full
-	due := sequence.due(full)
-	grant, ok := sequence.limiter.Next(sequence.now, func(kind string) bool { return kind != full })
+	fullKind := fmt.Sprint("kind-", sequence.random.IntN(6)) // kind-3 to kind-5 do not occur, so that no kind is full
+	nextDue := sequence.nextDue(fullKind)
+	grant, ok := sequence.limiter.Next(sequence.now, func(kind string) bool { return kind != fullKind })
 	switch {
-	case ok != (due != nil):
-		sequence.Fatalf("granted: %v, want %v", ok, due != nil)
+	case ok != (nextDue != nil):
+		sequence.Fatalf("granted: %v, want %v", ok, nextDue != nil)
 	case !ok:
 		return
-	case grant.Ticket() != due.ticket || grant.First() != (due.granted == 0):
-		sequence.Fatalf("granted %+v, want %+v", grant, due)
+	case grant.Ticket() != nextDue.ticket || grant.First() != (nextDue.granted == 0):
+		sequence.Fatalf("granted %+v, want %+v", grant, nextDue)
 	}
-	due.granted++
-	due.inFlight++
-	sequence.open = append(sequence.open, grant)
+	nextDue.granted++
+	nextDue.inFlight++
+	sequence.openGrants = append(sequence.openGrants, grant)
 }
 
 func (sequence *sequence) release() {
-	if len(sequence.open) == 0 {
+	if len(sequence.openGrants) == 0 {
 		return
 	}
-	i := sequence.random.IntN(len(sequence.open))
-	grant := sequence.open[i]
-	sequence.open = slices.Delete(sequence.open, i, i+1)
+	i := sequence.random.IntN(len(sequence.openGrants))
+	grant := sequence.openGrants[i]
+	sequence.openGrants = slices.Delete(sequence.openGrants, i, i+1)
 	sequence.find(grant.Ticket()).inFlight--
 	grant.at = sequence.now.Add(-testRunTime)
 	sequence.limiter.Release(grant, sequence.now)
 }
 
-func (sequence *sequence) end() {
+func (sequence *sequence) cancelOrDrop() {
 	if len(sequence.jobs) == 0 {
 		return
 	}
-	model := sequence.jobs[sequence.random.IntN(len(sequence.jobs))]
-	live := !model.over && (model.remaining() > 0 || model.inFlight > 0)
+	modelJob := sequence.jobs[sequence.random.IntN(len(sequence.jobs))]
+	active := !modelJob.closed && (modelJob.remaining() > 0 || modelJob.inFlight > 0)
 	if sequence.random.IntN(2) == 0 {
-		if got := sequence.limiter.Cancel(model.ticket); got != (live && model.granted == 0) {
-			sequence.Fatalf("cancelled %+v: %v", model, got)
+		if got := sequence.limiter.Cancel(modelJob.ticket); got != (active && modelJob.granted == 0) {
+			sequence.Fatalf("cancelled %+v: %v", modelJob, got)
 		} else if got {
-			model.over = true
+			modelJob.closed = true
 		}
 		return
 	}
-	want := model.remaining()
-	if model.over {
+	want := modelJob.remaining()
+	if modelJob.closed {
 		want = 0
 	}
-	if got := sequence.limiter.Drop(model.ticket); got != want {
-		sequence.Fatalf("dropped %d tasks of %+v, want %d", got, model, want)
+	if got := sequence.limiter.Drop(modelJob.ticket); got != want {
+		sequence.Fatalf("dropped %d tasks of %+v, want %d", got, modelJob, want)
 	}
-	model.over = model.over || want > 0
+	modelJob.closed = modelJob.closed || want > 0
 }
 
 func (sequence *sequence) expire() {
 	for _, expired := range sequence.limiter.Expire(sequence.now) {
-		model := sequence.find(expired.Ticket())
-		if model.over || model.remaining() == 0 || model.job.deadline.After(sequence.now) || model.granted != expired.Granted() {
-			sequence.Fatalf("expired %+v of %+v", expired, model)
+		modelJob := sequence.find(expired.Ticket())
+		if modelJob.closed || modelJob.remaining() == 0 || modelJob.job.deadline.After(sequence.now) || modelJob.granted != expired.Granted() {
+			sequence.Fatalf("expired %+v of %+v", expired, modelJob)
 		}
-		model.over = true
+		modelJob.closed = true
 	}
-	for _, model := range sequence.jobs {
-		if !model.over && model.remaining() > 0 && !model.job.deadline.After(sequence.now) {
-			sequence.Fatalf("%+v did not expire", model)
+	for _, modelJob := range sequence.jobs {
+		if !modelJob.closed && modelJob.remaining() > 0 && !modelJob.job.deadline.After(sequence.now) {
+			sequence.Fatalf("%+v did not expire", modelJob)
 		}
 	}
 }
 
-// check compares what the limiter holds with the reference, and forgets jobs that are over.
+// check compares the state of the limiter with the reference model and removes finished jobs from the model.
 func (sequence *sequence) check() {
 	waiting, known := 0, 0
-	for _, model := range sequence.jobs {
-		if !model.over && model.remaining() > 0 {
+	for _, modelJob := range sequence.jobs {
+		if !modelJob.closed && modelJob.remaining() > 0 {
 			waiting++
 		}
-		if !model.over && model.remaining() > 0 || model.inFlight > 0 {
+		if !modelJob.closed && modelJob.remaining() > 0 || modelJob.inFlight > 0 {
 			known++
 		}
 	}
-	if sequence.limiter.Waiting() != waiting || len(sequence.limiter.jobs) != known || sequence.limiter.InFlight() != len(sequence.open) {
+	if sequence.limiter.Waiting() != waiting || len(sequence.limiter.jobs) != known || sequence.limiter.InFlight() != len(sequence.openGrants) {
 		sequence.Fatalf("waiting %d, want %d; known %d, want %d", sequence.limiter.Waiting(), waiting, len(sequence.limiter.jobs), known)
 	}
 	before := len(sequence.jobs)
-	sequence.jobs = slices.DeleteFunc(sequence.jobs, func(model *model) bool {
-		return model.inFlight == 0 && (model.over || model.remaining() == 0)
+	sequence.jobs = slices.DeleteFunc(sequence.jobs, func(modelJob *modelJob) bool {
+		return modelJob.inFlight == 0 && (modelJob.closed || modelJob.remaining() == 0)
 	})
 	sequence.ended += before - len(sequence.jobs)
 }
 
-// Guards against quotas and limits that are exceeded, a wrong order, lost or forgotten jobs, and refusals or
-// cancellations of jobs that have started.
+// Guards against exceeded quotas and limits, a wrong order of grants, jobs that are lost or never removed, and
+// cancellation of jobs that have started.
 func TestRandomSequences(t *testing.T) {
 	for seed := range uint64(8) {
 		config := Config{
@@ -209,23 +212,24 @@
 			case draw < 96:
 				sequence.release()
 			case draw < 98:
-				sequence.end()
+				sequence.cancelOrDrop()
 			default:
 				sequence.expire()
 			}
 			sequence.check()
 		}
 		if sequence.refused < 50 || sequence.ended < 100 {
-			t.Fatalf("seed %d: %d refusals and %d ended jobs do not test the rules", seed, sequence.refused, sequence.ended)
+			t.Fatalf("seed %d: %d refusals and %d ended jobs are too few to test the rules", seed, sequence.refused, sequence.ended)
 		}
 	}
 }
 
-// Guards against accepting jobs that can never run or that the queue makes late, and against refusals without a
-// time at which a retry helps.
+// Guards against accepting jobs that can never run or whose wait in the queue exceeds the deadline, and against
+// overload refusals without a retry time.
 func TestRefusals(t *testing.T) {
 	now := time.Unix(1000, 0)
-	// Ten tasks run at once, because of the kind, the team or the targets.
+	// Each configuration lets ten tasks run at once: by the limit of the kind, the quota of the team or the room of
+	// the targets.
 	config := func(kind, team int) Config {
 		return Config{
 			Kinds: map[string]KindLimits{
@@ -234,29 +238,29 @@
 			},
 			TeamQuotas: map[string]int{"closed": 0, "open": team},
 			MaxQueued:  12,
-			Order:      NewByDeadline(10 * time.Second), // 1000 s to 1010 s is one step
+			Order:      NewByDeadline(10 * time.Second), // deadlines from 1000 s to 1010 s are equal
 		}
 	}
 	configs := []Config{config(10, 100), config(100, 10), config(100, 100)}
 	for _, test := range []struct {
 		name   string
-		queued int // jobs of 20 tasks of a second each that were admitted before; 10 tasks run
+		queued int // jobs admitted before, each with 20 tasks of 1 s; 10 of their tasks run
 		job    Job
-		reason dispatcher.Reason // empty if the job is admitted
+		reason dispatcher.Reason // empty if the job must be admitted
 		retry  time.Duration
 	}{
 		{"fits", 0, NewJob("check", "open", 20, now.Add(2*time.Second)), "", 0},
 		{"no tasks", 0, NewJob("check", "open", 0, now.Add(time.Minute)), dispatcher.ReasonImpossible, 0},
 		{"too many tasks", 0, NewJob("check", "open", 21, now.Add(time.Minute)), dispatcher.ReasonImpossible, 0},
 		{"too many tasks of any kind", 0, NewJob("other", "open", 131, now.Add(time.Minute)), dispatcher.ReasonImpossible, 0},
-		{"kind without room", 0, NewJob("off", "open", 1, now.Add(time.Minute)), dispatcher.ReasonImpossible, 0},
-		{"team without quota", 0, NewJob("check", "closed", 1, now.Add(time.Minute)), dispatcher.ReasonImpossible, 0},
-		{"late", 0, NewJob("check", "open", 1, now), dispatcher.ReasonDeadline, 0},
-		{"declared run time passes the deadline", 0, NewJob("check", "open", 20, now.Add(time.Millisecond)), "", 0},
-		// 5 jobs hold 90 tasks, which 10 at once finish in 9 s.
+		{"kind allows no task in flight", 0, NewJob("off", "open", 1, now.Add(time.Minute)), dispatcher.ReasonImpossible, 0},
+		{"team with quota 0", 0, NewJob("check", "closed", 1, now.Add(time.Minute)), dispatcher.ReasonImpossible, 0},
+		{"deadline has passed", 0, NewJob("check", "open", 1, now), dispatcher.ReasonDeadline, 0},
+		{"declared run time exceeds the deadline", 0, NewJob("check", "open", 20, now.Add(time.Millisecond)), "", 0},
+		// The 5 jobs ahead have 90 waiting tasks, which take 9 s at 10 tasks at once.
 		{"in time", 5, NewJob("check", "open", 20, now.Add(9*time.Second)), "", 0},
-		{"wait passes the deadline", 5, NewJob("check", "open", 20, now.Add(8500*time.Millisecond)), dispatcher.ReasonOverload, 500 * time.Millisecond},
-		{"passes larger jobs", 5, NewJob("check", "open", 1, now.Add(8500*time.Millisecond)), "", 0},
+		{"expected wait exceeds the deadline", 5, NewJob("check", "open", 20, now.Add(8500*time.Millisecond)), dispatcher.ReasonOverload, 500 * time.Millisecond},
+		{"overtakes larger jobs", 5, NewJob("check", "open", 1, now.Add(8500*time.Millisecond)), "", 0},
 		{"queue full", 12, NewJob("check", "open", 1, now.Add(time.Hour)), dispatcher.ReasonOverload, minRetryAfter},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -280,7 +284,7 @@
 	}
 }
 
-// Guards against retries that multiply the load of a fault.
+// Guards against retries that multiply the load during a failure.
 func TestRetryBudget(t *testing.T) {
 	is := is.New(t)
 	limiter, now := New(Config{}), time.Unix(1000, 0)
@@ -304,11 +308,11 @@
 		for limiter.AllowRetry(now) {
 			retries++
 		}
-		is.True(retries <= retryBurst) // an idle hour saves up no storm
+		is.True(retries <= maxRetryTokens) // an idle hour accumulates no more tokens
 	}
 }
 
-// Guards against a bundle that changes weights or limits and leaves the queue as it was.
+// Guards against a change of weights or limits that does not take effect on queued jobs.
 func TestConfigure(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -317,18 +321,18 @@
 	small, _ := limiter.Admit(NewJob("check", "open", 2, now.Add(9*time.Second)), now).(Queued)
 	pick := func(string) bool { return true }
 	grant, _ := limiter.Next(now, pick)
-	is.Equal(grant.Ticket(), large.Ticket()) // a step of 2 s keeps the deadlines apart
+	is.Equal(grant.Ticket(), large.Ticket()) // with a step of 2 s the deadlines differ
 	limiter.Configure(Config{ResponseTimeWeight: 1})
 	grant, _ = limiter.Next(now, pick)
-	is.Equal(grant.Ticket(), small.Ticket()) // a step of 10 s lets the small job pass
+	is.Equal(grant.Ticket(), small.Ticket()) // with a step of 10 s the smaller job comes first
 	limiter.Configure(Config{TeamQuotas: map[string]int{"open": 3}})
 	_, third := limiter.Next(now, pick)
 	_, fourth := limiter.Next(now, pick)
 	is.True(third)
-	is.True(!fourth) // the new quota holds for the tasks in flight
+	is.True(!fourth) // tasks already in flight count against the new quota
 }
 
-// BenchmarkQueue measures one Admit with its Next and Release when that many jobs wait.
+// BenchmarkQueue measures Admit, Next and Release of one task while the given number of jobs wait.
 func BenchmarkQueue(b *testing.B) {
 	for _, waiting := range []int{100, 1000, 4000} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) { benchmarkQueue(b, waiting) })
