--- a/router/api.go
+++ b/router/api.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Target is one target of a service in a snapshot.
+// Target is one target of a service, as listed in a snapshot.
 type Target struct {
 	name    string
 	address string
@@ -10,36 +10,38 @@
 	leaving bool
 }
 
-// NewTarget returns a target that runs slots tasks at once; a leaving target gets nothing new.
+// NewTarget returns a target that runs slots tasks at once; a leaving target gets no new tasks.
 func NewTarget(name, address string, slots int, leaving bool) Target {
 	return Target{name: name, address: address, slots: slots, leaving: leaving}
 }
 
-// Config holds the parameters of a router; the zero value of each field but the share is usable.
+// Config holds the parameters of a router; its zero value is usable.
 type Config struct {
-	// Seed makes the choices reproducible; instances need different seeds so that they don't herd.
+	// Seed makes the choices reproducible. Instances need different seeds, so that they do not all choose the same
+	// targets at the same time.
 	Seed uint64
-	// Policy is the rule of choice; nil means LeastExpected.
+	// Policy is the selection policy; nil means LeastExpectedCompletion.
 	Policy Policy
 	// ResponseTimeWeight is the bundle's response-time-weight, at least 0.
 	ResponseTimeWeight float64
 	// WastedMessageWeight is the bundle's wasted-message-weight, at least 0.
 	WastedMessageWeight float64
-	// Share is this instance's part of the slots of its failure domain.
+	// Share is this instance's share of the slots of its failure domain; the zero value means all slots.
 	Share Share
 	// DisableBorrowing forbids borrowing slots beyond the share.
 	DisableBorrowing bool
-	// DisableEjection switches the ejection of targets off; only measurements use it.
+	// DisableEjection turns the ejection of targets off; it is used only for measurements.
 	DisableEjection bool
 }
 
-// Share is an instance's range in the cumulative weights of the instances of its failure domain.
+// Share is an instance's range in the cumulative weights of the instances of its failure domain, scaled to 0 to 1.
 //
-// Instances that order the members of a view alike get ranges that don't
-// overlap, and so shares of each target's slots that add up to the slots.
+// Instances that list the members of a view in the same order get ranges that
+// do not overlap, and the slots that they derive from them add up to the slots
+// of each target.
 type Share struct{ low, high float64 }
 
-// NewShare returns the share of instance i among instances with the given weights; all must be positive.
+// NewShare returns the share of instance i among instances with the given weights, which must be positive.
 func NewShare(weights []float64, i int) Share {
 	var below, total float64
 	for j, weight := range weights {
@@ -51,23 +53,23 @@
 	return Share{low: below / total, high: (below + weights[i]) / total}
 }
 
-// Policy is the rule by which a target is chosen among those with room: LeastExpected, RoundRobin,
-// LeastInFlight, TwoChoices or Random.
+// Policy is the rule by which a target is chosen among those with room: LeastExpectedCompletion, RoundRobin,
+// LeastInFlight, PowerOfTwoChoices or Random.
 type Policy interface{ isPolicy() }
 
-// LeastExpectedCompletion chooses the target with the least expected completion time.
+// LeastExpectedCompletion chooses the target with the earliest expected completion of the task.
 type LeastExpectedCompletion struct{}
 
 // RoundRobin chooses the targets in turn.
 type RoundRobin struct{}
 
-// LeastInFlight chooses the target with the fewest own tasks in flight per slot.
+// LeastInFlight chooses the target with the fewest tasks of this instance in flight per slot.
 type LeastInFlight struct{}
 
-// PowerOfTwoChoices draws two targets and chooses the one with fewer own tasks in flight per slot.
+// PowerOfTwoChoices draws two targets and chooses the one with fewer tasks of this instance in flight per slot.
 type PowerOfTwoChoices struct{}
 
-// Random chooses any target with room.
+// Random chooses a random target with room.
 type Random struct{}
 
 func (LeastExpectedCompletion) isPolicy() {}
@@ -76,7 +78,7 @@
 func (PowerOfTwoChoices) isPolicy()       {}
 func (Random) isPolicy()                  {}
 
-// Choice is one target picked for one task; it must be given back to Done exactly once.
+// Choice is the target picked for one task; it must be passed to Done exactly once.
 type Choice struct {
 	target   *target
 	kind     int32
@@ -91,10 +93,10 @@
 // Address returns the host and port of the chosen target.
 func (choice Choice) Address() string { return choice.target.address }
 
-// Trial reports whether the task tests if an ejected target may return.
+// Trial reports whether the task tests if an ejected target has recovered.
 func (choice Choice) Trial() bool { return choice.trial }
 
-// Result is what became of a choice: Finished, Failed, Lost or NotStarted.
+// Result is the result of a choice: Finished, Failed, Lost, NotStarted or Unused.
 type Result interface{ isResult() }
 
 // Finished means that the target returned a result.
@@ -103,7 +105,7 @@
 // Failed means that the target ran the task and reported an error.
 type Failed struct{}
 
-// Lost means that the task may have started and no answer arrived.
+// Lost means that the task may have started, but no answer arrived.
 type Lost struct{}
 
 // NotStarted means that the target provably did not start the task.
@@ -114,9 +116,9 @@
 func (Lost) isResult()       {}
 func (NotStarted) isResult() {}
 
-// NewFinished returns a result with the run time that the answer shows; 0 means that it shows none,
-// and the time since the choice counts.
+// NewFinished returns a result with the run time that the answer reports. With 0, the answer reports none and the
+// time since the choice is used.
 func NewFinished(runTime time.Duration) Finished { return Finished{runTime: runTime} }
 
-// NewNotStarted returns a result of a start that was refused; leaving means that the target takes no more work.
+// NewNotStarted returns the result of a refused start; leaving means that the target takes no more tasks.
 func NewNotStarted(leaving bool) NotStarted { return NotStarted{leaving: leaving} }
--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -7,6 +7,7 @@
 	"unsafe"
 )
 
+// snapshot returns count targets with the given number of slots.
 func snapshot(count, slots int) []Target {
 	targets := make([]Target, count)
 	for i := range targets {
@@ -15,7 +16,7 @@
 	return targets
 }
 
-// BenchmarkDecision measures one Pick and its Done with half of the slots in use.
+// BenchmarkDecision measures one Pick and one Done with half of the slots in use.
 func BenchmarkDecision(b *testing.B) {
 	for _, count := range []int{50, 500, 2000, 22000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -26,7 +27,7 @@
 			for i := range ring {
 				ring[i], _ = router.Pick("check", now)
 			}
-			cells := len(router.kinds) * int(unsafe.Sizeof(cell{}))
+			cells := len(router.kinds) * int(unsafe.Sizeof(targetKindStats{}))
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
--- a/router/borrow_test.go
+++ b/router/borrow_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// finish ends choices after runTime and a wait at their targets.
+// finish ends choices after a wait for a slot and the run time, and returns the time afterwards.
 func finish(router *Router, choices []Choice, now time.Time, runTime, wait time.Duration) time.Time {
 	now = now.Add(runTime + wait)
 	for _, choice := range choices {
@@ -29,8 +29,8 @@
 	return now
 }
 
-// Guards against long tasks on borrowed slots, against borrowing from a target on which tasks wait, and against
-// borrowing that never resumes.
+// Guards against long tasks on borrowed slots, borrowing on a target where tasks wait, and borrowing that does not
+// resume once tasks no longer wait.
 func TestBorrowing(t *testing.T) {
 	is := is.New(t)
 	const short, long = 10 * time.Millisecond, time.Second
@@ -45,26 +45,26 @@
 	now = finish(router, []Choice{choice}, now, long, 0)
 
 	longs := fill(router, "long", now)
-	is.Equal(len(longs), 4) // the share
+	is.Equal(len(longs), 4) // half of the slots
 	shorts := fill(router, "short", now)
-	is.Equal(len(shorts), 4) // the slots of the other instance
+	is.Equal(len(shorts), 4) // borrowed from the other instance
 	now = finish(router, shorts, now, short, 50*time.Millisecond)
-	is.Equal(len(fill(router, "short", now)), 0) // the waits show that the other instance uses its slots
+	is.Equal(len(fill(router, "short", now)), 0) // the waits indicate that the other instance uses its slots
 	now = finish(router, longs, now, long, 0)
 	for range 5 {
 		now = finish(router, fill(router, "short", now), now, short, 0)
 	}
-	is.Equal(len(fill(router, "short", now)), 8) // without waits the slots are borrowed again
+	is.Equal(len(fill(router, "short", now)), 8) // all slots are borrowed again after tasks ran without waits
 }
 
-// Guards against an instance without own slots that leaves long tasks waiting for ever.
+// Guards against long tasks that wait forever at an instance without own slots.
 func TestBorrowingWithoutShare(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	router := New(Config{Share: NewShare([]float64{1, 1}, 0)})
 	for i := 0; ; i++ {
 		target := NewTarget(fmt.Sprint("runner-", i), "address", 1, false)
-		if router.config.Share.of(target) == 0 {
+		if router.config.Share.slotsOf(target) == 0 {
 			router.Update([]Target{target}, now)
 			break
 		}
@@ -75,10 +75,10 @@
 	longs := fill(router, "long", now)
 	is.Equal(len(longs), 1)
 	now = finish(router, longs, now, time.Second, 0)
-	is.Equal(len(fill(router, "long", now)), 1) // also when the kind is known to be long
+	is.Equal(len(fill(router, "long", now)), 1) // even after the run time of the kind was measured
 }
 
-// Guards against a view change that leaves slots unused or lets an instance exceed its smaller share.
+// Guards against a change of the view that leaves slots unused or lets an instance exceed a reduced share.
 func TestSetShare(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -88,15 +88,15 @@
 	is.Equal(len(choices), 4)
 	router.SetShare(NewShare([]float64{1}, 0))
 	choices = append(choices, fill(router, "check", now)...)
-	is.Equal(len(choices), 8) // alone in the view
+	is.Equal(len(choices), 8) // a single instance has all slots
 	router.SetShare(NewShare([]float64{1, 1, 1, 1}, 2))
 	finish(router, choices[:6], now, time.Second, 0)
-	is.Equal(len(fill(router, "check", now)), 0) // two tasks are a quarter of the slots
+	is.Equal(len(fill(router, "check", now)), 0) // the two tasks in flight use the new share of a quarter
 	finish(router, choices[6:7], now, time.Second, 0)
 	is.Equal(len(fill(router, "check", now)), 1)
 }
 
-// Guards against weights of the bundle that change nothing.
+// Guards against weights of the bundle without an effect on the ejection threshold.
 func TestWeightsSetEjection(t *testing.T) {
 	is := is.New(t)
 	for _, test := range []struct {
--- a/router/choose.go
+++ b/router/choose.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// sampleSize bounds the targets that one decision looks at; the best of 32 lies in the best tenth with
-	// a probability of 97%.
+	// sampleSize is the number of targets that one decision compares if there are more than maxFullScan. The best of
+	// 32 random targets is among the best tenth of all with a probability of 97%.
 	sampleSize = 32
-	// scanSize is the number of free targets up to which all are looked at.
-	scanSize = 64
-	// untriedFactor makes targets without a history look fast enough to be tried.
-	untriedFactor = 0.6
-	// minCount is the number of run times from which a mean is trusted.
-	minCount = 3
-	// silenceRatio is the silence of a target with tasks in flight, relative to its mean run time, from which
-	// others are preferred.
+	// maxFullScan is the largest number of free targets that are all compared.
+	maxFullScan = 64
+	// explorationFactor scales down the expected run time on targets with few or old samples, so that they are tried.
+	explorationFactor = 0.6
+	// minSamples is the number of run times from which a mean is used.
+	minSamples = 3
+	// silenceRatio is the time without an answer from a target with tasks in flight, relative to its mean run time,
+	// beyond which other targets are preferred.
 	silenceRatio = 2
-	// failureCost is how much each failure since the last success raises the cost.
-	failureCost = 2
-	// staleAfter is the time without a task after which a target's speed is worth learning again.
+	// failurePenalty is the relative increase of the cost for each failure since the last success.
+	failurePenalty = 2
+	// staleAfter is the time since the last pick after which a target's speed may have changed and is measured again.
 	staleAfter = 10 * time.Second
-	// queueMemory is the time in which an assumed queue fades without news.
-	queueMemory = 2 * time.Second
+	// queueWaitLifetime is the time in which the expected wait for a slot decreases to 0 without a new answer.
+	queueWaitLifetime = 2 * time.Second
 )
 
 // Pick chooses a target for one task of kind; it reports false if no target has room.
@@ -30,72 +30,76 @@
 	nanos := now.UnixNano()
 	kindID := router.kindID(kind)
 	if target := router.dueTrial(nanos); target != nil {
-		return router.start(target, kindID, nanos, true), true
+		return router.assign(target, kindID, nanos, true), true
 	}
 	for {
-		target := router.choose(kindID, nanos)
+		target := router.chooseTarget(kindID, nanos)
 		if target == nil {
 			return Choice{}, false
 		}
 		if !router.overdue(target, nanos) || !router.eject(target, failing, nanos) {
-			return router.start(target, kindID, nanos, false), true
+			return router.assign(target, kindID, nanos, false), true
 		}
 	}
 }
 
+// kindID returns the index of the kind named name in router.kinds; it adds the kind if it is not known.
 func (router *Router) kindID(name string) int32 {
-	if id, ok := router.kindByID[name]; ok {
+	if id, ok := router.kindIDs[name]; ok {
 		return id
 	}
 	id := int32(len(router.kinds))
-	router.kindByID[name] = id
-	router.kinds = append(router.kinds, kind{mean: float64(defaultRunTime)})
+	router.kindIDs[name] = id
+	router.kinds = append(router.kinds, kindStats{meanRunTime: float64(defaultRunTime)})
 	return id
 }
 
-func (router *Router) start(target *target, kindID int32, now int64, trial bool) Choice {
+// assign counts a new task on target and returns its choice.
+func (router *Router) assign(target *target, kindID int32, now int64, trial bool) Choice {
 	if target.inFlight == 0 {
-		target.since = now
+		target.lastActivityAt = now
 	}
 	target.inFlight++
 	if now-target.pickedAt > int64(staleAfter) {
-		target.age()
+		target.discountHistory()
 	}
 	target.pickedAt = now
-	target.trial = target.trial || trial
+	target.trialInFlight = target.trialInFlight || trial
 	router.inFlight++
-	router.place(target)
+	router.reindex(target)
 	return Choice{target: target, kind: kindID, inFlight: target.inFlight, at: now, trial: trial}
 }
 
-// candidates are the targets that one decision chooses from: those with own slots, then those to borrow from.
-type candidates struct{ own, lent []*target }
+// candidates are the targets that one decision chooses from: first those with free slots within the share, then
+// those with slots to borrow.
+type candidates struct{ own, borrowable []*target }
 
-func (candidates candidates) len() int { return len(candidates.own) + len(candidates.lent) }
+func (candidates candidates) len() int { return len(candidates.own) + len(candidates.borrowable) }
 
-// at returns candidate i, counted from the start again beyond the last.
+// at returns candidate i modulo the number of candidates.
 func (candidates candidates) at(i int) *target {
 	i %= candidates.len()
 	if i < len(candidates.own) {
 		return candidates.own[i]
 	}
-	return candidates.lent[i-len(candidates.own)]
+	return candidates.borrowable[i-len(candidates.own)]
 }
 
-// candidates returns the targets that may take a task of the kind, apart from their pauses.
+// candidates returns the targets that may take a task of the kind, including paused ones.
 //
-// A long task would hold a borrowed slot for longer than its owner can wait, so
-// only kinds that run for no longer than the mean of all tasks borrow. An
-// instance without own slots, as after the loss of its targets, borrows for all.
+// A long task would hold a borrowed slot for longer than the instance that owns
+// it can wait, so only kinds whose mean run time is at most that of all tasks
+// borrow. An instance without own slots, as after the loss of its targets,
+// borrows for all kinds.
 func (router *Router) candidates(kindID int32) candidates {
-	if router.available > 0 && router.kinds[kindID].mean > router.mean {
+	if router.availableShare > 0 && router.kinds[kindID].meanRunTime > router.meanRunTime {
 		return candidates{own: router.own.targets}
 	}
-	return candidates{own: router.own.targets, lent: router.lent.targets}
+	return candidates{own: router.own.targets, borrowable: router.borrowable.targets}
 }
 
-// choose returns the best target by the policy, or nil if none may take the kind now.
-func (router *Router) choose(kindID int32, now int64) *target {
+// chooseTarget returns the target that the policy selects, or nil if none may take the kind now.
+func (router *Router) chooseTarget(kindID int32, now int64) *target {
 	candidates := router.candidates(kindID)
 	count := candidates.len()
 	if count == 0 {
@@ -103,83 +107,86 @@
 	}
 	switch router.config.Policy.(type) {
 	case RoundRobin:
-		router.turn++
-		return candidates.firstReady(int(router.turn%uint64(count)), now)
+		router.roundRobinCounter++
+		return candidates.firstReady(int(router.roundRobinCounter%uint64(count)), now)
 	case Random:
-		return candidates.firstReady(router.below(count), now)
+		return candidates.firstReady(router.randomIndex(count), now)
 	case LeastInFlight:
-		return router.best(candidates, count, kindID, now, load)
+		return router.cheapest(candidates, count, kindID, now, tasksPerSlot)
 	case PowerOfTwoChoices:
-		a, b := candidates.firstReady(router.below(count), now), candidates.firstReady(router.below(count), now)
-		if a != nil && load(router, b, kindID, now) < load(router, a, kindID, now) {
+		a, b := candidates.firstReady(router.randomIndex(count), now), candidates.firstReady(router.randomIndex(count), now)
+		if a != nil && tasksPerSlot(router, b, kindID, now) < tasksPerSlot(router, a, kindID, now) {
 			return b
 		}
 		return a
 	default:
-		return router.best(candidates, sampleSize, kindID, now, completion)
+		return router.cheapest(candidates, sampleSize, kindID, now, expectedCompletion)
 	}
 }
 
-// firstReady returns the first candidate at or after from that does not pause, or nil.
-func (candidates candidates) firstReady(from int, now int64) *target {
+// firstReady returns the first candidate from index first on that is not paused, or nil.
+func (candidates candidates) firstReady(first int, now int64) *target {
 	for i := range candidates.len() {
-		if target := candidates.at(from + i); target.pausedUntil <= now {
+		if target := candidates.at(first + i); target.pausedUntil <= now {
 			return target
 		}
 	}
 	return nil
 }
 
-// best returns the candidate with the lowest cost among all, or among a sample if there are many.
-func (router *Router) best(candidates candidates, sample int, kindID int32, now int64, cost func(*Router, *target, int32, int64) float64) *target {
-	var best *target
+// cheapest returns the candidate with the lowest cost among all candidates, or among a sample if there are more than
+// maxFullScan.
+func (router *Router) cheapest(candidates candidates, sample int, kindID int32, now int64, cost func(*Router, *target, int32, int64) float64) *target {
+	var cheapest *target
 	var lowest float64
 	count, stride := candidates.len(), 1
-	from := router.below(count)
-	if count > scanSize && sample < count {
-		// A stride through the lists draws distinct targets without state.
+	first := router.randomIndex(count)
+	if count > maxFullScan && sample < count {
+		// A fixed stride from a random start draws distinct targets without further state.
 		count, stride = sample, count/sample
 	}
 	for i := range count {
-		target := candidates.at(from + i*stride)
+		target := candidates.at(first + i*stride)
 		if target.pausedUntil > now {
 			continue
 		}
-		if value := cost(router, target, kindID, now); best == nil || value < lowest {
-			best, lowest = target, value
+		if value := cost(router, target, kindID, now); cheapest == nil || value < lowest {
+			cheapest, lowest = target, value
 		}
 	}
-	if best == nil {
-		return candidates.firstReady(from, now)
+	if cheapest == nil {
+		return candidates.firstReady(first, now)
 	}
-	return best
+	return cheapest
 }
 
-func load(_ *Router, target *target, _ int32, _ int64) float64 {
+// tasksPerSlot is a cost function: the number of tasks in flight per slot.
+func tasksPerSlot(_ *Router, target *target, _ int32, _ int64) float64 {
 	return float64(target.inFlight) / float64(max(1, target.slots))
 }
 
-// completion returns the expected time from now to the end of a task on target, in nanoseconds.
+// expectedCompletion is a cost function: the expected time from now to the end of a task on target, in nanoseconds.
 //
-// A failed start delivers nothing, so failures raise the cost; the speed of a
-// failure never lowers it. A silence longer than usual counts as a wait.
-func completion(router *Router, target *target, kindID int32, now int64) float64 {
-	run := router.estimate(target, kindID)
+// Failures raise the cost, however fast they are, so that targets that fail
+// fast do not attract tasks. A target with tasks in flight that has not
+// answered for longer than usual is assumed to need the same time again.
+func expectedCompletion(router *Router, target *target, kindID int32, now int64) float64 {
+	run := router.expectedRunTime(target, kindID)
 	if now-target.pickedAt > int64(staleAfter) {
-		return run * untriedFactor
+		return run * explorationFactor
 	}
-	cost := run + target.assumedWait(now)
-	if silence := float64(now - target.since); target.inFlight > 0 && silence > silenceRatio*target.mean {
+	cost := run + target.expectedQueueWait(now)
+	if silence := float64(now - target.lastActivityAt); target.inFlight > 0 && silence > silenceRatio*target.meanRunTime {
 		cost += silence
 	}
-	return cost * float64(1+failureCost*target.streak)
+	return cost * float64(1+failurePenalty*target.consecutiveFailures)
 }
 
-// assumedWait returns the wait that the last answers showed, fading with their age.
-func (target *target) assumedWait(now int64) float64 {
-	age := float64(now-target.queueAt) / float64(queueMemory)
-	return target.queue * max(0, 1-age)
+// expectedQueueWait returns the wait for a slot seen in the last answers, reduced linearly with their age.
+func (target *target) expectedQueueWait(now int64) float64 {
+	age := float64(now-target.queueWaitAt) / float64(queueWaitLifetime)
+	return target.queueWait * max(0, 1-age)
 }
 
-// below returns a number from 0 to n-1; n must be positive.
-func (router *Router) below(n int) int { return int(router.random.Uint64() >> 33 % uint64(n)) }
+// randomIndex returns a random number from 0 to n-1; n must be positive.
+func (router *Router) randomIndex(n int) int { return int(router.random.Uint64() >> 33 % uint64(n)) }
--- a/router/doc.go
+++ b/router/doc.go
@@ -1,7 +1,7 @@
-// Package router chooses the target of each task of one service; it performs
-// no I/O and takes the time and a seed as arguments.
+// Package router chooses the target of each task of one service. It performs
+// no I/O and takes the current time and a random seed as arguments.
 //
-// It learns the speed of each target from the run times that answers show,
-// keeps its own in-flight counts within the instance's share of the slots, and
-// ejects targets that fail, freeze or lag.
+// It estimates the speed of each target from the run times in answers, keeps
+// the tasks in flight within the instance's share of the slots, and ejects
+// targets that fail, do not answer or are much slower than the others.
 package router
--- a/router/eject.go
+++ b/router/eject.go
@@ -6,85 +6,87 @@
 )
 
 const (
-	// maxEjectedPart keeps a fault that all targets share, such as a bad kind, from ejecting them all.
-	maxEjectedPart = 0.3
-	// slowRatio is the run time, relative to the mean of its kind, from which a target is ejected; healthy
-	// targets differ by a factor of 4 and so are at most about 2.5 times slower than the mean.
-	slowRatio = 4
-	// returnRatio is the relative run time at which a slow target returns.
-	returnRatio = 3
-	// minSlowCount is the number of run times before a target can be ejected as slow.
-	minSlowCount = 5
-	// overdueRatio and overdueFloor bound the silence of a target with tasks in flight; single tasks last
-	// several times the mean of their kind.
+	// maxEjectedFraction limits the ejected targets, so that a fault common to all, such as a kind whose tasks always
+	// fail, does not eject all of them.
+	maxEjectedFraction = 0.3
+	// slowEjectRatio is the run time relative to the mean of the kind beyond which a target is ejected. The speeds of
+	// healthy targets differ by a factor of 4, so that none is more than about 2.5 times slower than the mean.
+	slowEjectRatio = 4
+	// slowReturnRatio is the relative run time of a trial below which a slow target returns.
+	slowReturnRatio = 3
+	// minSlowSamples is the number of run times from which a target can be ejected as slow.
+	minSlowSamples = 5
+	// A target with tasks in flight may go without an answer for overdueRatio times its mean run time plus minOverdue.
+	// Single tasks take several times the mean of their kind.
 	overdueRatio = 6
-	overdueFloor = 500 * time.Millisecond
-	// standOut is the ratio of a target's failures to those of all targets from which it is ejected; a kind
-	// that fails everywhere is no reason to eject a target.
-	standOut = 2
-	// firstTrial is the time from ejection to the first trial, which doubles with each failed trial. Each
-	// failed trial fails a whole job.
-	firstTrial = 8 * time.Second
-	// trialRetry is the time after which a trial that found no room is tried again.
-	trialRetry = 50 * time.Millisecond
-	// maxTrialShift bounds the time between trials to 8 times the first.
-	maxTrialShift = 3
-	// calmFailures is the moving average of failures below which a returned target is trusted again.
-	calmFailures = 0.1
+	minOverdue   = 500 * time.Millisecond
+	// outlierRatio is the failure rate relative to that of all targets beyond which a target is ejected. A kind that
+	// fails on every target is no reason to eject one.
+	outlierRatio = 2
+	// firstTrialDelay is the base delay from the ejection to the first trial; it doubles with each failed trial,
+	// because each failed trial fails a whole job.
+	firstTrialDelay = 8 * time.Second
+	// trialRetryDelay is the time until a due trial is tried again after the target had no room.
+	trialRetryDelay = 50 * time.Millisecond
+	// maxTrialDoublings bounds the delay between trials to 8 times the first.
+	maxTrialDoublings = 3
+	// recoveredFailureRate is the failure rate below which a target that returned counts as fully recovered.
+	recoveredFailureRate = 0.1
 )
 
-func (router *Router) maxEjected() int { return int(maxEjectedPart * float64(len(router.targets))) }
+// maxEjected returns the largest number of targets that may be ejected at once.
+func (router *Router) maxEjected() int { return int(maxEjectedFraction * float64(len(router.targets))) }
 
-// maxStreak returns the failures in a row that eject target: 2 to 4, fewer the more a wasted message weighs,
-// and 1 for a target that returned from a trial a short while ago.
-func (router *Router) maxStreak(target *target) int32 {
-	if target.trials > 0 {
+// ejectionThreshold returns the number of consecutive failures that ejects target: 2 to 4, decreasing with the weight
+// of wasted messages, and 1 for a target that was ejected before and has not fully recovered.
+func (router *Router) ejectionThreshold(target *target) int32 {
+	if target.trialsScheduled > 0 {
 		return 1
 	}
-	return 4 - int32(2*router.caution+0.5)
+	return 4 - int32(2*router.wasteWeight+0.5)
 }
 
-// overdue reports whether target has tasks in flight and has been silent for too long.
+// overdue reports whether target has tasks in flight and has not answered for too long.
 func (router *Router) overdue(target *target, now int64) bool {
 	if target.inFlight == 0 {
 		return false
 	}
-	mean := target.mean
-	if mean == 0 {
-		mean = float64(defaultRunTime)
+	meanRunTime := target.meanRunTime
+	if meanRunTime == 0 {
+		meanRunTime = float64(defaultRunTime)
 	}
-	return float64(now-target.since) > overdueRatio*mean+float64(overdueFloor)
+	return float64(now-target.lastActivityAt) > overdueRatio*meanRunTime+float64(minOverdue)
 }
 
-// eject takes a healthy target out of the choice unless too many are out already, and reports whether it did.
+// eject ejects a healthy target unless too many are ejected already, and reports whether it did.
 func (router *Router) eject(target *target, state state, now int64) bool {
-	if router.config.DisableEjection || target.gone || target.leavingUntil != 0 || len(router.ejected) >= router.maxEjected() {
+	if router.config.DisableEjection || target.removed || target.leavingUntil != 0 || len(router.ejected) >= router.maxEjected() {
 		return false
 	}
 	target.state = state
 	router.ejected = append(router.ejected, target)
-	router.postpone(target, now)
-	router.place(target)
+	router.scheduleTrial(target, now)
+	router.reindex(target)
 	return true
 }
 
-// postpone sets the time of the next trial of an ejected target.
+// scheduleTrial sets the time of the next trial of an ejected target.
 //
-// A trial at risk costs messages, so the time grows with the weight of wasted messages.
-func (router *Router) postpone(target *target, now int64) {
-	wait := float64(firstTrial << min(target.trials, maxTrialShift))
-	target.trials++
-	target.trialAt = now + int64(wait*(0.5+3*router.caution))
+// A failed trial wastes messages, so the delay grows with the weight of wasted messages.
+func (router *Router) scheduleTrial(target *target, now int64) {
+	wait := float64(firstTrialDelay << min(target.trialsScheduled, maxTrialDoublings))
+	target.trialsScheduled++
+	target.trialAt = now + int64(wait*(0.5+3*router.wasteWeight))
 	router.trialAt = min(router.trialAt, target.trialAt)
 }
 
-// restore returns an ejected target to the choice.
+// restore ends the ejection of target, if it is ejected.
 func (router *Router) restore(target *target) {
 	if target.state == healthy {
 		return
 	}
 	target.state = healthy
-	target.streak = 0
+	target.consecutiveFailures = 0
 	i := slices.Index(router.ejected, target)
 	router.ejected = slices.Delete(router.ejected, i, i+1)
 }
@@ -97,20 +99,21 @@
 	var due *target
 	router.trialAt = never
 	for _, target := range router.ejected {
-		if target.trial {
+		if target.trialInFlight {
 			continue
 		}
 		if target.trialAt <= now && due == nil && router.trialReady(target, now) {
 			due = target
 			continue
 		}
-		// A due target without room waits, so that not every decision looks at it again.
-		target.trialAt = max(target.trialAt, now+int64(trialRetry))
+		// A due trial of a target without room is postponed, so that not every decision checks it again.
+		target.trialAt = max(target.trialAt, now+int64(trialRetryDelay))
 		router.trialAt = min(router.trialAt, target.trialAt)
 	}
 	return due
 }
 
+// trialReady reports whether target is not paused and has a free slot for a trial.
 func (router *Router) trialReady(target *target, now int64) bool {
-	return target.pausedUntil <= now && target.inFlight < router.limit(target)
+	return target.pausedUntil <= now && target.inFlight < router.inFlightLimit(target)
 }
--- a/router/learn.go
+++ b/router/learn.go
@@ -3,25 +3,28 @@
 import "time"
 
 const (
-	// learnRate is the weight of one run time in a mean; less follows a slowdown too late.
-	learnRate = 0.1
-	// failureRate is the weight of one result in the moving average of failures.
-	failureRate = 0.2
-	// borrowStep is the number of slots by which a finished task without a wait widens what may be borrowed.
+	// targetSmoothing is the weight of a new run time in the means of a target; a lower weight detects slowdowns
+	// too late.
+	targetSmoothing = 0.1
+	// failureSmoothing is the weight of a new result in the failure rate of a target.
+	failureSmoothing = 0.2
+	// borrowStep is the number of slots by which the borrow limit grows when a task that reached the in-flight limit
+	// finishes without having waited.
 	borrowStep = 1
-	// meanMemory is the weight of one run time in the mean of all tasks.
-	meanMemory = 0.005
-	// failureMemory is the weight of one result in the moving average of failures on all targets.
-	failureMemory = 0.02
-	// waitFloor is the wait below which a task counts as started at once; it covers the network.
-	waitFloor = 5 * time.Millisecond
-	// pauseStep is how long a target that refused a start gets no other one.
+	// meanRunTimeSmoothing is the weight of a new run time in the mean of all tasks.
+	meanRunTimeSmoothing = 0.005
+	// overallFailureSmoothing is the weight of a new result in the failure rate of all targets.
+	overallFailureSmoothing = 0.02
+	// minQueueWait is the longest wait that counts as none; it covers the network delay.
+	minQueueWait = 5 * time.Millisecond
+	// pauseStep is the base time for which a target gets no tasks after it refused a start; it doubles with each
+	// further refusal or failure in a row.
 	pauseStep = 50 * time.Millisecond
-	// maxPauseShift bounds the pause of a target that refuses repeatedly to 64 steps.
-	maxPauseShift = 6
+	// maxPauseDoublings bounds the pause to 64 times pauseStep.
+	maxPauseDoublings = 6
 )
 
-// Done takes back a choice with its result.
+// Done ends a choice and updates the router's statistics with its result.
 func (router *Router) Done(choice Choice, result Result, now time.Time) {
 	router.mu.Lock()
 	defer router.mu.Unlock()
@@ -29,110 +32,114 @@
 	target.inFlight--
 	router.inFlight--
 	if choice.trial {
-		target.trial = false
+		target.trialInFlight = false
 	}
 	switch result := result.(type) {
 	case Finished:
-		router.failures *= 1 - failureMemory
-		router.finish(choice, float64(result.runTime), nanos)
+		router.failureRate *= 1 - overallFailureSmoothing
+		router.recordFinished(choice, float64(result.runTime), nanos)
 	case NotStarted:
-		router.refuse(target, result, nanos)
+		router.recordNotStarted(target, result, nanos)
 	case Failed:
-		target.since = nanos
-		router.fail(target, choice.trial, nanos)
+		target.lastActivityAt = nanos
+		router.recordFailure(target, choice.trial, nanos)
 	case Lost:
-		router.fail(target, choice.trial, nanos)
+		router.recordFailure(target, choice.trial, nanos)
 	}
-	router.place(target)
+	router.reindex(target)
 }
 
-func (router *Router) finish(choice Choice, runTime float64, now int64) {
+// recordFinished updates the statistics with a finished task, and ejects its target or ends its ejection if they
+// call for it.
+func (router *Router) recordFinished(choice Choice, runTime float64, now int64) {
 	target := choice.target
 	elapsed := float64(now - choice.at)
 	if runTime <= 0 {
 		runTime = elapsed
 	}
-	router.learnSpeed(target, choice.kind, runTime)
-	router.learnQueue(target, choice.inFlight, elapsed-runTime, now)
-	target.since = now
-	target.streak = 0
-	target.failures *= 1 - failureRate
+	router.updateRunTimes(target, choice.kind, runTime)
+	router.updateQueueWait(target, choice.inFlight, elapsed-runTime, now)
+	target.lastActivityAt = now
+	target.consecutiveFailures = 0
+	target.failureRate *= 1 - failureSmoothing
 	switch {
 	case target.state == failing:
-		// Also an answer to an earlier task shows that the target thawed.
+		// The answer to a task from before the ejection also shows that the target has recovered.
 		router.restore(target)
 	case target.state == slow && choice.trial:
-		if runTime < returnRatio*router.kinds[choice.kind].mean {
-			target.factor, target.count = 1, 0
+		if runTime < slowReturnRatio*router.kinds[choice.kind].meanRunTime {
+			target.relativeRunTime, target.samples = 1, 0
 			router.restore(target)
 		} else {
-			router.postpone(target, now)
+			router.scheduleTrial(target, now)
 		}
-	case target.state == healthy && target.trials > 0 && target.failures < calmFailures:
-		target.trials = 0
-	case target.state == healthy && target.count >= minSlowCount && target.factor > slowRatio:
+	case target.state == healthy && target.trialsScheduled > 0 && target.failureRate < recoveredFailureRate:
+		target.trialsScheduled = 0
+	case target.state == healthy && target.samples >= minSlowSamples && target.relativeRunTime > slowEjectRatio:
 		router.eject(target, slow, now)
 	}
 }
 
-// learnSpeed moves the means of the kind, of the target and of the kind on the target.
-func (router *Router) learnSpeed(target *target, kindID int32, runTime float64) {
-	kind := &router.kinds[kindID]
-	kind.count = min(kind.count+1, 1000)
-	kind.mean += (runTime - kind.mean) / kind.count
-	router.mean += (runTime - router.mean) * meanMemory
-	target.count = min(target.count+1, 1/learnRate)
-	target.factor += (float32(runTime/kind.mean) - target.factor) / target.count
-	target.mean += (runTime - target.mean) / float64(target.count)
-	for int(kindID) >= len(target.cells) {
-		target.cells = append(target.cells, cell{})
+// updateRunTimes adds a run time to the means of the kind, of all tasks, of the target and of the kind on the target.
+func (router *Router) updateRunTimes(target *target, kindID int32, runTime float64) {
+	kindStats := &router.kinds[kindID]
+	kindStats.samples = min(kindStats.samples+1, 1000)
+	kindStats.meanRunTime += (runTime - kindStats.meanRunTime) / kindStats.samples
+	router.meanRunTime += (runTime - router.meanRunTime) * meanRunTimeSmoothing
+	target.samples = min(target.samples+1, 1/targetSmoothing)
+	target.relativeRunTime += (float32(runTime/kindStats.meanRunTime) - target.relativeRunTime) / target.samples
+	target.meanRunTime += (runTime - target.meanRunTime) / float64(target.samples)
+	for int(kindID) >= len(target.byKind) {
+		target.byKind = append(target.byKind, targetKindStats{})
 	}
-	cell := &target.cells[kindID]
-	cell.count = min(cell.count+1, 1/learnRate)
-	cell.mean += (float32(runTime) - cell.mean) / cell.count
+	targetKindStats := &target.byKind[kindID]
+	targetKindStats.samples = min(targetKindStats.samples+1, 1/targetSmoothing)
+	targetKindStats.meanRunTime += (float32(runTime) - targetKindStats.meanRunTime) / targetKindStats.samples
 }
 
-// learnQueue takes the wait for a slot as the queue that the next task will meet, and lends less of a
-// target on which tasks wait, because the slots beyond the share are then in use by their owners.
-func (router *Router) learnQueue(target *target, inFlight int32, wait float64, now int64) {
-	waited := wait > float64(waitFloor)
+// updateQueueWait updates the expected wait for a slot and the borrow limit of target. The limit shrinks when tasks
+// wait, because the slots beyond the share are then in use by the instances that own them.
+func (router *Router) updateQueueWait(target *target, inFlight int32, wait float64, now int64) {
+	waited := wait > float64(minQueueWait)
 	if !waited {
 		wait = 0
 	}
-	target.queue += (wait - target.queue) * 0.5
-	target.queueAt = now
-	room := float32(target.slots) - float32(target.share)
+	target.queueWait += (wait - target.queueWait) * 0.5
+	target.queueWaitAt = now
+	maxBorrow := float32(target.slots) - float32(target.share)
 	switch {
 	case waited:
-		target.extra = max(0, target.extra/2)
-	case inFlight >= router.limit(target):
-		target.extra = min(room, target.extra+borrowStep)
+		target.borrowLimit = max(0, target.borrowLimit/2)
+	case inFlight >= router.inFlightLimit(target):
+		target.borrowLimit = min(maxBorrow, target.borrowLimit+borrowStep)
 	}
 }
 
-// refuse notes a refused start; the pause keeps the next starts from being refused as well.
-func (router *Router) refuse(target *target, result NotStarted, now int64) {
+// recordNotStarted pauses a target that refused a start, so that the next starts are not refused as well, or marks it
+// as leaving.
+func (router *Router) recordNotStarted(target *target, result NotStarted, now int64) {
 	if result.leaving {
-		router.leave(target, now)
+		router.markLeaving(target, now)
 		return
 	}
-	target.streak++
-	shift := min(target.streak, maxPauseShift)
-	target.pausedUntil = now + int64(float64(pauseStep<<shift)*(0.5+router.caution))
-	target.extra = max(0, target.extra/2)
+	target.consecutiveFailures++
+	shift := min(target.consecutiveFailures, maxPauseDoublings)
+	target.pausedUntil = now + int64(float64(pauseStep<<shift)*(0.5+router.wasteWeight))
+	target.borrowLimit = max(0, target.borrowLimit/2)
 	if target.state != healthy {
-		router.postpone(target, now)
+		router.scheduleTrial(target, now)
 	}
 }
 
-func (router *Router) fail(target *target, trial bool, now int64) {
-	router.failures += (1 - router.failures) * failureMemory
-	target.streak++
-	target.failures += (1 - target.failures) * failureRate
+// recordFailure updates the statistics with a failure, and ejects the target or schedules its next trial.
+func (router *Router) recordFailure(target *target, trial bool, now int64) {
+	router.failureRate += (1 - router.failureRate) * overallFailureSmoothing
+	target.consecutiveFailures++
+	target.failureRate += (1 - target.failureRate) * failureSmoothing
 	switch {
-	case target.state == healthy && target.streak >= router.maxStreak(target) && float64(target.failures) > standOut*router.failures:
+	case target.state == healthy && target.consecutiveFailures >= router.ejectionThreshold(target) && float64(target.failureRate) > outlierRatio*router.failureRate:
 		router.eject(target, failing, now)
 	case target.state != healthy && trial:
-		router.postpone(target, now)
+		router.scheduleTrial(target, now)
 	}
 }
--- a/router/router.go
+++ b/router/router.go
@@ -8,25 +8,25 @@
 
 // Router chooses targets for the tasks of one service; it is safe for concurrent use.
 type Router struct {
-	config  Config
-	caution float64
+	config      Config
+	wasteWeight float64 // relative weight of wasted messages, 0 to 1
 
-	mu        sync.Mutex
-	random    *rand.PCG
-	targets   map[string]*target
-	snapshot  []*target // the targets in the order of the last snapshot, so that a seed gives the same choices
-	version   uint32    // number of the last snapshot
-	own       list      // targets with room within the share
-	lent      list      // targets with room beyond the share only
-	ejected   []*target
-	trialAt   int64 // earliest time at which a trial is due
-	turn      uint64
-	kinds     []kind
-	kindByID  map[string]int32
-	mean      float64 // run time of all kinds, nanoseconds
-	failures  float64 // moving average of failures on all targets, 0 to 1
-	available int32   // own slots on targets that may get work
-	inFlight  int
+	mu                sync.Mutex
+	random            *rand.PCG
+	targets           map[string]*target
+	snapshot          []*target  // targets in the order of the last snapshot, so that a seed gives the same choices
+	version           uint32     // number of the last snapshot
+	own               targetList // targets with free slots within the share
+	borrowable        targetList // targets with free slots only beyond the share
+	ejected           []*target
+	trialAt           int64 // earliest time at which a trial is due
+	roundRobinCounter uint64
+	kinds             []kindStats
+	kindIDs           map[string]int32
+	meanRunTime       float64 // run time of all kinds, nanoseconds
+	failureRate       float64 // moving average of failures on all targets, 0 to 1
+	availableShare    int32   // own slots on targets that may get tasks
+	inFlight          int
 }
 
 // New returns a router without targets.
@@ -38,20 +38,20 @@
 		config.Share = Share{high: 1}
 	}
 	return &Router{
-		config:   config,
-		caution:  caution(config.ResponseTimeWeight, config.WastedMessageWeight),
-		random:   rand.NewPCG(config.Seed, 0x9e3779b97f4a7c15),
-		targets:  make(map[string]*target),
-		kindByID: make(map[string]int32),
-		trialAt:  never,
-		mean:     float64(defaultRunTime),
+		config:      config,
+		wasteWeight: wasteWeight(config.ResponseTimeWeight, config.WastedMessageWeight),
+		random:      rand.NewPCG(config.Seed, 0x9e3779b97f4a7c15),
+		targets:     make(map[string]*target),
+		kindIDs:     make(map[string]int32),
+		trialAt:     never,
+		meanRunTime: float64(defaultRunTime),
 	}
 }
 
-// Update replaces the snapshot of targets; what was learned of targets that stay is kept.
+// Update replaces the snapshot of targets; the statistics of targets that stay are kept.
 //
-// A target that Leave named stays without new work for some time even if the
-// snapshot does not show it as leaving, because the snapshot's sources lag.
+// A target passed to MarkLeaving gets no new tasks for minLeavingTime even if
+// the snapshot does not show it as leaving, because the snapshot may be stale.
 func (router *Router) Update(targets []Target, now time.Time) {
 	router.mu.Lock()
 	defer router.mu.Unlock()
@@ -68,38 +68,38 @@
 		router.snapshot = append(router.snapshot, known)
 		known.version = router.version
 		known.Target = listed
-		known.share = router.config.Share.of(listed)
+		known.share = router.config.Share.slotsOf(listed)
 		if listed.leaving {
 			known.leavingUntil = never
-			router.restore(known) // an ejected target would get trials
+			router.restore(known) // otherwise an ejected target would get trials
 		} else if known.leavingUntil == never || known.leavingUntil <= nanos {
 			known.leavingUntil = 0
 		}
-		router.place(known)
+		router.reindex(known)
 	}
 	for _, known := range before {
 		if known.version != router.version {
-			known.gone = true
+			known.removed = true
 			router.restore(known)
-			router.place(known)
+			router.reindex(known)
 			delete(router.targets, known.name)
 		}
 	}
 	for len(router.ejected) > router.maxEjected() {
 		oldest := router.ejected[0]
 		router.restore(oldest)
-		router.place(oldest)
+		router.reindex(oldest)
 	}
 }
 
-// SetShare changes this instance's part of the slots, as a new view does.
+// SetShare changes this instance's share of the slots, as after a change of the view.
 func (router *Router) SetShare(share Share) {
 	router.mu.Lock()
 	defer router.mu.Unlock()
 	router.config.Share = share
 	for _, target := range router.snapshot {
-		target.share = share.of(target.Target)
-		router.place(target)
+		target.share = share.slotsOf(target.Target)
+		router.reindex(target)
 	}
 }
 
@@ -107,39 +107,41 @@
 func (router *Router) SetWeights(responseTime, wastedMessage float64) {
 	router.mu.Lock()
 	defer router.mu.Unlock()
-	router.caution = caution(responseTime, wastedMessage)
+	router.wasteWeight = wasteWeight(responseTime, wastedMessage)
 }
 
-func caution(responseTime, wastedMessage float64) float64 {
+// wasteWeight returns the weight of wasted messages relative to the sum of both weights, or 0.5 if both are 0.
+func wasteWeight(responseTime, wastedMessage float64) float64 {
 	if sum := responseTime + wastedMessage; sum > 0 {
 		return wastedMessage / sum
 	}
 	return 0.5
 }
 
-// MarkLeaving marks the target named name as leaving: it gets nothing new until a later snapshot clears it.
+// MarkLeaving marks the target named name as leaving. It gets no new tasks until an Update lists it as not leaving;
+// within minLeavingTime, only an Update after one that listed it as leaving counts.
 func (router *Router) MarkLeaving(name string, now time.Time) {
 	router.mu.Lock()
 	defer router.mu.Unlock()
 	if target, ok := router.targets[name]; ok {
-		router.leave(target, now.UnixNano())
+		router.markLeaving(target, now.UnixNano())
 	}
 }
 
-func (router *Router) leave(target *target, now int64) {
-	target.leavingUntil = max(target.leavingUntil, now+int64(leaveHold))
+func (router *Router) markLeaving(target *target, now int64) {
+	target.leavingUntil = max(target.leavingUntil, now+int64(minLeavingTime))
 	router.restore(target)
-	router.place(target)
+	router.reindex(target)
 }
 
-// InFlight returns how many choices have not come back to Done.
+// InFlight returns the number of choices that have not been passed to Done.
 func (router *Router) InFlight() int {
 	router.mu.Lock()
 	defer router.mu.Unlock()
 	return router.inFlight
 }
 
-// Ejected returns how many targets are ejected.
+// Ejected returns the number of ejected targets.
 func (router *Router) Ejected() int {
 	router.mu.Lock()
 	defer router.mu.Unlock()
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -10,11 +10,11 @@
 	"github.com/matryer/is"
 )
 
-// reference is a plain model of what a router must know: it looks at every target at every step.
+// reference is a simple model of the state of a router; it checks every target at every step.
 type reference struct {
 	targets  map[string]Target
-	leaving  map[string]time.Time // end of the time in which a snapshot doesn't clear a Leave
-	listed   map[string]bool      // the last snapshot showed the target as leaving
+	leaving  map[string]time.Time // time until which a snapshot does not revert MarkLeaving
+	listed   map[string]bool      // whether the last snapshot listed the target as leaving
 	inFlight map[*target]int
 }
 
@@ -36,7 +36,7 @@
 	}
 	for name := range reference.targets {
 		if _, ok := current[name]; !ok {
-			// A target of the same name that appears later is another one.
+			// A target that appears later under the same name is a different one.
 			delete(reference.leaving, name)
 			delete(reference.listed, name)
 		}
@@ -46,55 +46,55 @@
 
 func (reference *reference) leave(name string, now time.Time) {
 	if _, ok := reference.targets[name]; ok {
-		reference.leaving[name] = now.Add(leaveHold)
+		reference.leaving[name] = now.Add(minLeavingTime)
 	}
 }
 
-func (reference *reference) mayWork(name string) bool {
+func (reference *reference) isEligible(name string) bool {
 	_, present := reference.targets[name]
 	_, leaving := reference.leaving[name]
 	return present && !leaving && !reference.listed[name]
 }
 
-// sequence drives a router and the reference with the same random events.
+// sequence applies the same random operations to a router and to the reference model.
 type sequence struct {
 	*testing.T
-	random    *rand.Rand
-	router    *Router
-	reference *reference
-	now       time.Time
-	open      []Choice
-	picked    int
+	random      *rand.Rand
+	router      *Router
+	reference   *reference
+	now         time.Time
+	openChoices []Choice
+	picked      int
 }
 
-// candidates returns the targets that the rules allow for kindID, found without the index.
+// candidates returns the targets that may take a task of kindID, without using the router's lists.
 func (sequence *sequence) candidates(kindID int32) []*target {
 	router, nanos := sequence.router, sequence.now.UnixNano()
-	long := router.kinds[kindID].mean > router.mean
+	long := router.kinds[kindID].meanRunTime > router.meanRunTime
 	ownSlots := false
 	for name, target := range router.targets {
-		ownSlots = ownSlots || sequence.reference.mayWork(name) && target.state == healthy && target.share > 0
+		ownSlots = ownSlots || sequence.reference.isEligible(name) && target.state == healthy && target.share > 0
 	}
 	var candidates []*target
 	for name, target := range router.targets {
 		limit := target.share
 		if !router.config.DisableBorrowing && (!long || !ownSlots) {
-			limit += int32(target.extra)
+			limit += int32(target.borrowLimit)
 		}
-		if sequence.reference.mayWork(name) && target.state == healthy && target.inFlight < limit && target.pausedUntil <= nanos {
+		if sequence.reference.isEligible(name) && target.state == healthy && target.inFlight < limit && target.pausedUntil <= nanos {
 			candidates = append(candidates, target)
 		}
 	}
 	return candidates
 }
 
-// cheapest returns the candidates of least cost, and whether any candidate is silent for too long.
+// cheapest returns the candidates with the lowest cost, and whether any candidate is overdue.
 func (sequence *sequence) cheapest(candidates []*target, kindID int32) ([]*target, bool) {
 	var cheapest []*target
 	lowest, silent := 0.0, false
 	for _, candidate := range candidates {
 		silent = silent || sequence.router.overdue(candidate, sequence.now.UnixNano())
-		cost := completion(sequence.router, candidate, kindID, sequence.now.UnixNano())
+		cost := expectedCompletion(sequence.router, candidate, kindID, sequence.now.UnixNano())
 		if len(cheapest) == 0 || cost < lowest {
 			cheapest, lowest = nil, cost
 		}
@@ -118,29 +118,29 @@
 		sequence.Fatalf("no target was picked, %d have room", len(candidates))
 	case !ok:
 		return
-	case !sequence.reference.mayWork(choice.Name()):
-		sequence.Fatalf("%s was picked and is leaving or gone", choice.Name())
+	case !sequence.reference.isEligible(choice.Name()):
+		sequence.Fatalf("%s was picked, but is leaving or removed", choice.Name())
 	case choice.trial && !slices.Contains(ejected, choice.target):
-		sequence.Fatalf("%s was picked for a trial and was not ejected", choice.Name())
+		sequence.Fatalf("%s was picked for a trial, but was not ejected", choice.Name())
 	case !choice.trial && !slices.Contains(candidates, choice.target):
-		sequence.Fatalf("%s was picked and is ejected or has no room", choice.Name())
+		sequence.Fatalf("%s was picked, but is ejected or has no room", choice.Name())
 	case least && !choice.trial && !silent && !slices.Contains(cheapest, choice.target):
-		sequence.Fatalf("%s was picked and is not the one with the least expected completion", choice.Name())
+		sequence.Fatalf("%s was picked, but does not have the least expected completion", choice.Name())
 	}
 	sequence.reference.inFlight[choice.target]++
-	sequence.open = append(sequence.open, choice)
+	sequence.openChoices = append(sequence.openChoices, choice)
 	sequence.picked++
 }
 
 func (sequence *sequence) done() {
-	if len(sequence.open) == 0 {
+	if len(sequence.openChoices) == 0 {
 		return
 	}
-	i := sequence.random.IntN(len(sequence.open))
-	choice := sequence.open[i]
-	sequence.open = slices.Delete(sequence.open, i, i+1)
+	i := sequence.random.IntN(len(sequence.openChoices))
+	choice := sequence.openChoices[i]
+	sequence.openChoices = slices.Delete(sequence.openChoices, i, i+1)
 	var result Result = NewFinished(time.Duration(sequence.random.IntN(400)) * time.Millisecond)
-	// Some targets fail, freeze, lag or are full most of the time, so that ejections and returns occur.
+	// Some targets fail, do not answer, refuse or are slow most of the time, so that ejections and returns occur.
 	if class := int(choice.target.name[len(choice.target.name)-1] - '0'); class < 4 && sequence.random.IntN(10) > 0 {
 		result = []Result{Failed{}, Lost{}, NewNotStarted(false), NewFinished(5 * time.Second)}[class]
 	}
@@ -171,13 +171,13 @@
 	sequence.reference.leave(name, sequence.now)
 }
 
-// check compares counts and indexes with the reference.
+// check compares the counts and lists of the router with the reference model.
 func (sequence *sequence) check() {
 	router := sequence.router
 	if limit := len(sequence.reference.targets) * 3 / 10; len(router.ejected) > limit {
 		sequence.Fatalf("%d targets are ejected, at most %d may be", len(router.ejected), limit)
 	}
-	var available int32
+	var availableShare int32
 	for name, target := range router.targets {
 		if int(target.inFlight) != sequence.reference.inFlight[target] || target.inFlight < 0 {
 			sequence.Fatalf("%s has %d tasks in flight, want %d", name, target.inFlight, sequence.reference.inFlight[target])
@@ -185,20 +185,20 @@
 		if router.config.DisableBorrowing && target.inFlight > target.share || int(target.inFlight) > target.slots {
 			sequence.Fatalf("%s has %d tasks in flight, its share is %d of %d slots", name, target.inFlight, target.share, target.slots)
 		}
-		if up := sequence.reference.mayWork(name) && target.state == healthy; up {
-			available += target.share
-			if room := target.inFlight < router.limit(target); room != (target.list != nil) {
-				sequence.Fatalf("%s has room: %v, the index says %v", name, room, !room)
+		if up := sequence.reference.isEligible(name) && target.state == healthy; up {
+			availableShare += target.share
+			if room := target.inFlight < router.inFlightLimit(target); room != (target.targetList != nil) {
+				sequence.Fatalf("%s has room: %v, the lists say %v", name, room, !room)
 			}
 		}
 	}
-	if router.available != available || router.InFlight() != len(sequence.open) {
-		sequence.Fatalf("available %d, want %d; in flight %d, want %d", router.available, available, router.InFlight(), len(sequence.open))
+	if router.availableShare != availableShare || router.InFlight() != len(sequence.openChoices) {
+		sequence.Fatalf("available %d, want %d; in flight %d, want %d", router.availableShare, availableShare, router.InFlight(), len(sequence.openChoices))
 	}
 }
 
-// Guards against work for leaving or ejected targets, too many ejections, wrong counts, overdrawn shares and a
-// choice that differs from a scan of all targets.
+// Guards against tasks for leaving or ejected targets, too many ejections, wrong counts, exceeded shares, and a
+// choice that differs from that of a scan of all targets.
 func TestRandomSequences(t *testing.T) {
 	share := NewShare([]float64{2, 1, 1}, 0)
 	for _, config := range []Config{
@@ -237,13 +237,13 @@
 				ejected = max(ejected, sequence.router.Ejected())
 			}
 			if sequence.picked < 2500 || (ejected > 0) == config.DisableEjection {
-				t.Fatalf("seed %d: %d picks and %d ejected at once do not test the rules", seed, sequence.picked, ejected)
+				t.Fatalf("seed %d: %d picks and up to %d ejected targets are too few or too many to test the rules", seed, sequence.picked, ejected)
 			}
 		}
 	}
 }
 
-// Guards against shares of the instances that overlap or leave slots unused.
+// Guards against shares of instances that overlap or leave slots unused.
 func TestSharesAddUp(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 1))
@@ -255,7 +255,7 @@
 		target := NewTarget(fmt.Sprint("runner-", random.IntN(1000)), "address", 1+random.IntN(64), false)
 		var sum int32
 		for i := range weights {
-			share := NewShare(weights, i).of(target)
+			share := NewShare(weights, i).slotsOf(target)
 			is.True(share >= 0)
 			sum += share
 		}
@@ -263,17 +263,17 @@
 	}
 }
 
-// behaviour is how one target answers in play.
-type behaviour struct {
+// faultBehavior is the behavior of the faulty target in simulateFault.
+type faultBehavior struct {
 	name   string
 	delay  time.Duration
 	result Result
 }
 
-// play runs a load that leaves two of all slots free for three minutes, with one target that behaves differently in the
-// first half minute, and returns the parts of the starts that it got during and after that and the largest number
-// of ejected targets.
-func play(config Config, odd behaviour, others int) (first, second float64, ejected int) {
+// simulateFault runs a load that leaves two slots free for three minutes, with one target that is faulty in the first
+// half minute. It returns the fractions of all starts that this target got during and after the fault, and the
+// largest number of ejected targets.
+func simulateFault(config Config, faulty faultBehavior, others int) (duringFault, afterFault float64, maxEjected int) {
 	const step, fault, length = 5 * time.Millisecond, 30 * time.Second, 3 * time.Minute
 	router := New(config)
 	begin := time.Unix(1000, 0)
@@ -284,7 +284,7 @@
 		result Result
 	}
 	var open []pending
-	var odds, all [2]float64
+	var faultyStarts, allStarts [2]float64
 	for now := begin; now.Before(begin.Add(length)); now = now.Add(step) {
 		open = slices.DeleteFunc(open, func(pending pending) bool {
 			if now.Before(pending.end) {
@@ -293,48 +293,48 @@
 			router.Done(pending.choice, pending.result, now)
 			return true
 		})
-		half := min(1, int(now.Sub(begin)/fault))
+		phase := min(1, int(now.Sub(begin)/fault))
 		for len(open) < 4*others+2 {
 			choice, ok := router.Pick("check", now)
 			if !ok {
 				break
 			}
-			all[half]++
+			allStarts[phase]++
 			delay, result := 100*time.Millisecond, Result(NewFinished(100*time.Millisecond))
 			if choice.Name() == "runner-00000" {
-				odds[half]++
-				if half == 0 {
-					delay, result = odd.delay, odd.result
+				faultyStarts[phase]++
+				if phase == 0 {
+					delay, result = faulty.delay, faulty.result
 				}
 			}
 			open = append(open, pending{choice: choice, end: now.Add(delay), result: result})
 		}
-		ejected = max(ejected, router.Ejected())
+		maxEjected = max(maxEjected, router.Ejected())
 	}
-	return odds[0] / all[0], odds[1] / all[1], ejected
+	return faultyStarts[0] / allStarts[0], faultyStarts[1] / allStarts[1], maxEjected
 }
 
-// Guards against targets that attract work by failing fast, that keep work by freezing or lagging, or that
-// never come back after the fault.
+// Guards against targets that attract tasks by failing fast, that hold tasks by not answering or being slow, or that
+// stay ejected after the fault.
 func TestOutliersGetLessAndReturn(t *testing.T) {
 	is := is.New(t)
-	for _, odd := range []behaviour{
+	for _, fault := range []faultBehavior{
 		{"fails at once", time.Millisecond, Failed{}},
-		{"freezes", 8 * time.Second, Lost{}},
+		{"does not answer", 8 * time.Second, Lost{}},
 		{"refuses", time.Millisecond, NewNotStarted(false)},
-		{"lags", 900 * time.Millisecond, NewFinished(900 * time.Millisecond)},
+		{"is slow", 900 * time.Millisecond, NewFinished(900 * time.Millisecond)},
 	} {
 		for _, policy := range []Policy{LeastExpectedCompletion{}, RoundRobin{}, LeastInFlight{}, PowerOfTwoChoices{}, Random{}} {
-			first, second, ejected := play(Config{Seed: 1, Policy: policy}, odd, 9)
-			t.Logf("%T, %s: %.4f of the starts, then %.4f", policy, odd.name, first, second)
-			is.True(first < 0.01)  // with a fault, a tenth of the even part at most
-			is.True(second > 0.02) // it gets work again after the fault
-			is.True(ejected <= 1)  // no healthy target is ejected
+			duringFault, afterFault, maxEjected := simulateFault(Config{Seed: 1, Policy: policy}, fault, 9)
+			t.Logf("%T, %s: %.4f of the starts, then %.4f", policy, fault.name, duringFault, afterFault)
+			is.True(duringFault < 0.01) // at most a tenth of an even fraction
+			is.True(afterFault > 0.02)  // the target gets tasks again
+			is.True(maxEjected <= 1)    // no healthy target is ejected
 		}
 	}
 }
 
-// Guards against an instance that ejects its targets because the tasks themselves are bad.
+// Guards against an instance that ejects its targets although the tasks themselves are at fault.
 func TestBadKindEjectsFew(t *testing.T) {
 	is := is.New(t)
 	router, now := New(Config{Seed: 1}), time.Unix(1000, 0)
@@ -349,11 +349,11 @@
 	now = now.Add(time.Hour)
 	for range 20 * 4 {
 		_, ok := router.Pick("good", now)
-		is.True(ok) // every slot can be used
+		is.True(ok) // every slot can still be used
 	}
 }
 
-// Guards against the ejection of too many targets when one after the other fails.
+// Guards against the ejection of too many targets when they fail one after the other.
 func TestEjectionBound(t *testing.T) {
 	is := is.New(t)
 	router, now := New(Config{Policy: RoundRobin{}}), time.Unix(1000, 0)
--- a/router/target.go
+++ b/router/target.go
@@ -6,83 +6,84 @@
 )
 
 const (
-	// never is a time that does not come.
+	// never is a time that is never reached.
 	never = math.MaxInt64
-	// leaveHold outlasts the lag of 5 s of the instance list, which may show a leaving target as live.
-	leaveHold = 10 * time.Second
-	// defaultRunTime stands for the run time of a kind of which no task has finished.
+	// minLeavingTime exceeds the lag of the instance list, which shows a leaving target as live for up to 5 s.
+	minLeavingTime = 10 * time.Second
+	// defaultRunTime is assumed for kinds and targets of which no task has finished.
 	defaultRunTime = 200 * time.Millisecond
 )
 
-// state is a target's standing with the router.
+// state is the health of a target as seen by the router.
 type state uint8
 
 const (
 	healthy state = iota
-	// slow targets were ejected because their run times stand out.
+	// slow targets were ejected because of their long run times.
 	slow
-	// failing targets were ejected because of failures or silence.
+	// failing targets were ejected because of failures or missing answers.
 	failing
 )
 
-// cell is what is known of one kind on one target.
-type cell struct {
-	mean  float32 // nanoseconds
-	count float32
+// targetKindStats holds the statistics of one kind on one target.
+type targetKindStats struct {
+	meanRunTime float32 // nanoseconds
+	samples     float32
 }
 
-// kind is what is known of one kind on all targets.
-type kind struct {
-	mean  float64 // nanoseconds
-	count float64
+// kindStats holds the statistics of one kind on all targets.
+type kindStats struct {
+	meanRunTime float64 // nanoseconds
+	samples     float64
 }
 
-// target is the state that a router keeps of one target.
+// target is the router's state of one target.
 type target struct {
 	Target
-	list      *list // the list that the target is on, nil if it has no room
-	listAt    int32 // position on the list
-	inFlight  int32
-	share     int32
-	available int32   // share while the target may get work, else 0
-	extra     float32 // slots beyond the share that may be borrowed
-	version   uint32  // last snapshot that shows the target
-	state     state
-	gone      bool
-	trial     bool // a trial is in flight
-
-	factor   float32 // run time relative to the means of its kinds
-	count    float32 // number of run times seen, up to a bound
-	mean     float64 // run time of any kind, nanoseconds
-	queue    float64 // assumed wait for a slot behind the tasks of all instances, nanoseconds
-	queueAt  int64
-	failures float32 // moving average of failures, 0 to 1
-	streak   int32   // failures since the last success
-
-	since        int64 // last sign of life while tasks are in flight
-	pickedAt     int64
-	pausedUntil  int64
-	leavingUntil int64
-	trialAt      int64
-	trials       int32 // ejections in a row, which spread out the trials
-	cells        []cell
+	targetList     *targetList // the list that the target is on, nil if it has no room
+	listIndex      int32       // position on the list
+	inFlight       int32
+	share          int32
+	availableShare int32   // share while the target may get tasks, else 0
+	borrowLimit    float32 // slots beyond the share that may be borrowed; negative until reindex initializes it
+	version        uint32  // number of the last snapshot that lists the target
+	state          state
+	removed        bool
+	trialInFlight  bool
+
+	relativeRunTime     float32 // mean run time relative to the means of the kinds
+	samples             float32 // number of run times in the means, at most 1/targetSmoothing
+	meanRunTime         float64 // mean run time of all kinds, nanoseconds
+	queueWait           float64 // moving average of the wait for a slot behind the tasks of all instances, nanoseconds
+	queueWaitAt         int64
+	failureRate         float32 // moving average of failures, 0 to 1
+	consecutiveFailures int32   // failures and refusals since the last success
+
+	lastActivityAt  int64 // last answer, or the pick that ended an idle time
+	pickedAt        int64
+	pausedUntil     int64
+	leavingUntil    int64
+	trialAt         int64
+	trialsScheduled int32 // trials scheduled since the target last counted as recovered; sets the delay of the next one
+	byKind          []targetKindStats
 }
 
-func newTarget() *target { return &target{factor: 1, extra: -1} }
+func newTarget() *target { return &target{relativeRunTime: 1, borrowLimit: -1} }
 
-// age makes the next run times count as much as all those before, because the target may have changed.
-func (target *target) age() {
-	target.count = min(target.count, 1)
-	for i := range target.cells {
-		target.cells[i].count = min(target.cells[i].count, 1)
+// discountHistory reduces the weight of all earlier run times to that of one, because the target may have changed.
+func (target *target) discountHistory() {
+	target.samples = min(target.samples, 1)
+	for i := range target.byKind {
+		target.byKind[i].samples = min(target.byKind[i].samples, 1)
 	}
 }
 
-// of returns the share of target's slots, at least 0 and at most all of them.
+// slotsOf returns the number of target's slots that belong to the share.
 //
-// The offset by the hash of the name rounds up for another instance at each
-// target, and the shares of all instances add up to the slots.
-func (share Share) of(target Target) int32 {
+// The offset by the hash of the target's name varies which instances get the
+// fractions of slots, while the shares of all instances still add up to the
+// slots of the target.
+func (share Share) slotsOf(target Target) int32 {
 	hash := uint32(2166136261)
 	for i := range len(target.name) {
 		hash = (hash ^ uint32(target.name[i])) * 16777619
@@ -92,71 +93,72 @@
 	return int32(math.Floor(share.high*slots+offset) - math.Floor(share.low*slots+offset))
 }
 
-// limit returns how many tasks this instance may have in flight on target.
-func (router *Router) limit(target *target) int32 {
+// inFlightLimit returns the number of tasks that this instance may have in flight on target.
+func (router *Router) inFlightLimit(target *target) int32 {
 	if router.config.DisableBorrowing {
 		return target.share
 	}
-	return target.share + int32(max(0, target.extra))
+	return target.share + int32(max(0, target.borrowLimit))
 }
 
-// place puts target on the list of those with own slots or slots to borrow, or on none if it may get no work.
-func (router *Router) place(target *target) {
-	if target.extra < 0 || target.extra > float32(target.slots)-float32(target.share) {
-		// All slots may be borrowed until waits show that other instances use them.
-		target.extra = float32(target.slots) - float32(target.share)
+// reindex moves target to the list of targets with free own slots or with slots to borrow, or removes it from both
+// if it has no room or may get no tasks.
+func (router *Router) reindex(target *target) {
+	if target.borrowLimit < 0 || target.borrowLimit > float32(target.slots)-float32(target.share) {
+		// All slots beyond the share may be borrowed until waits show that other instances use them.
+		target.borrowLimit = float32(target.slots) - float32(target.share)
 	}
-	up := !target.gone && target.leavingUntil == 0 && target.state == healthy
-	router.available -= target.available
-	target.available = 0
-	if up {
-		target.available = target.share
+	eligible := !target.removed && target.leavingUntil == 0 && target.state == healthy
+	router.availableShare -= target.availableShare
+	target.availableShare = 0
+	if eligible {
+		target.availableShare = target.share
 	}
-	router.available += target.available
+	router.availableShare += target.availableShare
 	switch {
-	case up && target.inFlight < target.share:
-		router.own.take(target)
-	case up && target.inFlight < router.limit(target):
-		router.lent.take(target)
-	case target.list != nil:
-		target.list.remove(target)
+	case eligible && target.inFlight < target.share:
+		router.own.add(target)
+	case eligible && target.inFlight < router.inFlightLimit(target):
+		router.borrowable.add(target)
+	case target.targetList != nil:
+		target.targetList.remove(target)
 	}
 }
 
-// list holds targets in no order; a target is on one list at most.
-type list struct{ targets []*target }
+// targetList holds targets in no particular order; a target is on at most one list.
+type targetList struct{ targets []*target }
 
-// take moves target to the list.
-func (list *list) take(target *target) {
-	if target.list == list {
+// add moves target to the list from the one that it is on, if any.
+func (targetList *targetList) add(target *target) {
+	if target.targetList == targetList {
 		return
 	}
-	if target.list != nil {
-		target.list.remove(target)
+	if target.targetList != nil {
+		target.targetList.remove(target)
 	}
-	target.list = list
-	target.listAt = int32(len(list.targets))
-	list.targets = append(list.targets, target)
+	target.targetList = targetList
+	target.listIndex = int32(len(targetList.targets))
+	targetList.targets = append(targetList.targets, target)
 }
 
-func (list *list) remove(target *target) {
-	last := list.targets[len(list.targets)-1]
-	list.targets[target.listAt] = last
-	last.listAt = target.listAt
-	list.targets = list.targets[:len(list.targets)-1]
-	target.list = nil
+func (targetList *targetList) remove(target *target) {
+	last := targetList.targets[len(targetList.targets)-1]
+	targetList.targets[target.listIndex] = last
+	last.listIndex = target.listIndex
+	targetList.targets = targetList.targets[:len(targetList.targets)-1]
+	target.targetList = nil
 }
 
-// estimate returns the expected run time of a task on target in nanoseconds.
-func (router *Router) estimate(target *target, kindID int32) float64 {
-	if int(kindID) < len(target.cells) {
-		if cell := target.cells[kindID]; cell.count >= minCount {
-			return float64(cell.mean)
+// expectedRunTime returns the expected run time of a task on target in nanoseconds.
+func (router *Router) expectedRunTime(target *target, kindID int32) float64 {
+	if int(kindID) < len(target.byKind) {
+		if targetKindStats := target.byKind[kindID]; targetKindStats.samples >= minSamples {
+			return float64(targetKindStats.meanRunTime)
 		}
 	}
-	factor := float64(target.factor)
-	if target.count < minCount {
-		factor *= untriedFactor
+	relativeRunTime := float64(target.relativeRunTime)
+	if target.samples < minSamples {
+		relativeRunTime *= explorationFactor
 	}
-	return router.kinds[kindID].mean * factor
+	return router.kinds[kindID].meanRunTime * relativeRunTime
 }
--- a/router/unused.go
+++ b/router/unused.go
@@ -1,6 +1,6 @@
 package router
 
-// Unused means that the choice was not used, so that nothing is learned about the target.
+// Unused means that no task was sent for the choice, so that the router's statistics stay as they are.
 type Unused struct{}
 
 func (Unused) isResult() {}
