--- a/placer/placer.go
+++ b/placer/placer.go
@@ -16,7 +16,7 @@
 	total Size
 }
 
-// NewWorker returns a worker named name in rack with the given total size.
+// NewWorker returns a worker named name in the given rack with the given total size.
 func NewWorker(name, rack string, total Size) Worker {
 	return Worker{name: name, rack: rack, total: total}
 }
@@ -27,40 +27,40 @@
 // Rack returns the rack that the worker is in.
 func (worker Worker) Rack() string { return worker.rack }
 
-// Total returns the worker's size.
+// Total returns the worker's total size.
 func (worker Worker) Total() Size { return worker.total }
 
-// Decision is the answer to a request for a place: Placed, Full or Impossible.
-type Decision interface{ isVerdict() }
+// Decision is the result of Place: Placed, Full or Impossible.
+type Decision interface{ isDecision() }
 
-// Placed means that room was reserved on a worker.
+// Placed means that the size was reserved on a worker; it must be passed to Release.
 type Placed struct {
 	worker  Worker
 	granted Size
 	id      uint64
 }
 
-// Full means that the task fits on a worker, but on none at this time.
+// Full means that the task fits on some worker, but none has room for it now.
 type Full struct{}
 
-// Impossible means that no worker, even an idle one, is large enough.
+// Impossible means that the task is larger than every worker.
 type Impossible struct{ largest Size }
 
-func (Placed) isVerdict()     {}
-func (Full) isVerdict()       {}
-func (Impossible) isVerdict() {}
+func (Placed) isDecision()     {}
+func (Full) isDecision()       {}
+func (Impossible) isDecision() {}
 
 // Worker returns the chosen worker.
 func (placed Placed) Worker() Worker { return placed.worker }
 
-// Granted returns the size to ask for in the lease.
+// Granted returns the size to request in the lease.
 func (placed Placed) Granted() Size { return placed.granted }
 
-// Largest returns the largest size on offer in each dimension.
+// Largest returns the largest size of any worker, separately for each dimension.
 func (impossible Impossible) Largest() Size { return impossible.largest }
 
-// Result is how a placed task ended: Done, Guarded or Unstarted.
-type Result interface{ isEnding() }
+// Result is how a placed task ended: Done, SizeExceeded, Failed or NotStarted.
+type Result interface{ isResult() }
 
 // Done means that the task ended on its own, with the peak usage that the worker reported.
 type Done struct{ peak Size }
@@ -68,46 +68,49 @@
 // SizeExceeded means that the worker throttled, checkpointed or stopped the task for exceeding its size.
 type SizeExceeded struct{ peak Size }
 
-// Failed means that the task failed on its worker for another reason than its size.
+// Failed means that the task failed on its worker for a reason other than its size.
 type Failed struct{}
 
-// NotStarted means that the task gave no information on its size or its worker.
+// NotStarted means that the task did not run, so that it says nothing about its size or its worker.
 type NotStarted struct{}
 
-func (Done) isEnding()         {}
-func (SizeExceeded) isEnding() {}
-func (Failed) isEnding()       {}
-func (NotStarted) isEnding()   {}
+func (Done) isResult()         {}
+func (SizeExceeded) isResult() {}
+func (Failed) isResult()       {}
+func (NotStarted) isResult()   {}
 
-// NewDone returns an ending with the given peak usage.
+// NewDone returns the result of a task that ended on its own with the given peak usage.
 func NewDone(peak Size) Done { return Done{peak: peak} }
 
-// NewSizeExceeded returns an ending by the guard with the given peak usage.
+// NewSizeExceeded returns the result of a task that exceeded its size with the given peak usage.
 func NewSizeExceeded(peak Size) SizeExceeded { return SizeExceeded{peak: peak} }
 
-// seat is the placer's account of one worker.
-type seat struct {
+// workerState is the placer's state of one worker.
+type workerState struct {
 	Worker
 	reserved Size
-	// foreign is the usage of other instances' tasks, as last reported, until foreignEnd.
-	foreign    Size
-	foreignEnd time.Time
-	// closedEnd is when the worker gets tasks again; failures counts those in a row.
-	closedEnd time.Time
-	failures  int
+	// otherUsage is the last reported usage by tasks of other instances; it is valid until otherUsageUntil.
+	otherUsage      Size
+	otherUsageUntil time.Time
+	// suspendedUntil is the time from which the worker gets tasks again.
+	suspendedUntil      time.Time
+	consecutiveFailures int
 }
 
-func (seat *seat) room(now time.Time) Size {
-	room := seat.total.subtract(seat.reserved)
-	if now.Before(seat.foreignEnd) {
-		room = room.subtract(seat.foreign)
+// free returns the size that is neither reserved nor known to be used by other instances.
+func (workerState *workerState) free(now time.Time) Size {
+	free := workerState.total.subtract(workerState.reserved)
+	if now.Before(workerState.otherUsageUntil) {
+		free = free.subtract(workerState.otherUsage)
 	}
-	return room
+	return free
 }
 
-func (seat *seat) closed(now time.Time) bool { return now.Before(seat.closedEnd) }
+func (workerState *workerState) suspended(now time.Time) bool {
+	return now.Before(workerState.suspendedUntil)
+}
 
-// reservation is room held for one task.
+// reservation is the size reserved on a worker for one task.
 type reservation struct {
 	worker  string
 	kind    string
@@ -117,28 +120,29 @@
 // Placer places tasks on the workers of one service; it is safe for concurrent use.
 type Placer struct {
 	mu           sync.Mutex
-	seats        []*seat
-	byName       map[string]*seat
+	states       []*workerState // by rack and name of the worker
+	byName       map[string]*workerState
 	estimates    map[string]*sizeEstimate
 	reservations map[uint64]reservation
 	lastID       uint64
-	largest      Size
-	lastRacks    map[string]string
-	racks        map[string]span
+	largest      Size                   // of any worker, separately for each dimension
+	lastRacks    map[string]string      // by kind
+	racks        map[string]workerRange // by name of the rack
 	random       *rand.Rand
 }
 
-// span is the range of a rack's workers in the sorted list.
-type span struct{ low, high int }
+// workerRange is the range of a rack's workers in Placer.states.
+type workerRange struct{ begin, end int }
 
-// sampleSize is the number of workers looked at for one task; on 2,000 workers a full scan took 23 microseconds.
+// sampleSize is the number of random workers compared for one task; a full scan of 2,000 workers took 23
+// microseconds.
 const sampleSize = 8
 
 // New returns a placer without workers that draws its samples from random.
 func New(random *rand.Rand) *Placer {
 	return &Placer{
 		random:       random,
-		byName:       make(map[string]*seat),
+		byName:       make(map[string]*workerState),
 		estimates:    make(map[string]*sizeEstimate),
 		lastRacks:    make(map[string]string),
 		reservations: make(map[uint64]reservation),
@@ -150,65 +154,65 @@
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
 	old := placer.byName
-	placer.byName = make(map[string]*seat, len(workers))
-	placer.seats = placer.seats[:0]
+	placer.byName = make(map[string]*workerState, len(workers))
+	placer.states = placer.states[:0]
 	placer.largest = Size{}
 	for _, worker := range workers {
-		entry := &seat{Worker: worker}
+		state := &workerState{Worker: worker}
 		if previous := old[worker.name]; previous != nil {
-			*entry = *previous
-			entry.Worker = worker
+			*state = *previous
+			state.Worker = worker
 		}
-		placer.byName[worker.name] = entry
-		placer.seats = append(placer.seats, entry)
+		placer.byName[worker.name] = state
+		placer.states = append(placer.states, state)
 		placer.largest = placer.largest.Maximum(worker.total)
 	}
-	// Racks stay together so that a job fills one rack before the next.
-	slices.SortFunc(placer.seats, func(a, b *seat) int {
+	// Sorting by rack makes the workers of a rack a contiguous range, so that a job can fill one rack before the next.
+	slices.SortFunc(placer.states, func(a, b *workerState) int {
 		return cmp.Or(strings.Compare(a.rack, b.rack), strings.Compare(a.name, b.name))
 	})
-	placer.racks = make(map[string]span)
-	for i, seat := range placer.seats {
-		rack, ok := placer.racks[seat.rack]
+	placer.racks = make(map[string]workerRange)
+	for i, workerState := range placer.states {
+		rack, ok := placer.racks[workerState.rack]
 		if !ok {
-			rack.low = i
+			rack.begin = i
 		}
-		rack.high = i + 1
-		placer.racks[seat.rack] = rack
+		rack.end = i + 1
+		placer.racks[workerState.rack] = rack
 	}
 }
 
-// ReportUsage takes a worker's usage, which holds until end; usage beyond the own reservations is held to be other
-// instances'. Later than end it would describe tasks that have long ended.
-func (placer *Placer) ReportUsage(worker string, used Size, end time.Time) {
+// ReportUsage records the usage that a worker reported. Usage beyond this instance's reservations is attributed to
+// other instances and kept free until the given time, after which the tasks that caused it have probably ended.
+func (placer *Placer) ReportUsage(worker string, used Size, until time.Time) {
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
-	if entry := placer.byName[worker]; entry != nil {
-		entry.foreign, entry.foreignEnd = used.subtract(entry.reserved).Maximum(Size{}), end
+	if state := placer.byName[worker]; state != nil {
+		state.otherUsage, state.otherUsageUntil = used.subtract(state.reserved).Maximum(Size{}), until
 	}
 }
 
-// Suspend keeps new tasks from a worker until end.
-func (placer *Placer) Suspend(worker string, end time.Time) {
+// Suspend keeps new tasks off a worker until the given time.
+func (placer *Placer) Suspend(worker string, until time.Time) {
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
-	if entry := placer.byName[worker]; entry != nil {
-		entry.closedEnd = end
+	if state := placer.byName[worker]; state != nil {
+		state.suspendedUntil = until
 	}
 }
 
-// Place reserves room for one task of kind; nearRack, if not empty, is preferred, because a job whose tasks
-// share a rack is lost to the failure of fewer racks.
+// Place reserves room for one task of kind. It prefers nearRack, if not empty, because a job whose tasks share a rack
+// is affected by the failure of fewer racks.
 func (placer *Placer) Place(kind string, declared Size, nearRack string, now time.Time) Decision {
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
 	request := placer.estimate(kind).request(declared)
 	if declared.Fits(placer.largest) {
-		// What was learned beyond the largest worker cannot be had; the guard decides about such a task.
+		// The estimate may exceed the largest worker. Such a task still runs there, and the worker enforces its size.
 		request = request.minimum(placer.largest)
 	}
-	best := placer.choose(request, nearRack, now)
-	if best == nil && !placer.fitsIdle(request) {
+	best := placer.chooseWorker(request, nearRack, now)
+	if best == nil && !placer.fitsAnyWorker(request) {
 		return Impossible{largest: placer.largest}
 	}
 	if best == nil {
@@ -228,57 +232,60 @@
 	return placer.lastRacks[kind]
 }
 
-// FitsAnyWorker reports whether a task of the declared size fits on any worker that is idle.
+// FitsAnyWorker reports whether a task of the declared size fits on any worker when that is idle.
 func (placer *Placer) FitsAnyWorker(declared Size) bool {
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
-	return placer.fitsIdle(declared)
+	return placer.fitsAnyWorker(declared)
 }
 
-func (placer *Placer) fitsIdle(request Size) bool {
-	return slices.ContainsFunc(placer.seats, func(seat *seat) bool { return request.Fits(seat.total) })
+func (placer *Placer) fitsAnyWorker(request Size) bool {
+	return slices.ContainsFunc(placer.states, func(workerState *workerState) bool { return request.Fits(workerState.total) })
 }
 
-// choose returns an open worker that has room, or nil. It looks at the near rack first, then at a sample, and
-// at all workers only if neither has room.
-func (placer *Placer) choose(request Size, nearRack string, now time.Time) *seat {
+// chooseWorker returns a worker that has room and is not suspended, or nil. It checks the near rack first, then a
+// random sample, and all workers only if neither has room.
+func (placer *Placer) chooseWorker(request Size, nearRack string, now time.Time) *workerState {
 	near := placer.racks[nearRack]
-	best := freest(nil, placer.seats[near.low:near.high], request, now)
+	best := leastLoaded(nil, placer.states[near.begin:near.end], request, now)
 	if best != nil {
 		return best
 	}
-	if len(placer.seats) > sampleSize {
+	if len(placer.states) > sampleSize {
 		for range sampleSize {
-			i := placer.random.IntN(len(placer.seats))
-			best = freest(best, placer.seats[i:i+1], request, now)
+			i := placer.random.IntN(len(placer.states))
+			best = leastLoaded(best, placer.states[i:i+1], request, now)
 		}
 		if best != nil {
 			return best
 		}
 	}
-	return freest(nil, placer.seats, request, now)
+	return leastLoaded(nil, placer.states, request, now)
 }
 
-// freest returns the open worker with the largest free share among best and those of seats that have room.
-func freest(best *seat, seats []*seat, request Size, now time.Time) *seat {
-	for _, seat := range seats {
-		room := seat.room(now)
-		if seat.closed(now) || !request.Fits(room) {
+// leastLoaded returns the worker with the largest free CPU share among best, which may be nil, and those of states
+// that have room and are not suspended.
+func leastLoaded(best *workerState, states []*workerState, request Size, now time.Time) *workerState {
+	for _, workerState := range states {
+		free := workerState.free(now)
+		if workerState.suspended(now) || !request.Fits(free) {
 			continue
 		}
-		if best == nil || freeShare(seat, room) > freeShare(best, best.room(now)) {
-			best = seat
+		if best == nil || freeCPUShare(workerState, free) > freeCPUShare(best, best.free(now)) {
+			best = workerState
 		}
 	}
 	return best
 }
 
-// freeShare compares workers of different size by the part of their processor time that is free, in 1/1,000,000.
-func freeShare(entry *seat, room Size) int64 {
-	return room.MilliCores * 1_000_000 / max(entry.total.MilliCores, 1)
+// freeCPUShare returns the free part of a worker's processor time in millionths, which makes workers of different
+// size comparable.
+func freeCPUShare(state *workerState, free Size) int64 {
+	return free.MilliCores * 1_000_000 / max(state.total.MilliCores, 1)
 }
 
-// Release releases the room of a placed task and learns from how it ended; a second call has no effect.
+// Release ends the reservation of a placed task and updates the state of its worker and the size estimate of its kind
+// with the result. A second call has no effect.
 func (placer *Placer) Release(placed Placed, result Result, now time.Time) {
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
@@ -287,50 +294,51 @@
 		return
 	}
 	delete(placer.reservations, placed.id)
-	entry := placer.byName[held.worker]
-	if entry == nil {
-		entry = &seat{}
+	state := placer.byName[held.worker]
+	if state == nil {
+		state = &workerState{}
 	}
-	entry.reserved = entry.reserved.subtract(held.granted)
-	switch ending := result.(type) {
+	state.reserved = state.reserved.subtract(held.granted)
+	switch result := result.(type) {
 	case Done:
-		entry.failures = 0
-		placer.estimate(held.kind).observe(ending.peak)
+		state.consecutiveFailures = 0
+		placer.estimate(held.kind).observe(result.peak)
 	case SizeExceeded:
-		placer.estimate(held.kind).guard(held.granted, ending.peak)
+		placer.estimate(held.kind).observeExceeded(held.granted, result.peak)
 	case Failed:
-		placer.countFailure(entry, now)
+		placer.recordFailure(state, now)
 	case NotStarted:
 	}
 }
 
 const (
-	// failuresToClose is the number of failures in a row after which a worker is held to fail all that it starts.
-	failuresToClose = 3
-	// closeTime is how long such a worker gets nothing; afterwards one more failure closes it again.
-	closeTime = 10 * time.Second
-	// maxClosedPercent bounds the workers closed at once: beyond it the tasks are more likely at fault.
-	maxClosedPercent = 30
+	// failuresToSuspend is the number of consecutive failures after which a worker is assumed to fail every task.
+	failuresToSuspend = 3
+	// suspendTime is the time for which such a worker gets no tasks; afterwards one more failure suspends it again.
+	suspendTime = 10 * time.Second
+	// maxSuspendedPercent bounds the workers suspended at once; if more fail, the tasks are more likely at fault.
+	maxSuspendedPercent = 30
 )
 
-// countFailure closes a worker that fails task after task, so that its fast failures do not attract work.
-func (placer *Placer) countFailure(entry *seat, now time.Time) {
-	entry.failures++
-	if entry.failures < failuresToClose {
+// recordFailure suspends a worker after failuresToSuspend consecutive failures, so that a worker that fails fast does
+// not attract tasks.
+func (placer *Placer) recordFailure(state *workerState, now time.Time) {
+	state.consecutiveFailures++
+	if state.consecutiveFailures < failuresToSuspend {
 		return
 	}
-	closed := 0
-	for _, seat := range placer.seats {
-		if seat.closed(now) {
-			closed++
+	suspended := 0
+	for _, workerState := range placer.states {
+		if workerState.suspended(now) {
+			suspended++
 		}
 	}
-	if (closed+1)*100 <= maxClosedPercent*len(placer.seats) {
-		entry.closedEnd = now.Add(closeTime)
+	if (suspended+1)*100 <= maxSuspendedPercent*len(placer.states) {
+		state.suspendedUntil = now.Add(suspendTime)
 	}
 }
 
-// estimate returns the learned size of kind; the caller holds placer.mu.
+// estimate returns the size estimate of kind; the caller holds placer.mu.
 func (placer *Placer) estimate(kind string) *sizeEstimate {
 	estimate := placer.estimates[kind]
 	if estimate == nil {
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -13,7 +13,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func fleet(count, perRack int, total placer.Size) []placer.Worker {
+// newWorkers returns count workers of size total in racks of perRack workers.
+func newWorkers(count, perRack int, total placer.Size) []placer.Worker {
 	workers := make([]placer.Worker, count)
 	for i := range workers {
 		workers[i] = placer.NewWorker(fmt.Sprintf("worker-%03d", i), fmt.Sprintf("rack-%03d", i/perRack), total)
@@ -21,13 +22,13 @@
 	return workers
 }
 
-// Guards against reserving more than a worker has and against losing or doubling a release.
+// Guards against reserving more than the size of a worker, and against a release that is lost or counted twice.
 func TestReservationsAgainstReference(t *testing.T) {
 	is := is.New(t)
 	total := placer.Size{MilliCores: 32_000, MemoryMB: 131_072}
 	random := rand.New(rand.NewPCG(1, 2))
 	subject := placer.New(rand.New(rand.NewPCG(3, 4)))
-	subject.Update(fleet(16, 8, total))
+	subject.Update(newWorkers(16, 8, total))
 	used := make(map[string]placer.Size)
 	var held []placer.Placed
 	for range 20_000 {
@@ -44,47 +45,47 @@
 			continue
 		}
 		request := placer.Size{MilliCores: 1000 * (1 + random.Int64N(16)), MemoryMB: 1024 * (1 + random.Int64N(64))}
-		switch verdict := subject.Place("plan", request, "", start).(type) {
+		switch decision := subject.Place("plan", request, "", start).(type) {
 		case placer.Placed:
-			held = append(held, verdict)
-			size := used[verdict.Worker().Name()]
+			held = append(held, decision)
+			size := used[decision.Worker().Name()]
 			size.MilliCores += request.MilliCores
 			size.MemoryMB += request.MemoryMB
-			used[verdict.Worker().Name()] = size
-			is.True(size.MilliCores <= total.MilliCores) // processor time is never reserved twice
-			is.True(size.MemoryMB <= total.MemoryMB)     // memory is never reserved twice
+			used[decision.Worker().Name()] = size
+			is.True(size.MilliCores <= total.MilliCores)
+			is.True(size.MemoryMB <= total.MemoryMB)
 		case placer.Full:
-			for _, worker := range fleet(16, 8, total) {
+			for _, worker := range newWorkers(16, 8, total) {
 				size := used[worker.Name()]
 				fits := size.MilliCores+request.MilliCores <= total.MilliCores && size.MemoryMB+request.MemoryMB <= total.MemoryMB
-				is.True(!fits) // full is said only when no worker has room
+				is.True(!fits) // Full requires that no worker has room
 			}
 		case placer.Impossible:
-			t.Fatal("a request that fits an idle worker was called impossible")
+			t.Fatal("Place returned Impossible for a request that fits an idle worker")
 		}
 	}
 }
 
-// Guards against queueing a task for ever that no worker can run, and against placing on a closed worker.
-func TestVerdicts(t *testing.T) {
+// Guards against queueing a task forever that no worker can run, and against placing a task on a suspended worker.
+func TestDecisions(t *testing.T) {
 	total := placer.Size{MilliCores: 4000, MemoryMB: 8192, Accelerators: 2}
 	cases := []struct {
-		name    string
-		request placer.Size
-		closed  bool
-		want    string
+		name      string
+		request   placer.Size
+		suspended bool
+		want      string
 	}{
 		{"fits", placer.Size{MilliCores: 4000, MemoryMB: 8192, Accelerators: 2}, false, "placer.Placed"},
 		{"too much memory", placer.Size{MemoryMB: 8193}, false, "placer.Impossible"},
 		{"too many accelerators", placer.Size{Accelerators: 3}, false, "placer.Impossible"},
-		{"closed worker", placer.Size{MilliCores: 1}, true, "placer.Full"},
+		{"suspended worker", placer.Size{MilliCores: 1}, true, "placer.Full"},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			subject := placer.New(rand.New(rand.NewPCG(3, 4)))
-			subject.Update(fleet(1, 1, total))
-			if test.closed {
+			subject.Update(newWorkers(1, 1, total))
+			if test.suspended {
 				subject.Suspend("worker-000", start.Add(time.Second))
 			}
 			is.Equal(fmt.Sprintf("%T", subject.Place("plan", test.request, "", start)), test.want)
@@ -92,11 +93,11 @@
 	}
 }
 
-// Guards against ignoring the guard's verdict and against trusting a declared size that is far too large.
-func TestSizesAreLearned(t *testing.T) {
+// Guards against ignoring that a task exceeded its size, and against using a declared size that is far too large.
+func TestSizeEstimates(t *testing.T) {
 	is := is.New(t)
 	subject := placer.New(rand.New(rand.NewPCG(3, 4)))
-	subject.Update(fleet(4, 2, placer.Size{MilliCores: 32_000, MemoryMB: 131_072}))
+	subject.Update(newWorkers(4, 2, placer.Size{MilliCores: 32_000, MemoryMB: 131_072}))
 	place := func(kind string, declared placer.Size) placer.Placed {
 		placed, ok := subject.Place(kind, declared, "", start).(placer.Placed)
 		is.True(ok)
@@ -104,7 +105,7 @@
 	}
 	small := placer.Size{MilliCores: 1000, MemoryMB: 1000}
 	subject.Release(place("understated", small), placer.NewSizeExceeded(placer.Size{MilliCores: 1000, MemoryMB: 4000}), start)
-	is.True(place("understated", small).Granted().MemoryMB >= 4000) // the next lease is large enough
+	is.True(place("understated", small).Granted().MemoryMB >= 4000) // at least the peak of the first task
 
 	large := placer.Size{MilliCores: 16_000, MemoryMB: 65_536}
 	for range 20 {
@@ -113,26 +114,26 @@
 	is.Equal(place("overstated", large).Granted(), placer.Size{MilliCores: 1200, MemoryMB: 1200})
 }
 
-// Guards against counting other instances' tasks as free room, and against doing so from an expired report.
-func TestForeignUsageIsKeptFree(t *testing.T) {
+// Guards against placing tasks on room that other instances use, and against using an expired usage report.
+func TestUsageOfOtherInstances(t *testing.T) {
 	is := is.New(t)
 	subject := placer.New(rand.New(rand.NewPCG(3, 4)))
-	subject.Update(fleet(1, 1, placer.Size{MilliCores: 4000, MemoryMB: 4000}))
+	subject.Update(newWorkers(1, 1, placer.Size{MilliCores: 4000, MemoryMB: 4000}))
 	request := placer.Size{MilliCores: 2000, MemoryMB: 2000}
 	busy := placer.Size{MilliCores: 3000, MemoryMB: 3000}
 	subject.ReportUsage("worker-000", busy, start)
 	_, ok := subject.Place("plan", request, "", start).(placer.Placed)
-	is.True(ok) // an expired report says nothing
+	is.True(ok) // the report has expired
 	subject.ReportUsage("worker-000", busy, start.Add(time.Second))
 	_, ok = subject.Place("plan", request, "", start).(placer.Full)
-	is.True(ok) // the own 2000 and another instance's 1000 leave 1000
+	is.True(ok) // 2000 reserved here and 1000 used by another instance leave 1000
 }
 
-// Guards against fast failures that attract work, and against closing so many workers that none is left.
-func TestFailingWorkersAreClosed(t *testing.T) {
+// Guards against fast failures that attract tasks, and against suspending so many workers that none is left.
+func TestFailingWorkersAreSuspended(t *testing.T) {
 	is := is.New(t)
 	subject := placer.New(rand.New(rand.NewPCG(3, 4)))
-	subject.Update(fleet(10, 5, placer.Size{MilliCores: 4000, MemoryMB: 4000}))
+	subject.Update(newWorkers(10, 5, placer.Size{MilliCores: 4000, MemoryMB: 4000}))
 	small := placer.Size{MilliCores: 100, MemoryMB: 100}
 	run := func(failing func(name string) bool, now time.Time) map[string]int {
 		starts := make(map[string]int)
@@ -149,32 +150,32 @@
 	}
 	two := func(name string) bool { return name < "worker-002" }
 	starts := run(two, start)
-	is.True(starts["worker-000"] <= 3 && starts["worker-001"] <= 3) // closed after three failures
+	is.True(starts["worker-000"] <= 3 && starts["worker-001"] <= 3) // suspended after three failures
 	starts = run(two, start.Add(20*time.Second))
-	is.True(starts["worker-000"] <= 1 && starts["worker-001"] <= 1) // one trial after the pause
+	is.True(starts["worker-000"] <= 1 && starts["worker-001"] <= 1) // one more failure after the suspension
 	starts = run(func(string) bool { return true }, start.Add(time.Hour))
-	is.True(len(starts) >= 7) // at most 30% are closed
+	is.True(len(starts) >= 7) // at most 30% are suspended
 }
 
-// BenchmarkRackLoss counts the jobs that the loss of one rack hits, without rack preference, with
-// that of the job's last task, and with that of the kind's.
+// BenchmarkRackLoss counts the jobs affected by the loss of one rack: without a preferred rack, with the rack of the
+// job's last task, and with the rack of the kind's last task.
 func BenchmarkRackLoss(b *testing.B) {
 	for _, near := range []string{"none", "job", "kind"} {
 		b.Run("near="+near, func(b *testing.B) {
 			hit := 0
 			for b.Loop() {
-				hit = jobsHit(near)
+				hit = affectedJobs(near)
 			}
 			b.ReportMetric(float64(hit), "jobs-hit")
 		})
 	}
 }
 
-// jobsHit places 60 jobs of 1 to 20 tasks on 48 workers in racks of 8 and returns how many use the first rack.
-func jobsHit(near string) int {
+// affectedJobs places 60 jobs of 1 to 20 tasks on 48 workers in racks of 8 and returns how many jobs use the first rack.
+func affectedJobs(near string) int {
 	random := rand.New(rand.NewPCG(5, 6))
 	subject := placer.New(rand.New(rand.NewPCG(3, 4)))
-	subject.Update(fleet(48, 8, placer.Size{MilliCores: 32_000, MemoryMB: 131_072}))
+	subject.Update(newWorkers(48, 8, placer.Size{MilliCores: 32_000, MemoryMB: 131_072}))
 	hit := 0
 	for range 60 {
 		rack, uses := "", false
@@ -199,7 +200,7 @@
 	for _, count := range []int{50, 500, 2_000, 22_000} {
 		b.Run(fmt.Sprintf("workers=%d", count), func(b *testing.B) {
 			subject := placer.New(rand.New(rand.NewPCG(3, 4)))
-			subject.Update(fleet(count, 8, placer.Size{MilliCores: 32_000, MemoryMB: 131_072}))
+			subject.Update(newWorkers(count, 8, placer.Size{MilliCores: 32_000, MemoryMB: 131_072}))
 			b.ReportAllocs()
 			for b.Loop() {
 				placed := subject.Place("plan", placer.Size{MilliCores: 1000, MemoryMB: 1000}, "", start).(placer.Placed)
--- a/placer/size.go
+++ b/placer/size.go
@@ -1,12 +1,12 @@
 package placer
 
-// Size is what a task needs or a worker has.
+// Size is the amount of resources that a task needs or a worker has.
 type Size struct {
 	// MilliCores is processor time in thousandths of a core.
 	MilliCores int64 `json:"milli-cores"`
 	// MemoryMB is memory in megabytes.
 	MemoryMB int64 `json:"memory-mb"`
-	// Accelerators is a number of whole accelerators.
+	// Accelerators is the number of whole accelerators.
 	Accelerators int64 `json:"accelerators"`
 }
 
@@ -18,7 +18,7 @@
 	return Size{size.MilliCores - other.MilliCores, size.MemoryMB - other.MemoryMB, size.Accelerators - other.Accelerators}
 }
 
-// Fits reports whether size is no larger than room in any dimension.
+// Fits reports whether size is at most room in every dimension.
 func (size Size) Fits(room Size) bool {
 	return size.MilliCores <= room.MilliCores && size.MemoryMB <= room.MemoryMB && size.Accelerators <= room.Accelerators
 }
@@ -32,29 +32,32 @@
 	return Size{min(size.MilliCores, other.MilliCores), min(size.MemoryMB, other.MemoryMB), min(size.Accelerators, other.Accelerators)}
 }
 
-// scale multiplies the divisible dimensions by percent/100; accelerators are whole.
+// scale multiplies processor time and memory by percent/100; accelerators are indivisible and stay.
 func (size Size) scale(percent int64) Size {
 	return Size{size.MilliCores * percent / 100, size.MemoryMB * percent / 100, size.Accelerators}
 }
 
 const (
-	// trustedSamples is the number of observed tasks before a kind's learned size replaces a larger declared one.
+	// trustedSamples is the number of observed tasks from which the estimated size of a kind replaces a larger
+	// declared one.
 	trustedSamples = 20
-	// headroomPercent is added to the learned size so that ordinary variation does not trip the guard.
+	// headroomPercent scales the estimated size, so that ordinary variation does not exceed it.
 	headroomPercent = 120
-	// decayPercent of the excess over the newest observation remains after each observation, so that one
-	// outlier does not reserve memory for ever.
+	// decayPercent is the part of the estimate's excess over a new observation that is kept, so that one outlier does
+	// not reserve memory forever.
 	decayPercent = 97
-	// guardPercent is the least growth of the learned size after the guard acted on a task.
-	guardPercent = 150
+	// exceededGrowthPercent scales the granted size of a task that exceeded it; the result is the new minimum of the
+	// estimate.
+	exceededGrowthPercent = 150
 )
 
-// sizeEstimate is the learned size of one kind: a slowly decaying maximum of observed peaks.
+// sizeEstimate is the estimated size of one kind: a slowly decaying maximum of the observed peaks.
 type sizeEstimate struct {
 	peak    Size
 	samples int
 }
 
+// observe updates the estimate with the peak usage of a task that stayed within its size.
 func (sizeEstimate *sizeEstimate) observe(peak Size) {
 	excess := sizeEstimate.peak.subtract(peak)
 	decayed := peak.add(excess.scale(decayPercent))
@@ -63,21 +66,22 @@
 	sizeEstimate.samples++
 }
 
-// guard raises the estimate after the worker throttled, checkpointed or stopped a task that was granted size.
-func (sizeEstimate *sizeEstimate) guard(granted, peak Size) {
-	sizeEstimate.peak = sizeEstimate.peak.Maximum(granted.scale(guardPercent)).Maximum(peak)
+// observeExceeded raises the estimate after the worker throttled, checkpointed or stopped a task for exceeding its
+// granted size.
+func (sizeEstimate *sizeEstimate) observeExceeded(granted, peak Size) {
+	sizeEstimate.peak = sizeEstimate.peak.Maximum(granted.scale(exceededGrowthPercent)).Maximum(peak)
 	sizeEstimate.samples = max(sizeEstimate.samples, 1)
 }
 
-// request returns the size to ask for, given the declared one.
+// request returns the size to request for a task with the declared size.
 func (sizeEstimate *sizeEstimate) request(declared Size) Size {
 	if sizeEstimate.samples == 0 {
 		return declared
 	}
-	learned := sizeEstimate.peak.scale(headroomPercent)
-	learned.Accelerators = declared.Accelerators
+	estimated := sizeEstimate.peak.scale(headroomPercent)
+	estimated.Accelerators = declared.Accelerators
 	if sizeEstimate.samples < trustedSamples {
-		return declared.Maximum(learned)
+		return declared.Maximum(estimated)
 	}
-	return learned
+	return estimated
 }
