--- a/dispatcher/doc.go
+++ b/dispatcher/doc.go
@@ -1,3 +1,3 @@
-// Package dispatcher holds the vocabulary of jobs, tasks, fates and outcomes
-// that the other packages share; it performs no I/O.
+// Package dispatcher defines the types that the other packages share: jobs,
+// their tasks, the fates of tasks and the outcomes of jobs. It performs no I/O.
 package dispatcher
--- a/dispatcher/job.go
+++ b/dispatcher/job.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// Limits that hold whatever a bundle says.
+// Limits that no bundle can raise.
 const (
 	// MaxTasks is the largest number of tasks in one job.
 	MaxTasks = 130
-	// MaxNameBytes is the longest key text, kind, team or task name, in bytes.
+	// MaxNameBytes is the longest idempotency key, kind, team or task name, in bytes.
 	MaxNameBytes = 128
 )
 
@@ -22,7 +22,7 @@
 	payload json.RawMessage
 }
 
-// NewTask returns a task named name that carries payload, a JSON value, to its target.
+// NewTask returns a task named name that passes payload, a JSON value, to its target.
 func NewTask(name string, payload json.RawMessage) Task {
 	return Task{name: name, payload: payload}
 }
@@ -30,10 +30,10 @@
 // Name returns the task's name, unique within its job.
 func (task Task) Name() string { return task.name }
 
-// Payload returns the JSON value that the target receives.
+// Payload returns the JSON value that is passed to the target.
 func (task Task) Payload() json.RawMessage { return task.payload }
 
-// Job is a set of tasks of one kind that is answered as a whole.
+// Job is a set of tasks of one kind that share a deadline and are answered together.
 type Job struct {
 	key      string
 	kind     string
@@ -42,7 +42,7 @@
 	tasks    []Task
 }
 
-// NewJob returns a job whose answer is due by deadline; the caller must not change tasks afterwards.
+// NewJob returns a job whose answer is due by deadline; the caller must not modify tasks afterwards.
 func NewJob(key, kind, team string, deadline time.Time, tasks []Task) Job {
 	return Job{key: key, kind: kind, team: team, deadline: deadline, tasks: tasks}
 }
@@ -50,16 +50,16 @@
 // Key returns the idempotency key, empty if the caller sent none.
 func (job Job) Key() string { return job.key }
 
-// Kind returns the name of the kind of task.
+// Kind returns the kind of the job's tasks.
 func (job Job) Kind() string { return job.kind }
 
-// Team returns the name of the team that the job counts against.
+// Team returns the team whose quota the job counts against.
 func (job Job) Team() string { return job.team }
 
 // Deadline returns the time by which an answer is due.
 func (job Job) Deadline() time.Time { return job.deadline }
 
-// Tasks returns the job's tasks in the caller's order; callers must not change them.
+// Tasks returns the job's tasks in the order of the request; callers must not modify them.
 func (job Job) Tasks() []Task { return job.tasks }
 
 // WithKey returns a copy of the job with another idempotency key.
@@ -68,18 +68,18 @@
 	return job
 }
 
-// Digest identifies what a job asks for: kind, team and tasks, but not key or deadline.
+// Digest is a hash of a job's kind, team and tasks, but not of its key and deadline.
 type Digest [sha256.Size]byte
 
 // String returns the digest in hexadecimal.
 func (digest Digest) String() string { return hex.EncodeToString(digest[:]) }
 
-// Digest returns the digest of the job's kind, team and tasks.
+// Digest returns the digest of the job.
 func (job Job) Digest() Digest {
 	hash := sha256.New()
 	var length [8]byte
 	write := func(text []byte) {
-		// The length prefix keeps ("ab", "c") and ("a", "bc") apart.
+		// The length prefix gives ("ab", "c") and ("a", "bc") different digests.
 		binary.BigEndian.PutUint64(length[:], uint64(len(text)))
 		hash.Write(length[:])
 		hash.Write(text)
--- a/dispatcher/outcome.go
+++ b/dispatcher/outcome.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Fate is what became of one task.
+// Fate is the final state of one task.
 type Fate string
 
 // Fates of a task.
@@ -20,14 +20,14 @@
 	FateFailed Fate = "failed"
 )
 
-// TaskFate is the fate of one task of a failed job.
+// TaskFate holds the name and the fate of one task of a failed job.
 type TaskFate struct {
 	Name   string `json:"name" cbor:"name"`
 	Fate   Fate   `json:"fate" cbor:"fate"`
 	Detail string `json:"detail,omitempty" cbor:"detail,omitempty"`
 }
 
-// TaskResult is the result of one task of a complete job.
+// TaskResult holds the name and the result of one task of a complete job.
 type TaskResult struct {
 	Name   string          `json:"name" cbor:"name"`
 	Result json.RawMessage `json:"result" cbor:"result"`
@@ -36,16 +36,16 @@
 // Outcome is the answer to a job: Complete, Failed, Refused or Unknown.
 type Outcome interface{ isOutcome() }
 
-// Complete is the answer to a job whose every task finished.
+// Complete is the answer to a job whose tasks have all finished.
 type Complete struct{ results []TaskResult }
 
-// Failed is the answer to a job that started and has no complete result; it carries no results.
+// Failed is the answer to a job that started but did not finish all of its tasks; it holds no results.
 type Failed struct {
 	fates  []TaskFate
 	detail string
 }
 
-// Refused is the answer to a job of which no task started or will start.
+// Refused is the answer to a job of which no task has started or will start.
 type Refused struct {
 	reason  Reason
 	detail  string
@@ -53,7 +53,7 @@
 	retryAt time.Time
 }
 
-// Unknown is the answer to a job of which it cannot be told whether any task started.
+// Unknown is the answer to a job of which it is not known whether any task started.
 type Unknown struct{ detail string }
 
 func (Complete) isOutcome() {}
@@ -61,13 +61,13 @@
 func (Refused) isOutcome()  {}
 func (Unknown) isOutcome()  {}
 
-// NewComplete returns a complete answer with one result per task.
+// NewComplete returns a complete answer with one result per task, in the job's order.
 func NewComplete(results []TaskResult) Complete { return Complete{results: results} }
 
 // Results returns one result per task, in the job's order.
 func (complete Complete) Results() []TaskResult { return complete.results }
 
-// NewFailed returns a failed answer with one fate per task.
+// NewFailed returns a failed answer with one fate per task, in the job's order.
 func NewFailed(detail string, fates []TaskFate) Failed { return Failed{detail: detail, fates: fates} }
 
 // Fates returns one fate per task, in the job's order.
@@ -76,13 +76,14 @@
 // Detail returns why the job failed.
 func (failed Failed) Detail() string { return failed.detail }
 
-// NewUnknown returns an answer that makes no claim about starts.
+// NewUnknown returns an answer that leaves open whether any task started.
 func NewUnknown(detail string) Unknown { return Unknown{detail: detail} }
 
-// Detail returns why the outcome is not known.
+// Detail returns why the outcome is unknown.
 func (unknown Unknown) Detail() string { return unknown.detail }
 
-// NewRefused returns a refusal; field may be empty, and a zero retryAt means that a retry does not help.
+// NewRefused returns a refusal. The field is empty if no request field is at fault, and retryAt is zero if no time
+// for a retry is known.
 func NewRefused(reason Reason, detail, field string, retryAt time.Time) Refused {
 	return Refused{reason: reason, detail: detail, field: field, retryAt: retryAt}
 }
@@ -93,7 +94,7 @@
 // Detail returns a sentence that explains the refusal.
 func (refused Refused) Detail() string { return refused.detail }
 
-// Field returns the name of the request field at fault, or an empty string.
+// Field returns the path of the request field at fault, or an empty string.
 func (refused Refused) Field() string { return refused.field }
 
 // RetryAt returns the earliest time at which a retry may succeed, or the zero time if none is known.
@@ -110,21 +111,21 @@
 	ReasonTooLarge Reason = "too-large"
 	// ReasonUnknownKind means that the bundle in force has no such kind or team.
 	ReasonUnknownKind Reason = "unknown-kind"
-	// ReasonKeyConflict means that the key belongs to another job.
+	// ReasonKeyConflict means that the idempotency key belongs to a different job.
 	ReasonKeyConflict Reason = "key-conflict"
 	// ReasonCancelled means that the caller cancelled the job before it started.
 	ReasonCancelled Reason = "cancelled"
 	// ReasonOverload means that the queue or a quota has no room.
 	ReasonOverload Reason = "overload"
-	// ReasonUnavailable means that the instance cannot serve the job now.
+	// ReasonUnavailable means that the instance cannot accept the job now.
 	ReasonUnavailable Reason = "unavailable"
 	// ReasonDeadline means that the deadline passed before the job started.
 	ReasonDeadline Reason = "deadline"
-	// ReasonImpossible means that no target can ever run the job.
+	// ReasonImpossible means that the job can never run: it exceeds a limit, or no target is large enough.
 	ReasonImpossible Reason = "impossible"
 )
 
-// OutcomeClass returns the name of the class of an outcome that logs and metrics use: complete, failed, refused or unknown.
+// OutcomeClass returns the class of an outcome as used in logs and metrics: complete, failed, refused or unknown.
 func OutcomeClass(outcome Outcome) string {
 	switch outcome.(type) {
 	case Complete:
