--- a/encoder/answer.go
+++ b/encoder/answer.go
@@ -14,15 +14,16 @@
 
 // Content types of answers.
 const (
-	// ContentTypeJSON marks a complete answer.
+	// ContentTypeJSON is the content type of a complete answer.
 	ContentTypeJSON = "application/json"
-	// ContentTypeProblem marks a problem document (RFC 9457).
+	// ContentTypeProblem is the content type of a problem document (RFC 9457), the form of all other answers.
 	ContentTypeProblem = "application/problem+json"
 )
 
+// problemTypePrefix is the prefix of the type of a problem document; the reason of a refusal or the outcome follows.
 const problemTypePrefix = "urn:hyssoplift:problem:"
 
-// Answer is the JSON body of an answer: a complete answer, or a problem document.
+// Answer is the JSON body of an answer: a complete answer or a problem document.
 type Answer struct {
 	Type    string                  `json:"type,omitempty"`
 	Title   string                  `json:"title,omitempty"`
@@ -36,7 +37,7 @@
 	Fates   []dispatcher.TaskFate   `json:"fates,omitempty"`
 }
 
-// Response is an encoded answer: status, headers and body.
+// Response is an HTTP response that carries an answer.
 type Response struct {
 	status int
 	header http.Header
@@ -46,7 +47,7 @@
 // Status returns the HTTP status code.
 func (response Response) Status() int { return response.status }
 
-// Header returns the headers to set.
+// Header returns the HTTP headers.
 func (response Response) Header() http.Header { return response.header }
 
 // Body returns the JSON body.
@@ -58,11 +59,11 @@
 		writer.Header()[name] = values
 	}
 	writer.WriteHeader(response.status)
-	// A failed write means that the caller has gone; the answer stays available under its key.
+	// A failed write means that the caller disconnected; the answer stays available under its key.
 	_, _ = writer.Write(response.body)
 }
 
-// NewAnswer returns the JSON body of the answer with outcome to the job with the given key.
+// NewAnswer returns the answer that reports outcome for the job with the given key.
 func NewAnswer(key string, outcome dispatcher.Outcome) Answer {
 	answer := Answer{Key: key}
 	switch outcome := outcome.(type) {
@@ -95,7 +96,8 @@
 	return answer
 }
 
-// EncodeOutcome returns the HTTP response that carries outcome for the job with the given key.
+// EncodeOutcome returns the HTTP response that reports outcome for the job with the given key. The Retry-After header
+// is relative to now.
 func EncodeOutcome(key string, outcome dispatcher.Outcome, now time.Time) Response {
 	answer := NewAnswer(key, outcome)
 	response := Response{status: http.StatusOK, header: http.Header{"Content-Type": {ContentTypeJSON}}}
@@ -109,13 +111,14 @@
 	}
 	body, err := json.Marshal(answer)
 	if err != nil {
-		// Every result was checked to be valid JSON when it was read from the target.
-		panic(eris.Wrap(err, "encoding an answer"))
+		// Results are checked to be valid JSON when they are read from the targets.
+		panic(eris.Wrap(err, "encoding answer"))
 	}
 	response.body = append(body, '\n')
 	return response
 }
 
+// refusalStatus returns the HTTP status code for a refusal.
 func refusalStatus(reason dispatcher.Reason) int {
 	switch reason {
 	case dispatcher.ReasonInvalid:
@@ -135,11 +138,12 @@
 	}
 }
 
-// DecodeOutcome returns the outcome and key that an answer body carries.
+// DecodeOutcome returns the outcome and the key in the body of an answer. The retryAfter argument is the value of the
+// Retry-After header, relative to now.
 func DecodeOutcome(body []byte, retryAfter string, now time.Time) (dispatcher.Outcome, string, error) {
 	var answer Answer
 	if err := json.Unmarshal(body, &answer); err != nil {
-		return nil, "", eris.Wrap(err, "decoding an answer")
+		return nil, "", eris.Wrap(err, "decoding answer")
 	}
 	switch answer.Outcome {
 	case "complete":
@@ -150,11 +154,11 @@
 		return dispatcher.NewUnknown(answer.Detail), answer.Key, nil
 	case "refused":
 		if !answer.NotRun {
-			return nil, "", eris.New("answer is refused but does not say not-run")
+			return nil, "", eris.New("answer has the outcome \"refused\", but not-run is false")
 		}
 		return decodeRefused(answer, retryAfter, now), answer.Key, nil
 	default:
-		return nil, "", eris.Errorf("answer has the unknown outcome %q", answer.Outcome)
+		return nil, "", eris.Errorf("answer has an unsupported outcome %q", answer.Outcome)
 	}
 }
 
--- a/encoder/bench_test.go
+++ b/encoder/bench_test.go
@@ -28,6 +28,7 @@
 	return dispatcher.NewComplete(results)
 }
 
+// benchTasks runs a benchmark for jobs of 1, 10 and 130 tasks.
 func benchTasks(b *testing.B, run func(b *testing.B, tasks int)) {
 	for _, tasks := range []int{1, 10, 130} {
 		b.Run(fmt.Sprintf("tasks=%d", tasks), func(b *testing.B) {
--- a/encoder/fuzz_test.go
+++ b/encoder/fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/hyssoplift/hyssoplift/dispatcher"
 )
 
-// FuzzDecodeJob guards against a body that stops the process, a fault without a field, and a job that changes when a
-// caller sends it again: its key would then belong to another body.
+// FuzzDecodeJob guards against a request body that causes a panic, an error without a field, and a job that changes
+// when it is encoded and sent again, so that its key would conflict with its own digest.
 func FuzzDecodeJob(f *testing.F) {
 	for _, body := range []string{
 		`{"kind":"loop-check","team":"demo","tasks":[{"name":"a","payload":{"run-ms":1}}]}`,
@@ -23,10 +23,10 @@
 	}
 	f.Fuzz(func(t *testing.T, body []byte, key string) {
 		now := time.Unix(1000, 0)
-		job, fault := DecodeJob(body, key, dispatcher.MaxTasks, now)
-		if fault != nil {
-			if fault.Field() == "" {
-				t.Errorf("fault %v names no field", fault)
+		job, fieldError := DecodeJob(body, key, dispatcher.MaxTasks, now)
+		if fieldError != nil {
+			if fieldError.Field() == "" {
+				t.Errorf("error %v names no field", fieldError)
 			}
 			return
 		}
@@ -34,15 +34,15 @@
 		if err != nil {
 			t.Fatalf("encoding a decoded job: %v", err)
 		}
-		again, fault := DecodeJob(encoded, key, dispatcher.MaxTasks, now)
-		if fault != nil {
-			t.Fatalf("decoding %s again: %v", encoded, fault)
+		again, fieldError := DecodeJob(encoded, key, dispatcher.MaxTasks, now)
+		if fieldError != nil {
+			t.Fatalf("decoding %s again: %v", encoded, fieldError)
 		}
 		if again.Digest() != job.Digest() {
-			t.Errorf("the digest of job %s changed with %s", body, encoded)
+			t.Errorf("the digest of job %s differs after encoding it as %s", body, encoded)
 		}
 		if !again.Deadline().Equal(job.Deadline()) || again.Key() != job.Key() || len(again.Tasks()) != len(job.Tasks()) {
-			t.Errorf("job %s changed to %+v", body, again)
+			t.Errorf("job %s was decoded as %+v after encoding it", body, again)
 		}
 	})
 }
