--- a/measurer/clock.go
+++ b/measurer/clock.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// start is the virtual time at which every run begins.
-var start = time.Unix(1_000_000_000, 0)
+// startTime is the virtual time at which every run begins.
+var startTime = time.Unix(1_000_000_000, 0)
 
-// event is a call due at a virtual time.
+// event is a callback that is due at a virtual time.
 type event struct {
-	at   time.Time
-	turn int
-	call func()
+	at       time.Time
+	sequence int
+	callback func()
 }
 
-// events is a heap of events by time; those of the same time keep the order in which they were added.
+// events is a heap of events, ordered by time and, for equal times, by the order in which they were added.
 type events []event
 
 func (events events) Len() int      { return len(events) }
@@ -23,7 +23,7 @@
 
 func (events events) Less(i, j int) bool {
 	if events[i].at.Equal(events[j].at) {
-		return events[i].turn < events[j].turn
+		return events[i].sequence < events[j].sequence
 	}
 	return events[i].at.Before(events[j].at)
 }
@@ -36,26 +36,26 @@
 	return last
 }
 
-// clock runs events in the order of virtual time.
+// clock runs events in the order of their virtual time.
 type clock struct {
-	now    time.Time
-	turn   int
-	events events
+	now      time.Time
+	sequence int
+	events   events
 }
 
-func newClock() *clock { return &clock{now: start} }
+func newClock() *clock { return &clock{now: startTime} }
 
-// after calls call when delay has passed.
-func (clock *clock) after(delay time.Duration, call func()) {
-	clock.turn++
-	heap.Push(&clock.events, event{at: clock.now.Add(delay), turn: clock.turn, call: call})
+// after schedules callback to run after delay.
+func (clock *clock) after(delay time.Duration, callback func()) {
+	clock.sequence++
+	heap.Push(&clock.events, event{at: clock.now.Add(delay), sequence: clock.sequence, callback: callback})
 }
 
-// run runs events until none is left.
+// run runs events, including those that they schedule, until none is left.
 func (clock *clock) run() {
 	for len(clock.events) > 0 {
 		next := heap.Pop(&clock.events).(event)
 		clock.now = next.at
-		next.call()
+		next.callback()
 	}
 }
--- a/measurer/counts.go
+++ b/measurer/counts.go
@@ -6,74 +6,74 @@
 	"time"
 )
 
-// counts are the sums over the counted jobs of one or more runs.
+// counts holds the sums over the counted jobs of one or more runs.
 type counts struct {
-	slowdowns []float64 // response time divided by the ideal, of complete jobs
-	lost      []float64 // time to the deadline divided by the ideal, of failed jobs
-	failed    int
-	refused   int
-	cancelled int
-	tasks     int
-	messages  int // starts and their answers
-	wasted    int // messages whose removal changes no answer
-	notRun    []*job
-	answered  []*job
+	slowdowns       []float64 // response time divided by the ideal, of complete jobs
+	failedSlowdowns []float64 // time to the deadline divided by the ideal, of failed jobs
+	failed          int
+	refused         int
+	cancelled       int
+	tasks           int
+	messages        int    // starts and their answers
+	wasted          int    // messages without which every answer would be the same
+	notRun          []*job // refused and cancelled jobs, including those that are not counted
+	answered        []*job // complete and failed jobs, including those that are not counted
 }
 
-func (counts *counts) start(job *job) {
+func (counts *counts) recordStart(job *job) {
 	if job.counted {
 		counts.messages++
 	}
 }
 
-func (counts *counts) answer(job *job) { counts.start(job) }
+func (counts *counts) recordAnswer(job *job) { counts.recordStart(job) }
 
-func (counts *counts) waste(job *job, messages int) {
+func (counts *counts) recordWaste(job *job, messages int) {
 	if job.counted {
 		counts.wasted += messages
 	}
 }
 
-func (counts *counts) complete(job *job, at time.Time) {
-	counts.note(job)
+func (counts *counts) recordComplete(job *job, answeredAt time.Time) {
+	counts.recordAnswered(job)
 	if job.counted {
-		counts.slowdowns = append(counts.slowdowns, float64(at.Sub(job.at))/float64(job.ideal()))
+		counts.slowdowns = append(counts.slowdowns, float64(answeredAt.Sub(job.submittedAt))/float64(job.idealResponseTime()))
 	}
 }
 
-func (counts *counts) fail(job *job) {
-	counts.note(job)
+func (counts *counts) recordFailed(job *job) {
+	counts.recordAnswered(job)
 	if job.counted {
 		counts.failed++
-		counts.lost = append(counts.lost, float64(job.deadline.Sub(job.at))/float64(job.ideal()))
+		counts.failedSlowdowns = append(counts.failedSlowdowns, float64(job.deadline.Sub(job.submittedAt))/float64(job.idealResponseTime()))
 	}
 }
 
-func (counts *counts) refuse(progress *progress) {
+func (counts *counts) recordRefused(progress *progress) {
 	counts.notRun = append(counts.notRun, progress.job)
 	if progress.job.counted {
 		counts.refused++
 	}
 }
 
-func (counts *counts) cancel(progress *progress) {
+func (counts *counts) recordCancelled(progress *progress) {
 	counts.notRun = append(counts.notRun, progress.job)
 	if progress.job.counted {
 		counts.cancelled++
 	}
 }
 
-func (counts *counts) note(job *job) {
+func (counts *counts) recordAnswered(job *job) {
 	counts.answered = append(counts.answered, job)
 	if job.counted {
 		counts.tasks += len(job.tasks)
 	}
 }
 
-// add adds the sums of another run.
+// add adds the counts of another run.
 func (counts *counts) add(other counts) {
 	counts.slowdowns = append(counts.slowdowns, other.slowdowns...)
-	counts.lost = append(counts.lost, other.lost...)
+	counts.failedSlowdowns = append(counts.failedSlowdowns, other.failedSlowdowns...)
 	counts.failed += other.failed
 	counts.refused += other.refused
 	counts.cancelled += other.cancelled
@@ -84,26 +84,28 @@
 	counts.answered = append(counts.answered, other.answered...)
 }
 
-// Results are the results of one cell of the table.
+// Results holds the results of one variant under one load.
 type Results struct {
-	// Mean and P99 are response times of complete jobs divided by their ideal.
+	// Mean and P99 are the mean and 99th percentile of the response times of complete jobs divided by their ideal
+	// response times.
 	Mean, P99 float64
-	// P99WithFailed counts failed jobs as well, as if they had been answered at their deadline.
+	// P99WithFailed is P99 with failed jobs included, as if they had been answered at their deadlines.
 	P99WithFailed float64
 	// WastedPerThousand is the number of wasted messages per 1,000 tasks.
 	WastedPerThousand float64
-	// WastedRatio is the part of the messages that was wasted.
+	// WastedRatio is the fraction of messages that were wasted.
 	WastedRatio float64
-	// RefusedRatio and FailedPart are parts of the jobs that were not cancelled.
+	// RefusedRatio and FailedRatio are the fractions of refused and failed jobs among those that were not cancelled.
 	RefusedRatio, FailedRatio float64
-	// Cancelled is the number of jobs that were cancelled before their start.
+	// Cancelled is the number of jobs cancelled before their start.
 	Cancelled int
-	// StartedTwice and UntrueRefusals are the numbers of broken promises.
+	// StartedTwice is the number of repeated starts of tasks, and UntrueRefusals the number of refused or cancelled
+	// jobs of which a task started. Both violate guarantees of the system and must be 0.
 	StartedTwice, UntrueRefusals int
 }
 
-// figures returns the results that the sums give.
-func (counts *counts) figures() Results {
+// results computes the results from the counts.
+func (counts *counts) results() Results {
 	slices.Sort(counts.slowdowns)
 	var sum float64
 	for _, slowdown := range counts.slowdowns {
@@ -120,8 +122,8 @@
 	}
 	if complete > 0 {
 		results.Mean = sum / float64(complete)
-		results.P99 = quantile(counts.slowdowns)
-		results.P99WithFailed = quantile(slices.Sorted(slices.Values(slices.Concat(counts.slowdowns, counts.lost))))
+		results.P99 = percentile99(counts.slowdowns)
+		results.P99WithFailed = percentile99(slices.Sorted(slices.Values(slices.Concat(counts.slowdowns, counts.failedSlowdowns))))
 	}
 	for _, job := range counts.answered {
 		for _, starts := range job.starts {
@@ -136,7 +138,7 @@
 	return results
 }
 
-// quantile returns the 99th percentile of sorted, which must not be empty.
-func quantile(sorted []float64) float64 {
+// percentile99 returns the 99th percentile of sorted, which must not be empty.
+func percentile99(sorted []float64) float64 {
 	return sorted[int(math.Ceil(0.99*float64(len(sorted))))-1]
 }
--- a/measurer/deployment.go
+++ b/measurer/deployment.go
@@ -7,102 +7,106 @@
 )
 
 const (
-	// slowest and fastest are the speeds of runners relative to nominal, a factor of 4 apart.
-	slowest = 0.5
-	fastest = 2.0
-	// callerDelay and targetDelay are one-way delays; the latter is within a failure domain.
+	// slowestSpeed and fastestSpeed bound the speeds of runners relative to the nominal speed, a factor of 4 apart.
+	slowestSpeed = 0.5
+	fastestSpeed = 2.0
+	// callerDelay and targetDelay are one-way network delays between callers and instances, and between instances and
+	// targets of the same failure domain.
 	callerDelay = 3 * time.Millisecond
 	targetDelay = 250 * time.Microsecond
-	// listLag is how late the instance list shows a change.
+	// listLag is the time until the instance list shows a change.
 	listLag = 5 * time.Second
 )
 
-// Deployment is the layout and the weights of one user.
+// Deployment holds the instances, runners and policy weights of one deployment.
 type Deployment struct {
-	name         string
-	weights      [][]float64 // of the instances, by failure domain
-	runners      []int       // by failure domain
-	responseTime float64
-	wasted       float64
+	name                string
+	weights             [][]float64 // of the instances, by failure domain
+	runners             []int       // by failure domain
+	responseTimeWeight  float64
+	wastedMessageWeight float64
 }
 
 // Name returns the name of the deployment.
 func (deployment Deployment) Name() string { return deployment.name }
 
-// Deployments returns the deployments of the design.
+// Deployments returns the deployments that are measured.
 func Deployments() []Deployment {
 	return []Deployment{
 		{
-			name:         "thang-long",
-			weights:      [][]float64{{2, 1, 1}, {2, 1}, {1, 1}},
-			runners:      []int{17, 17, 16},
-			responseTime: 3, wasted: 1,
+			name:               "thang-long",
+			weights:            [][]float64{{2, 1, 1}, {2, 1}, {1, 1}},
+			runners:            []int{17, 17, 16},
+			responseTimeWeight: 3, wastedMessageWeight: 1,
 		},
 		{
-			name:         "chakra",
-			weights:      [][]float64{{2, 1, 1}, {2, 1}, {1, 1}, {3, 2}},
-			runners:      []int{13, 13, 12, 12},
-			responseTime: 1, wasted: 3,
+			name:               "chakra",
+			weights:            [][]float64{{2, 1, 1}, {2, 1}, {1, 1}, {3, 2}},
+			runners:            []int{13, 13, 12, 12},
+			responseTimeWeight: 1, wastedMessageWeight: 3,
 		},
 	}
 }
 
-// speeds returns the speeds of count runners: spread evenly on a logarithmic scale, in random order.
+// speeds returns the speeds of count runners, spread evenly on a logarithmic scale and in random order.
 //
-// An even spread gives all failure domains nearly the same capacity per runner,
-// since the load balancer knows numbers of runners but not speeds.
+// The even spread gives all failure domains nearly the same capacity per
+// runner, because the load balancer knows the numbers of runners, but not their
+// speeds.
 func speeds(count int, random *rand.Rand) []float64 {
 	speeds := make([]float64, count)
 	for i := range speeds {
-		speeds[i] = slowest * math.Pow(fastest/slowest, float64(i)/float64(count-1))
+		speeds[i] = slowestSpeed * math.Pow(fastestSpeed/slowestSpeed, float64(i)/float64(count-1))
 	}
 	random.Shuffle(count, func(i, j int) { speeds[i], speeds[j] = speeds[j], speeds[i] })
 	return speeds
 }
 
-// kind is one kind of task in the measured mix.
+// kind is one kind of task in the simulated load.
 type kind struct {
 	name     string
-	part     float64 // of the jobs
+	fraction float64 // of the jobs
 	runTime  time.Duration
-	deadline time.Duration
+	deadline time.Duration // shortest time from submission to deadline; the longest is twice that
 }
 
-// spread is the range of a task's run time around that of its kind.
-const spread = 0.3
+// runTimeSpread is the largest deviation of a task's nominal run time from that of its kind, as a fraction.
+const runTimeSpread = 0.3
 
+// kinds returns the mix of kinds in all loads.
 func kinds() []kind {
 	return []kind{
-		{name: "check", part: 0.45, runTime: 70 * time.Millisecond, deadline: 5 * time.Second},
-		{name: "plan", part: 0.30, runTime: 200 * time.Millisecond, deadline: 10 * time.Second},
-		{name: "quote", part: 0.23, runTime: 700 * time.Millisecond, deadline: 10 * time.Second},
-		{name: "survey", part: 0.02, runTime: 3 * time.Second, deadline: 30 * time.Second},
+		{name: "check", fraction: 0.45, runTime: 70 * time.Millisecond, deadline: 5 * time.Second},
+		{name: "plan", fraction: 0.30, runTime: 200 * time.Millisecond, deadline: 10 * time.Second},
+		{name: "quote", fraction: 0.23, runTime: 700 * time.Millisecond, deadline: 10 * time.Second},
+		{name: "survey", fraction: 0.02, runTime: 3 * time.Second, deadline: 30 * time.Second},
 	}
 }
 
+// drawKind returns a random kind according to the fractions of jobs.
 func drawKind(random *rand.Rand) kind {
 	draw := random.Float64()
 	for _, kind := range kinds() {
-		if draw -= kind.part; draw < 0 {
+		if draw -= kind.fraction; draw < 0 {
 			return kind
 		}
 	}
 	return kinds()[0]
 }
 
-// maxSize is the largest number of tasks in a job.
-const maxSize = 130
+// maxJobSize is the largest number of tasks in a job.
+const maxJobSize = 130
 
-// drawSize returns a job size; sizes are spread evenly on a logarithmic scale.
-func drawSize(random *rand.Rand) int {
-	return min(maxSize, int(math.Exp(random.Float64()*math.Log(maxSize+1))))
+// drawJobSize returns a random number of tasks with a logarithmically uniform distribution.
+func drawJobSize(random *rand.Rand) int {
+	return min(maxJobSize, int(math.Exp(random.Float64()*math.Log(maxJobSize+1))))
 }
 
-// meanWork returns the mean nominal run time of a whole job, in seconds.
-func meanWork() float64 {
+// meanJobWork returns the mean nominal run time of all tasks of a job, in seconds.
+func meanJobWork() float64 {
 	var mean float64
 	for _, kind := range kinds() {
-		mean += kind.part * kind.runTime.Seconds()
+		mean += kind.fraction * kind.runTime.Seconds()
 	}
-	return mean * maxSize / math.Log(maxSize+1)
+	return mean * maxJobSize / math.Log(maxJobSize+1)
 }
--- a/measurer/doc.go
+++ b/measurer/doc.go
@@ -1,3 +1,3 @@
-// Package measurer compares routing policies: it runs the decision packages
-// router and limiter against small stand-ins of targets in virtual time.
+// Package measurer compares routing policies by simulation: it runs the
+// packages router and limiter against simulated targets in virtual time.
 package measurer
--- a/measurer/instance.go
+++ b/measurer/instance.go
@@ -7,10 +7,10 @@
 	"github.com/hyssoplift/hyssoplift/router"
 )
 
-// tick is how often an instance looks for expired jobs and tries the queue again.
-const tick = 20 * time.Millisecond
+// tickInterval is how often an instance expires jobs and tries to start waiting tasks.
+const tickInterval = 20 * time.Millisecond
 
-// instance is an entry instance around the decision packages.
+// instance is a simulated instance with a real limiter and router.
 type instance struct {
 	cluster *cluster
 	domain  *domain
@@ -18,36 +18,36 @@
 	router  *router.Router
 	runners map[string]*runner
 	jobs    map[limiter.Ticket]*progress
-	retries []*attempt // granted tasks whose start was refused
+	retries []*attempt // granted tasks whose start was refused and is to be repeated
 }
 
 // progress is the state of one job at an instance.
 type progress struct {
-	job      *job
-	ticket   limiter.Ticket
-	started  int
-	finished int
-	inFlight int
-	failed   bool
-	answered bool
-	attempts []*attempt
+	job           *job
+	ticket        limiter.Ticket
+	tasksStarted  int
+	tasksFinished int
+	tasksInFlight int
+	failed        bool
+	answered      bool
+	attempts      []*attempt
 }
 
-// attempt is one granted task.
+// attempt is the execution of one granted task, including repeated starts.
 type attempt struct {
 	progress *progress
 	task     int
 	grant    limiter.Grant
 	choice   router.Choice
-	open     bool // a start is in flight
+	pending  bool // a start is in flight; in the naive variant, the task has not finished
 }
 
-func newInstance(cluster *cluster, domain *domain, config router.Config, declared map[string]time.Duration) *instance {
+func newInstance(cluster *cluster, domain *domain, config router.Config, declaredRunTimes map[string]time.Duration) *instance {
 	limits := limiter.Config{
 		Kinds: make(map[string]limiter.KindLimits), Order: cluster.variant.order,
 		ResponseTimeWeight: config.ResponseTimeWeight, WastedMessageWeight: config.WastedMessageWeight,
 	}
-	for name, runTime := range declared {
+	for name, runTime := range declaredRunTimes {
 		limits.Kinds[name] = limiter.KindLimits{RunTime: runTime}
 	}
 	instance := &instance{
@@ -60,19 +60,19 @@
 	for _, runner := range domain.runners {
 		instance.runners[runner.name] = runner
 	}
-	instance.refresh()
+	instance.updateSnapshot()
 	if !cluster.variant.naive {
-		cluster.clock.after(tick, instance.tick)
+		cluster.clock.after(tickInterval, instance.tick)
 	}
 	return instance
 }
 
-// refresh reads the instance list.
-func (instance *instance) refresh() {
+// updateSnapshot passes the current instance list to the router, and does so again every snapshotInterval.
+func (instance *instance) updateSnapshot() {
 	clock := instance.cluster.clock
 	instance.router.Update(instance.domain.snapshot(), clock.now)
-	if clock.now.Sub(start) < runLength {
-		clock.after(snapshotPeriod, instance.refresh)
+	if clock.now.Sub(startTime) < runLength {
+		clock.after(snapshotInterval, instance.updateSnapshot)
 	}
 }
 
@@ -81,13 +81,13 @@
 	for _, expired := range instance.limiter.Expire(clock.now) {
 		instance.expire(instance.jobs[expired.Ticket()], expired)
 	}
-	instance.pump()
-	if clock.now.Sub(start) < runLength || len(instance.jobs) > 0 {
-		clock.after(tick, instance.tick)
+	instance.startTasks()
+	if clock.now.Sub(startTime) < runLength || len(instance.jobs) > 0 {
+		clock.after(tickInterval, instance.tick)
 	}
 }
 
-// expire answers a job whose deadline passed in the queue; one that has started is answered at its deadline.
+// expire refuses a job whose deadline passed in the queue. A job that has started is answered by failAtDeadline.
 func (instance *instance) expire(progress *progress, expired limiter.Expired) {
 	if expired.Granted() == 0 {
 		instance.refuse(progress)
@@ -97,53 +97,54 @@
 func (instance *instance) refuse(progress *progress) {
 	progress.answered = true
 	delete(instance.jobs, progress.ticket)
-	instance.cluster.counts.refuse(progress)
+	instance.cluster.counts.recordRefused(progress)
 }
 
-// take handles a job that arrives at the instance.
-func (instance *instance) take(job *job) {
+// handle admits or refuses a job that arrives at the instance.
+func (instance *instance) handle(job *job) {
 	if instance.cluster.variant.naive {
-		instance.takeNaive(job)
+		instance.handleNaive(job)
 		return
 	}
 	clock := instance.cluster.clock
 	progress := &progress{job: job}
-	switch verdict := instance.limiter.Admit(limiter.NewJob(job.kind.name, "team", len(job.tasks), job.deadline), clock.now).(type) {
+	switch decision := instance.limiter.Admit(limiter.NewJob(job.kind.name, "team", len(job.tasks), job.deadline), clock.now).(type) {
 	case limiter.Runnable:
-		progress.ticket = verdict.Ticket()
+		progress.ticket = decision.Ticket()
 	case limiter.Queued:
-		progress.ticket = verdict.Ticket()
+		progress.ticket = decision.Ticket()
 	case limiter.Refused:
-		instance.cluster.counts.refuse(progress)
+		instance.cluster.counts.recordRefused(progress)
 		return
 	}
 	instance.jobs[progress.ticket] = progress
-	clock.after(job.deadline.Sub(clock.now), func() { instance.overrun(progress) })
-	if job.cancel {
+	clock.after(job.deadline.Sub(clock.now), func() { instance.failAtDeadline(progress) })
+	if job.willCancel {
 		clock.after(cancelAfter, func() { instance.cancel(progress) })
 	}
-	instance.pump()
+	instance.startTasks()
 }
 
-// cancelAfter is the time from the arrival of a job to its cancellation.
+// cancelAfter is the time from the admission of a job to its cancellation.
 const cancelAfter = 100 * time.Millisecond
 
 func (instance *instance) cancel(progress *progress) {
 	if !progress.answered && instance.limiter.Cancel(progress.ticket) {
 		progress.answered = true
 		delete(instance.jobs, progress.ticket)
-		instance.cluster.counts.cancel(progress)
+		instance.cluster.counts.recordCancelled(progress)
 	}
 }
 
-// pump starts every task that the limiter grants and that finds a target; refused starts come first.
-func (instance *instance) pump() {
+// startTasks starts all tasks that the limiter grants and for which the router has a target. Tasks whose start was
+// refused come first, and no task is granted while one of them waits.
+func (instance *instance) startTasks() {
 	now := instance.cluster.clock.now
 	waiting := instance.retries
 	instance.retries = nil
 	for _, attempt := range waiting {
 		if attempt.progress.failed {
-			instance.settle(attempt)
+			instance.finishAttempt(attempt)
 			continue
 		}
 		if choice, ok := instance.router.Pick(attempt.progress.job.kind.name, now); ok {
@@ -167,19 +168,19 @@
 			return
 		}
 		progress := instance.jobs[grant.Ticket()]
-		attempt := &attempt{progress: progress, task: progress.started, grant: grant, choice: choice}
-		progress.started++
-		progress.inFlight++
+		attempt := &attempt{progress: progress, task: progress.tasksStarted, grant: grant, choice: choice}
+		progress.tasksStarted++
+		progress.tasksInFlight++
 		progress.attempts = append(progress.attempts, attempt)
 		instance.send(attempt)
 	}
 }
 
-// send starts the task of attempt at its target.
+// send sends the task of attempt to its target.
 func (instance *instance) send(attempt *attempt) {
 	clock, job := instance.cluster.clock, attempt.progress.job
-	instance.cluster.counts.start(job)
-	attempt.open = true
+	instance.cluster.counts.recordStart(job)
+	attempt.pending = true
 	choice := attempt.choice
 	clock.after(targetDelay, func() {
 		instance.runners[choice.Name()].start(job, attempt.task, func(answer answer) {
@@ -188,63 +189,63 @@
 	})
 }
 
-// receive handles the answer of a target; an answer to a job that was answered before is wasted.
+// receive handles the answer of a target. An answer that arrives after the job was answered is wasted.
 func (instance *instance) receive(attempt *attempt, choice router.Choice, answer answer) {
 	counts, progress, now := &instance.cluster.counts, attempt.progress, instance.cluster.clock.now
-	counts.answer(progress.job)
-	if !attempt.open {
-		counts.waste(progress.job, 1)
+	counts.recordAnswer(progress.job)
+	if !attempt.pending {
+		counts.recordWaste(progress.job, 1)
 		return
 	}
-	attempt.open = false
+	attempt.pending = false
 	switch answer.status {
 	case finished:
 		instance.router.Done(choice, router.NewFinished(answer.runTime), now)
-		progress.finished++
-		instance.settle(attempt)
+		progress.tasksFinished++
+		instance.finishAttempt(attempt)
 	case failed:
 		instance.router.Done(choice, router.Failed{}, now)
-		instance.abandon(attempt)
-	case full, gone:
-		counts.waste(progress.job, 2)
-		instance.router.Done(choice, router.NewNotStarted(answer.status == gone), now)
+		instance.failAttempt(attempt)
+	case refusedFull, refusedLeaving:
+		counts.recordWaste(progress.job, 2)
+		instance.router.Done(choice, router.NewNotStarted(answer.status == refusedLeaving), now)
 		if instance.limiter.AllowRetry(now) && now.Before(progress.job.deadline) {
 			instance.retries = append(instance.retries, attempt)
 		} else {
-			instance.abandon(attempt)
+			instance.failAttempt(attempt)
 		}
 	}
-	instance.pump()
+	instance.startTasks()
 }
 
-// abandon ends a task without a result and gives up the rest of its job.
-func (instance *instance) abandon(attempt *attempt) {
+// failAttempt ends a task without a result, fails its job and drops the tasks of the job that were not granted.
+func (instance *instance) failAttempt(attempt *attempt) {
 	attempt.progress.failed = true
 	instance.limiter.Drop(attempt.progress.ticket)
-	instance.settle(attempt)
+	instance.finishAttempt(attempt)
 }
 
-// settle ends a task and answers its job when nothing of it is in flight any more.
-func (instance *instance) settle(attempt *attempt) {
+// finishAttempt ends a task, and answers its job if it is complete or if it failed and has no more tasks in flight.
+func (instance *instance) finishAttempt(attempt *attempt) {
 	progress, clock := attempt.progress, instance.cluster.clock
 	instance.limiter.Release(attempt.grant, clock.now)
-	progress.inFlight--
-	done := progress.finished == len(progress.job.tasks)
-	if progress.answered || (!done && !(progress.failed && progress.inFlight == 0)) {
+	progress.tasksInFlight--
+	done := progress.tasksFinished == len(progress.job.tasks)
+	if progress.answered || (!done && !(progress.failed && progress.tasksInFlight == 0)) {
 		return
 	}
 	progress.answered = true
 	delete(instance.jobs, progress.ticket)
 	if done {
-		instance.cluster.counts.complete(progress.job, clock.now.Add(callerDelay))
+		instance.cluster.counts.recordComplete(progress.job, clock.now.Add(callerDelay))
 		return
 	}
-	instance.cluster.counts.fail(progress.job)
+	instance.cluster.counts.recordFailed(progress.job)
 }
 
-// overrun answers a job whose deadline passes after its start; starts in flight are lost.
-func (instance *instance) overrun(progress *progress) {
-	if progress.answered || progress.started == 0 {
+// failAtDeadline fails a job that started but is not complete at its deadline. Its starts in flight count as lost.
+func (instance *instance) failAtDeadline(progress *progress) {
+	if progress.answered || progress.tasksStarted == 0 {
 		return
 	}
 	now := instance.cluster.clock.now
@@ -260,13 +261,13 @@
 	}
 	instance.retries = kept
 	for _, attempt := range progress.attempts {
-		if attempt.open {
-			attempt.open = false
+		if attempt.pending {
+			attempt.pending = false
 			instance.router.Done(attempt.choice, router.Lost{}, now)
 			instance.limiter.Release(attempt.grant, now)
 		}
 	}
 	progress.answered = true
 	delete(instance.jobs, progress.ticket)
-	instance.cluster.counts.fail(progress.job)
+	instance.cluster.counts.recordFailed(progress.job)
 }
--- a/measurer/load.go
+++ b/measurer/load.go
@@ -7,33 +7,33 @@
 )
 
 const (
-	// warmUp is the time in which speeds are learned and jobs aren't counted.
+	// warmUp is the time at the start of a run in which the routers learn the speeds and jobs are not counted.
 	warmUp = 10 * time.Second
-	// faultFrom and faultUntil bound the faults; runLength ends the submissions.
-	faultFrom  = 20 * time.Second
-	faultUntil = 50 * time.Second
+	// faultStart and faultEnd bound the faults; submissions end at runLength.
+	faultStart = 20 * time.Second
+	faultEnd   = 50 * time.Second
 	runLength  = 60 * time.Second
-	// connectTimeout is how long the load balancer waits for an instance that is cut off.
+	// connectTimeout is the time that the load balancer waits for an instance that it cannot reach.
 	connectTimeout = time.Second
 )
 
-// Load is a pattern of submissions with the faults that accompany it.
+// Load is a pattern of job submissions and faults.
 type Load struct {
-	name        string
-	utilization float64
-	burst       float64       // factor of submissions from faultFrom on
-	burstLength time.Duration // length of the burst
-	cut         bool          // the first failure domain is cut off
-	slowed      float64       // part of the runners that slow down by slowFactor
-	broken      int           // runners that get fault
-	fault       fault
-	restarts    bool    // one runner leaves every second and returns ten seconds later
-	cancelled   float64 // part of the jobs of the first five seconds of the fault that is cancelled
-	wrong       float64 // factor up to which declared run times are wrong
+	name           string
+	utilization    float64
+	burstFactor    float64       // relative rate of submissions during the burst, which begins at faultStart
+	burstLength    time.Duration // 0 means no burst
+	partitioned    bool          // callers cannot reach the first failure domain
+	slowFraction   float64       // fraction of the runners that slow down by slowdownFactor
+	faultyRunners  int           // number of runners with the fault
+	fault          fault
+	rollingRestart bool    // one runner leaves every second and returns 10 s later
+	cancelFraction float64 // fraction of cancelled jobs among those of the first 5 s from faultStart on
+	runTimeError   float64 // largest factor by which declared run times are too long or too short; 0 means exact ones
 }
 
-// slowFactor is how much slower a slowed runner gets.
-const slowFactor = 5
+// slowdownFactor is the factor by which slow runners slow down.
+const slowdownFactor = 5
 
 // Name returns the name of the load.
 func (load Load) Name() string { return load.name }
@@ -43,105 +43,107 @@
 	return []Load{
 		{name: "steady-60", utilization: 0.6},
 		{name: "steady-90", utilization: 0.9},
-		{name: "burst", utilization: 0.6, burst: 3, burstLength: 10 * time.Second},
-		{name: "domain-cut", utilization: 0.6, cut: true},
-		{name: "slow-fifth", utilization: 0.6, slowed: 0.2},
-		{name: "two-failing", utilization: 0.6, broken: 2, fault: failing},
-		{name: "two-frozen", utilization: 0.6, broken: 2, fault: frozen},
-		{name: "restarts", utilization: 0.6, restarts: true},
-		{name: "cancellations", utilization: 0.9, cancelled: 0.5},
-		{name: "wrong-run-times", utilization: 0.9, wrong: 10},
+		{name: "burst", utilization: 0.6, burstFactor: 3, burstLength: 10 * time.Second},
+		{name: "domain-cut", utilization: 0.6, partitioned: true},
+		{name: "slow-fifth", utilization: 0.6, slowFraction: 0.2},
+		{name: "two-failing", utilization: 0.6, faultyRunners: 2, fault: failing},
+		{name: "two-frozen", utilization: 0.6, faultyRunners: 2, fault: frozen},
+		{name: "restarts", utilization: 0.6, rollingRestart: true},
+		{name: "cancellations", utilization: 0.9, cancelFraction: 0.5},
+		{name: "wrong-run-times", utilization: 0.9, runTimeError: 10},
 	}
 }
 
 // job is one submitted job; tasks holds nominal run times.
 type job struct {
-	kind     kind
-	tasks    []time.Duration
-	starts   []int // how often each task started
-	at       time.Time
-	deadline time.Time
-	counted  bool
-	cancel   bool
+	kind        kind
+	tasks       []time.Duration
+	starts      []int // number of starts of each task
+	submittedAt time.Time
+	deadline    time.Time
+	counted     bool
+	willCancel  bool
 }
 
-// ideal returns the response time on idle targets of the fastest speed with one network trip each way.
-func (job *job) ideal() time.Duration {
+// idealResponseTime returns the response time if all tasks start at once on idle targets of the fastest speed.
+func (job *job) idealResponseTime() time.Duration {
 	var longest time.Duration
 	for _, task := range job.tasks {
 		longest = max(longest, task)
 	}
-	return time.Duration(float64(longest)/fastest) + 2*(callerDelay+targetDelay)
+	return time.Duration(float64(longest)/fastestSpeed) + 2*(callerDelay+targetDelay)
 }
 
-func drawJob(random *rand.Rand, at time.Time) *job {
+// drawJob returns a random job of the mix of kinds.
+func drawJob(random *rand.Rand, submittedAt time.Time) *job {
 	kind := drawKind(random)
-	tasks := make([]time.Duration, drawSize(random))
+	tasks := make([]time.Duration, drawJobSize(random))
 	for i := range tasks {
-		tasks[i] = time.Duration(float64(kind.runTime) * (1 - spread + 2*spread*random.Float64()))
+		tasks[i] = time.Duration(float64(kind.runTime) * (1 - runTimeSpread + 2*runTimeSpread*random.Float64()))
 	}
-	deadline := at.Add(time.Duration(float64(kind.deadline) * (1 + random.Float64())))
-	return &job{kind: kind, tasks: tasks, starts: make([]int, len(tasks)), at: at, deadline: deadline, counted: !at.Before(start.Add(warmUp))}
+	deadline := submittedAt.Add(time.Duration(float64(kind.deadline) * (1 + random.Float64())))
+	return &job{kind: kind, tasks: tasks, starts: make([]int, len(tasks)), submittedAt: submittedAt, deadline: deadline, counted: !submittedAt.Before(startTime.Add(warmUp))}
 }
 
-// declared returns the run time that the bundle declares for kind.
-func (load Load) declared(kind kind, random *rand.Rand) time.Duration {
-	if load.wrong == 0 {
+// declaredRunTime returns the run time that the configuration declares for kind, which may be wrong by runTimeError.
+func (load Load) declaredRunTime(kind kind, random *rand.Rand) time.Duration {
+	if load.runTimeError == 0 {
 		return kind.runTime
 	}
-	return time.Duration(float64(kind.runTime) * math.Pow(load.wrong, 2*random.Float64()-1))
+	return time.Duration(float64(kind.runTime) * math.Pow(load.runTimeError, 2*random.Float64()-1))
 }
 
-// submit schedules the submissions of the load.
-func (cluster *cluster) submit() {
-	rate := cluster.load.utilization * cluster.capacity() / meanWork()
+// scheduleJobs schedules the job submissions of the load as a Poisson process.
+func (cluster *cluster) scheduleJobs() {
+	rate := cluster.load.utilization * cluster.capacity() / meanJobWork()
 	var next func()
 	next = func() {
-		since := cluster.clock.now.Sub(start)
-		if since >= runLength {
+		elapsed := cluster.clock.now.Sub(startTime)
+		if elapsed >= runLength {
 			return
 		}
-		now := rate
-		if since >= faultFrom && since < faultFrom+cluster.load.burstLength {
-			now *= cluster.load.burst
+		currentRate := rate
+		if elapsed >= faultStart && elapsed < faultStart+cluster.load.burstLength {
+			currentRate *= cluster.load.burstFactor
 		}
-		job := drawJob(cluster.jobs, cluster.clock.now)
-		job.cancel = since >= faultFrom && since < faultFrom+5*time.Second && cluster.jobs.Float64() < cluster.load.cancelled
+		job := drawJob(cluster.jobRandom, cluster.clock.now)
+		job.willCancel = elapsed >= faultStart && elapsed < faultStart+5*time.Second && cluster.jobRandom.Float64() < cluster.load.cancelFraction
 		cluster.submitted++
-		cluster.clock.after(callerDelay, func() { cluster.balance(job) })
-		cluster.clock.after(time.Duration(cluster.jobs.ExpFloat64()/now*float64(time.Second)), next)
+		cluster.clock.after(callerDelay, func() { cluster.routeJob(job) })
+		cluster.clock.after(time.Duration(cluster.jobRandom.ExpFloat64()/currentRate*float64(time.Second)), next)
 	}
 	cluster.clock.after(0, next)
 }
 
-// schedule schedules the faults of the load.
-func (cluster *cluster) schedule() {
+// scheduleFaults schedules the faults of the load.
+func (cluster *cluster) scheduleFaults() {
 	clock, load := cluster.clock, cluster.load
-	order := cluster.faults.Perm(len(cluster.runners))
-	change := func(count int, begin, end func(*runner)) {
+	order := cluster.faultRandom.Perm(len(cluster.runners))
+	scheduleChange := func(count int, begin, end func(*runner)) {
 		for _, i := range order[:count] {
-			clock.after(faultFrom, func() { begin(cluster.runners[i]) })
-			clock.after(faultUntil, func() { end(cluster.runners[i]) })
+			clock.after(faultStart, func() { begin(cluster.runners[i]) })
+			clock.after(faultEnd, func() { end(cluster.runners[i]) })
 		}
 	}
-	slowed := int(load.slowed * float64(len(cluster.runners)))
-	change(slowed, func(runner *runner) { runner.speed /= slowFactor }, func(runner *runner) { runner.speed *= slowFactor })
-	change(load.broken, func(runner *runner) { runner.fault = load.fault }, func(runner *runner) { runner.fault = none })
-	if load.cut {
-		clock.after(faultFrom, func() { cluster.cut, cluster.cutListed = true, false })
-		clock.after(faultFrom+listLag, func() { cluster.cutListed = true })
-		clock.after(faultUntil, func() { cluster.cut = false })
+	slowRunners := int(load.slowFraction * float64(len(cluster.runners)))
+	scheduleChange(slowRunners, func(runner *runner) { runner.speed /= slowdownFactor }, func(runner *runner) { runner.speed *= slowdownFactor })
+	scheduleChange(load.faultyRunners, func(runner *runner) { runner.fault = load.fault }, func(runner *runner) { runner.fault = noFault })
+	if load.partitioned {
+		clock.after(faultStart, func() { cluster.partitioned, cluster.partitionDetected = true, false })
+		clock.after(faultStart+listLag, func() { cluster.partitionDetected = true })
+		clock.after(faultEnd, func() { cluster.partitioned = false })
 	}
-	for second := faultFrom; load.restarts && second < faultUntil; second += time.Second {
-		cluster.restart(cluster.runners[order[int(second/time.Second)%len(order)]], second)
+	for leaveAt := faultStart; load.rollingRestart && leaveAt < faultEnd; leaveAt += time.Second {
+		cluster.scheduleRestart(cluster.runners[order[int(leaveAt/time.Second)%len(order)]], leaveAt)
 	}
 }
 
-// restart makes runner leave at second; the instance list shows both changes late.
-func (cluster *cluster) restart(runner *runner, second time.Duration) {
-	const away = 10 * time.Second
-	cluster.clock.after(second, func() { runner.fault = leaving })
-	cluster.clock.after(second+listLag, func() { runner.listed = true })
-	cluster.clock.after(second+away, func() { runner.fault = none })
-	cluster.clock.after(second+away+listLag, func() { runner.listed = false })
+// scheduleRestart makes runner leave at leaveAt and return after its downtime. The instance list shows both changes
+// after listLag.
+func (cluster *cluster) scheduleRestart(runner *runner, leaveAt time.Duration) {
+	const downtime = 10 * time.Second
+	cluster.clock.after(leaveAt, func() { runner.fault = leaving })
+	cluster.clock.after(leaveAt+listLag, func() { runner.listedLeaving = true })
+	cluster.clock.after(leaveAt+downtime, func() { runner.fault = noFault })
+	cluster.clock.after(leaveAt+downtime+listLag, func() { runner.listedLeaving = false })
 }
--- a/measurer/measurer_test.go
+++ b/measurer/measurer_test.go
@@ -8,8 +8,8 @@
 	"github.com/hyssoplift/hyssoplift/router"
 )
 
-// Guards against tasks that start twice and untrue refusals under every load, against a policy that is worse
-// than the naive version, and against figures that a second run does not reproduce.
+// Guards against tasks that start twice and jobs that start despite a refusal under any load, against a default policy
+// that is worse than the naive variant, and against results that differ between runs with the same seed.
 func TestChosenPolicy(t *testing.T) {
 	is := is.New(t)
 	seeds := []uint64{1}
@@ -23,15 +23,15 @@
 		is.Equal(results.StartedTwice, 0)
 		is.Equal(results.UntrueRefusals, 0)
 		is.True(results.WastedRatio < 0.01)
-		naive := Measure(deployment, load, Variant{naive: true, policy: router.Random{}, keepOutliers: true}, seeds)
-		is.True(naive.StartedTwice > 0) // the count of broken promises works
+		naive := Measure(deployment, load, Variant{naive: true, policy: router.Random{}, disableEjection: true}, seeds)
+		is.True(naive.StartedTwice > 0) // repeated starts are counted
 		is.True(results.P99WithFailed < naive.P99WithFailed/2)
 	}
 	chosen := Variant{policy: router.LeastExpectedCompletion{}}
 	is.Equal(Measure(Deployments()[0], loads[0], chosen, seeds), Measure(Deployments()[0], loads[0], chosen, seeds))
 }
 
-// Guards against jobs that a run forgets: every submitted job is answered, refused or cancelled.
+// Guards against jobs that are lost in a run: every submitted job must be answered, refused or cancelled.
 func TestEveryJobIsCounted(t *testing.T) {
 	is := is.New(t)
 	for _, load := range []string{"burst", "two-frozen", "cancellations"} {
--- a/measurer/naive.go
+++ b/measurer/naive.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// naiveTimeoutRatio and naiveTimeoutFloor make the timeout of the naive version from the run time of a
-	// kind: twice what the slowest runner needs.
+	// The timeout of the naive variant is naiveTimeoutRatio times the run time of the kind, about twice the time that
+	// the slowest runner needs, and at least minNaiveTimeout.
 	naiveTimeoutRatio = 5
-	naiveTimeoutFloor = time.Second
-	// naiveTries is the number of starts of one task by the naive version.
-	naiveTries = 3
+	minNaiveTimeout   = time.Second
+	// maxNaiveTries is the largest number of starts of one task in the naive variant.
+	maxNaiveTries = 3
 )
 
-// takeNaive starts every task at once on a random target and again on timeout or refusal.
-func (instance *instance) takeNaive(job *job) {
+// handleNaive starts all tasks of job at once on random targets, and starts a task again after a timeout or refusal.
+func (instance *instance) handleNaive(job *job) {
 	clock := instance.cluster.clock
-	progress := &progress{job: job, inFlight: len(job.tasks)}
+	progress := &progress{job: job, tasksInFlight: len(job.tasks)}
 	for i := range job.tasks {
-		attempt := &attempt{progress: progress, task: i, open: true}
-		instance.tryNaive(attempt, 1)
+		attempt := &attempt{progress: progress, task: i, pending: true}
+		instance.startNaive(attempt, 1)
 	}
 	clock.after(job.deadline.Sub(clock.now), func() { instance.failNaive(progress) })
 }
 
-func (instance *instance) tryNaive(attempt *attempt, try int) {
+func (instance *instance) startNaive(attempt *attempt, try int) {
 	clock, progress, counts := instance.cluster.clock, attempt.progress, &instance.cluster.counts
 	job := progress.job
 	choice, ok := instance.router.Pick(job.kind.name, clock.now)
@@ -34,38 +34,38 @@
 		instance.failNaive(progress)
 		return
 	}
-	// The naive version keeps no counts, so every choice is given back at once.
+	// The naive variant does not limit the tasks in flight, so every choice ends at once.
 	instance.router.Done(choice, router.Failed{}, clock.now)
-	counts.start(job)
+	counts.recordStart(job)
 	retried := false
 	retry := func() {
-		if !retried && attempt.open && !progress.answered {
+		if !retried && attempt.pending && !progress.answered {
 			retried = true
-			if try == naiveTries {
+			if try == maxNaiveTries {
 				instance.failNaive(progress)
 				return
 			}
-			instance.tryNaive(attempt, try+1)
+			instance.startNaive(attempt, try+1)
 		}
 	}
-	clock.after(max(naiveTimeoutFloor, naiveTimeoutRatio*job.kind.runTime), retry)
+	clock.after(max(minNaiveTimeout, naiveTimeoutRatio*job.kind.runTime), retry)
 	receive := func(answer answer) {
-		counts.answer(job)
+		counts.recordAnswer(job)
 		switch {
-		case answer.status == full || answer.status == gone:
-			counts.waste(job, 2)
+		case answer.status == refusedFull || answer.status == refusedLeaving:
+			counts.recordWaste(job, 2)
 			retry()
-		case !attempt.open || progress.answered:
-			// The start and the answer of a second try change nothing if the first one answers, and vice versa.
-			counts.waste(job, 2)
+		case !attempt.pending || progress.answered:
+			// The task or the job was answered before, so neither this start nor its answer had an effect.
+			counts.recordWaste(job, 2)
 		case answer.status == failed:
 			instance.failNaive(progress)
 		default:
-			attempt.open = false
-			progress.finished++
-			if progress.finished == len(job.tasks) {
+			attempt.pending = false
+			progress.tasksFinished++
+			if progress.tasksFinished == len(job.tasks) {
 				progress.answered = true
-				counts.complete(job, clock.now.Add(callerDelay))
+				counts.recordComplete(job, clock.now.Add(callerDelay))
 			}
 		}
 	}
@@ -79,6 +79,6 @@
 func (instance *instance) failNaive(progress *progress) {
 	if !progress.answered {
 		progress.answered = true
-		instance.cluster.counts.fail(progress.job)
+		instance.cluster.counts.recordFailed(progress.job)
 	}
 }
--- a/measurer/runner.go
+++ b/measurer/runner.go
@@ -3,23 +3,23 @@
 import "time"
 
 const (
-	// runnerSlots and runnerConnections are those of the deployments' runners; all instances of a failure
-	// domain share the connections.
+	// runnerSlots and runnerConnections are the numbers of slots and connections of each runner; all instances of a
+	// failure domain share the connections.
 	runnerSlots       = 8
 	runnerConnections = 60
 )
 
-// fault is what a runner does wrong.
+// fault is the fault of a runner.
 type fault int
 
 const (
-	none    fault = iota
-	failing       // reports an error at once
+	noFault fault = iota
+	failing       // reports an error immediately
 	frozen        // starts tasks and never answers
-	leaving       // answers 503
+	leaving       // refuses tasks with status 503
 )
 
-// answer is what a runner says about one task.
+// answer is the answer of a runner to the start of a task.
 type answer struct {
 	status  status
 	runTime time.Duration
@@ -31,47 +31,49 @@
 const (
 	finished status = iota
 	failed
-	full
-	gone
+	refusedFull
+	refusedLeaving
 )
 
-// runner is a stand-in of a target: slots that differ in speed, and a queue up to its connections.
+// runner is a simulated target that runs tasks in its slots at its own speed, and queues further tasks up to its
+// number of connections.
 type runner struct {
-	clock   *clock
-	name    string
-	speed   float64
-	fault   fault
-	listed  bool // the instance list shows the runner as leaving
-	running int
-	waiting []func()
+	clock         *clock
+	name          string
+	speed         float64
+	fault         fault
+	listedLeaving bool // the instance list shows the runner as leaving
+	running       int
+	waiting       []func()
 }
 
-// start takes a task of job and calls reply with the answer, if it ever answers.
+// start starts or queues a task of job and calls reply with the answer, unless the runner is frozen.
 func (runner *runner) start(job *job, task int, reply func(answer)) {
 	if runner.fault == leaving {
-		reply(answer{status: gone})
+		reply(answer{status: refusedLeaving})
 		return
 	}
 	if runner.running+len(runner.waiting) >= runnerConnections {
-		reply(answer{status: full})
+		reply(answer{status: refusedFull})
 		return
 	}
 	job.starts[task]++
-	nominal := job.tasks[task]
+	nominalRunTime := job.tasks[task]
 	switch {
 	case runner.fault == failing:
 		reply(answer{status: failed})
 	case runner.fault == frozen:
 	case runner.running < runnerSlots:
-		runner.run(nominal, reply)
+		runner.run(nominalRunTime, reply)
 	default:
-		runner.waiting = append(runner.waiting, func() { runner.run(nominal, reply) })
+		runner.waiting = append(runner.waiting, func() { runner.run(nominalRunTime, reply) })
 	}
 }
 
-func (runner *runner) run(nominal time.Duration, reply func(answer)) {
+// run runs a task with the given nominal run time in a free slot, and then starts the next waiting task.
+func (runner *runner) run(nominalRunTime time.Duration, reply func(answer)) {
 	runner.running++
-	runTime := time.Duration(float64(nominal) / runner.speed)
+	runTime := time.Duration(float64(nominalRunTime) / runner.speed)
 	runner.clock.after(runTime, func() {
 		runner.running--
 		if len(runner.waiting) > 0 {
--- a/measurer/table.go
+++ b/measurer/table.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// Options selects the cells of a table; an empty name selects all.
+// Options selects what WriteTables measures.
 type Options struct {
-	// Deployment, Load and Group are names.
+	// Deployment, Load and Group are names; an empty one selects all.
 	Deployment, Load, Group string
-	// Seeds is the number of runs per cell, with the seeds 1, 2, and so on.
+	// Seeds is the number of runs per variant and load, with the seeds 1, 2 and so on.
 	Seeds int
 }
 
-// WriteTables measures the selected cells and writes one table per deployment and group.
+// WriteTables measures the selected combinations and writes one Markdown table per deployment and group.
 func WriteTables(writer io.Writer, options Options) error {
 	seeds := make([]uint64, options.Seeds)
 	for i := range seeds {
--- a/measurer/variant.go
+++ b/measurer/variant.go
@@ -7,35 +7,35 @@
 	"github.com/hyssoplift/hyssoplift/router"
 )
 
-// Variant is one policy with the rules around it.
+// Variant is a routing policy together with the options of the router and the limiter.
 type Variant struct {
-	name         string
-	naive        bool
-	policy       router.Policy
-	order        limiter.Order
-	keepShare    bool
-	keepOutliers bool
-	responseTime float64 // with wasted, replaces the weights of the deployment unless both are 0
-	wasted       float64
+	name                string
+	naive               bool // baseline without a limiter; see handleNaive
+	policy              router.Policy
+	order               limiter.Order
+	disableBorrowing    bool
+	disableEjection     bool
+	responseTimeWeight  float64 // replaces, with wastedMessageWeight, the weights of the deployment unless both are 0
+	wastedMessageWeight float64
 }
 
 // Name returns the name of the variant.
 func (variant Variant) Name() string { return variant.name }
 
-// config returns the parameters of the router of one instance.
+// config returns the configuration of the router of one instance.
 func (variant Variant) config(deployment Deployment, share router.Share, seed uint64) router.Config {
 	config := router.Config{
 		Seed: seed, Policy: variant.policy, Share: share,
-		ResponseTimeWeight: deployment.responseTime, WastedMessageWeight: deployment.wasted,
-		DisableBorrowing: variant.keepShare, DisableEjection: variant.keepOutliers,
+		ResponseTimeWeight: deployment.responseTimeWeight, WastedMessageWeight: deployment.wastedMessageWeight,
+		DisableBorrowing: variant.disableBorrowing, DisableEjection: variant.disableEjection,
 	}
-	if variant.responseTime+variant.wasted > 0 {
-		config.ResponseTimeWeight, config.WastedMessageWeight = variant.responseTime, variant.wasted
+	if variant.responseTimeWeight+variant.wastedMessageWeight > 0 {
+		config.ResponseTimeWeight, config.WastedMessageWeight = variant.responseTimeWeight, variant.wastedMessageWeight
 	}
 	return config
 }
 
-// Group is a comparison of variants that differ in one rule.
+// Group is a set of variants that differ in one aspect and are compared with each other.
 type Group struct {
 	name     string
 	variants []Variant
@@ -47,47 +47,47 @@
 // Variants returns the variants that the group compares.
 func (group Group) Variants() []Variant { return group.variants }
 
-// Groups returns all comparisons; the names of the variants mark the rules in use.
+// Groups returns all groups; "(chosen)" in a name marks the variant that the system uses.
 func Groups() []Group {
-	least := router.LeastExpectedCompletion{}
+	leastExpected := router.LeastExpectedCompletion{}
 	return []Group{
 		{name: "policies", variants: []Variant{
-			{name: "naive", naive: true, policy: router.Random{}, keepOutliers: true},
+			{name: "naive", naive: true, policy: router.Random{}, disableEjection: true},
 			{name: "round robin", policy: router.RoundRobin{}},
 			{name: "least in flight", policy: router.LeastInFlight{}},
 			{name: "two choices", policy: router.PowerOfTwoChoices{}},
-			{name: "least expected (chosen)", policy: least},
+			{name: "least expected (chosen)", policy: leastExpected},
 		}},
 		{name: "orders", variants: []Variant{
-			{name: "arrival", policy: least, order: limiter.ByArrival{}},
-			{name: "deadline", policy: least, order: limiter.NewByDeadline(0)},
-			{name: "deadline by 2 s, remaining", policy: least, order: limiter.NewByDeadline(2 * time.Second)},
-			{name: "deadline by 10 s, remaining", policy: least, order: limiter.NewByDeadline(10 * time.Second)},
-			{name: "deadline by weight, remaining (chosen)", policy: least},
-			{name: "remaining", policy: least, order: limiter.ByRemainingWork{}},
+			{name: "arrival", policy: leastExpected, order: limiter.ByArrival{}},
+			{name: "deadline", policy: leastExpected, order: limiter.NewByDeadline(0)},
+			{name: "deadline by 2 s, remaining", policy: leastExpected, order: limiter.NewByDeadline(2 * time.Second)},
+			{name: "deadline by 10 s, remaining", policy: leastExpected, order: limiter.NewByDeadline(10 * time.Second)},
+			{name: "deadline by weight, remaining (chosen)", policy: leastExpected},
+			{name: "remaining", policy: leastExpected, order: limiter.ByRemainingWork{}},
 		}},
 		{name: "shares", variants: []Variant{
-			{name: "static", policy: least, keepShare: true},
-			{name: "borrowed (chosen)", policy: least},
+			{name: "static", policy: leastExpected, disableBorrowing: true},
+			{name: "borrowed (chosen)", policy: leastExpected},
 		}},
 		{name: "ejection", variants: []Variant{
-			{name: "off", policy: least, keepOutliers: true},
-			{name: "on (chosen)", policy: least},
+			{name: "off", policy: leastExpected, disableEjection: true},
+			{name: "on (chosen)", policy: leastExpected},
 		}},
 		{name: "weights", variants: []Variant{
-			{name: "response time only", policy: least, responseTime: 1},
-			{name: "3 to 1 (thang-long)", policy: least, responseTime: 3, wasted: 1},
-			{name: "1 to 3 (chakra)", policy: least, responseTime: 1, wasted: 3},
-			{name: "wasted messages only", policy: least, wasted: 1},
+			{name: "response time only", policy: leastExpected, responseTimeWeight: 1},
+			{name: "3 to 1 (thang-long)", policy: leastExpected, responseTimeWeight: 3, wastedMessageWeight: 1},
+			{name: "1 to 3 (chakra)", policy: leastExpected, responseTimeWeight: 1, wastedMessageWeight: 3},
+			{name: "wasted messages only", policy: leastExpected, wastedMessageWeight: 1},
 		}},
 	}
 }
 
-// Measure runs variant with each of the seeds and returns the figures over all runs.
+// Measure simulates variant with each of the seeds and returns the results over all runs.
 func Measure(deployment Deployment, load Load, variant Variant, seeds []uint64) Results {
 	var sums counts
 	for _, seed := range seeds {
 		sums.add(newCluster(deployment, load, variant, seed).run())
 	}
-	return sums.figures()
+	return sums.results()
 }
