--- a/limiter/api.go
+++ b/limiter/api.go
@@ -10,7 +10,8 @@
 type KindLimits struct {
 	// MaxTasks is the largest number of tasks in one job; 0 means dispatcher.MaxTasks.
 	MaxTasks int
-	// MaxInFlight is the largest number of tasks that may run at once; 0 means no limit, and a negative number allows none.
+	// MaxInFlight is the largest number of tasks that may run at once; 0 means no limit, and a negative number allows
+	// none.
 	MaxInFlight int
 	// RunTime is the declared run time of one task, which is used until the first measured run time replaces it.
 	RunTime time.Duration
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -171,7 +171,8 @@
 	}
 }
 
-// affectedJobs places 60 jobs of 1 to 20 tasks on 48 workers in racks of 8 and returns how many jobs use the first rack.
+// affectedJobs places 60 jobs of 1 to 20 tasks on 48 workers in racks of 8 and returns the number of jobs that use the
+// first rack.
 func affectedJobs(near string) int {
 	random := rand.New(rand.NewPCG(5, 6))
 	subject := placer.New(rand.New(rand.NewPCG(3, 4)))
