--- a/limiter/entry.go
+++ b/limiter/entry.go
@@ -103,11 +103,11 @@
 
 // expectedWait returns the expected time until the tasks ahead of a new entry have been granted.
 //
-// It divides the work ahead by the number of tasks that run at once, separately
-// for all jobs, for the entry's team and for its kind, and returns the longest
-// of the three. Jobs at the limit of their team or kind do not delay other
-// jobs. As long as targets have never run out of room, the work ahead of all
-// teams causes no wait.
+// It divides the work ahead by the number of tasks that run at once: for all
+// jobs and, if they are at their limits, for the entry's team and for its kind.
+// The longest of these waits counts. Jobs at the limit of their team or kind do
+// not delay other jobs. Until targets have run out of room for the first time,
+// the work ahead of all jobs causes no wait.
 func (limiter *Limiter) expectedWait(entry *entry) time.Duration {
 	var all, team, kind time.Duration
 	for _, ahead := range limiter.queue {
--- a/measurer/instance.go
+++ b/measurer/instance.go
@@ -76,6 +76,7 @@
 	}
 }
 
+// tick expires jobs and starts tasks, and does so again every tickInterval while jobs are submitted or unanswered.
 func (instance *instance) tick() {
 	clock := instance.cluster.clock
 	for _, expired := range instance.limiter.Expire(clock.now) {
