--- a/placer/placer.go
+++ b/placer/placer.go
@@ -13,11 +13,11 @@
 type Worker struct {
 	name  string
 	rack  string
-	total Size
+	total Resources
 }
 
 // NewWorker returns a worker named name in the given rack with the given total size.
-func NewWorker(name, rack string, total Size) Worker {
+func NewWorker(name, rack string, total Resources) Worker {
 	return Worker{name: name, rack: rack, total: total}
 }
 
@@ -28,7 +28,7 @@
 func (worker Worker) Rack() string { return worker.rack }
 
 // Total returns the worker's total size.
-func (worker Worker) Total() Size { return worker.total }
+func (worker Worker) Total() Resources { return worker.total }
 
 // Decision is the result of Place: Placed, Full or Impossible.
 type Decision interface{ isDecision() }
@@ -36,7 +36,7 @@
 // Placed means that the size was reserved on a worker; it must be passed to Release.
 type Placed struct {
 	worker  Worker
-	granted Size
+	granted Resources
 	id      uint64
 }
 
@@ -44,7 +44,7 @@
 type Full struct{}
 
 // Impossible means that the task is larger than every worker.
-type Impossible struct{ largest Size }
+type Impossible struct{ largest Resources }
 
 func (Placed) isDecision()     {}
 func (Full) isDecision()       {}
@@ -54,19 +54,19 @@
 func (placed Placed) Worker() Worker { return placed.worker }
 
 // Granted returns the size to request in the lease.
-func (placed Placed) Granted() Size { return placed.granted }
+func (placed Placed) Granted() Resources { return placed.granted }
 
 // Largest returns the largest size of any worker, separately for each dimension.
-func (impossible Impossible) Largest() Size { return impossible.largest }
+func (impossible Impossible) Largest() Resources { return impossible.largest }
 
 // Result is how a placed task ended: Done, SizeExceeded, Failed or NotStarted.
 type Result interface{ isResult() }
 
 // Done means that the task ended on its own, with the peak usage that the worker reported.
-type Done struct{ peak Size }
+type Done struct{ peak Resources }
 
-// SizeExceeded means that the worker throttled, checkpointed or stopped the task for exceeding its size.
-type SizeExceeded struct{ peak Size }
+// ResourcesExceeded means that the worker throttled, checkpointed or stopped the task for exceeding its size.
+type ResourcesExceeded struct{ peak Resources }
 
 // Failed means that the task failed on its worker for a reason other than its size.
 type Failed struct{}
@@ -74,23 +74,23 @@
 // NotStarted means that the task did not run, so that it says nothing about its size or its worker.
 type NotStarted struct{}
 
-func (Done) isResult()         {}
-func (SizeExceeded) isResult() {}
-func (Failed) isResult()       {}
-func (NotStarted) isResult()   {}
+func (Done) isResult()              {}
+func (ResourcesExceeded) isResult() {}
+func (Failed) isResult()            {}
+func (NotStarted) isResult()        {}
 
 // NewDone returns the result of a task that ended on its own with the given peak usage.
-func NewDone(peak Size) Done { return Done{peak: peak} }
+func NewDone(peak Resources) Done { return Done{peak: peak} }
 
-// NewSizeExceeded returns the result of a task that exceeded its size with the given peak usage.
-func NewSizeExceeded(peak Size) SizeExceeded { return SizeExceeded{peak: peak} }
+// NewResourcesExceeded returns the result of a task that exceeded its size with the given peak usage.
+func NewResourcesExceeded(peak Resources) ResourcesExceeded { return ResourcesExceeded{peak: peak} }
 
 // workerState is the placer's state of one worker.
 type workerState struct {
 	Worker
-	reserved Size
+	reserved Resources
 	// otherUsage is the last reported usage by tasks of other instances; it is valid until otherUsageUntil.
-	otherUsage      Size
+	otherUsage      Resources
 	otherUsageUntil time.Time
 	// suspendedUntil is the time from which the worker gets tasks again.
 	suspendedUntil      time.Time
@@ -98,7 +98,7 @@
 }
 
 // free returns the size that is neither reserved nor known to be used by other instances.
-func (workerState *workerState) free(now time.Time) Size {
+func (workerState *workerState) free(now time.Time) Resources {
 	free := workerState.total.subtract(workerState.reserved)
 	if now.Before(workerState.otherUsageUntil) {
 		free = free.subtract(workerState.otherUsage)
@@ -114,7 +114,7 @@
 type reservation struct {
 	worker  string
 	kind    string
-	granted Size
+	granted Resources
 }
 
 // Placer places tasks on the workers of one service; it is safe for concurrent use.
@@ -125,7 +125,7 @@
 	estimates    map[string]*sizeEstimate
 	reservations map[uint64]reservation
 	lastID       uint64
-	largest      Size                   // of any worker, separately for each dimension
+	largest      Resources              // of any worker, separately for each dimension
 	lastRacks    map[string]string      // by kind
 	racks        map[string]workerRange // by name of the rack
 	random       *rand.Rand
@@ -156,7 +156,7 @@
 	old := placer.byName
 	placer.byName = make(map[string]*workerState, len(workers))
 	placer.states = placer.states[:0]
-	placer.largest = Size{}
+	placer.largest = Resources{}
 	for _, worker := range workers {
 		state := &workerState{Worker: worker}
 		if previous := old[worker.name]; previous != nil {
@@ -184,11 +184,11 @@
 
 // ReportUsage records the usage that a worker reported. Usage beyond this instance's reservations is attributed to
 // other instances and kept free until the given time, after which the tasks that caused it have probably ended.
-func (placer *Placer) ReportUsage(worker string, used Size, until time.Time) {
+func (placer *Placer) ReportUsage(worker string, used Resources, until time.Time) {
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
 	if state := placer.byName[worker]; state != nil {
-		state.otherUsage, state.otherUsageUntil = used.subtract(state.reserved).Maximum(Size{}), until
+		state.otherUsage, state.otherUsageUntil = used.subtract(state.reserved).Maximum(Resources{}), until
 	}
 }
 
@@ -203,7 +203,7 @@
 
 // Place reserves room for one task of kind. It prefers nearRack, if not empty, because a job whose tasks share a rack
 // is affected by the failure of fewer racks.
-func (placer *Placer) Place(kind string, declared Size, nearRack string, now time.Time) Decision {
+func (placer *Placer) Place(kind string, declared Resources, nearRack string, now time.Time) Decision {
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
 	request := placer.estimate(kind).request(declared)
@@ -233,19 +233,19 @@
 }
 
 // FitsAnyWorker reports whether a task of the declared size fits on any worker when that is idle.
-func (placer *Placer) FitsAnyWorker(declared Size) bool {
+func (placer *Placer) FitsAnyWorker(declared Resources) bool {
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
 	return placer.fitsAnyWorker(declared)
 }
 
-func (placer *Placer) fitsAnyWorker(request Size) bool {
+func (placer *Placer) fitsAnyWorker(request Resources) bool {
 	return slices.ContainsFunc(placer.states, func(workerState *workerState) bool { return request.Fits(workerState.total) })
 }
 
 // chooseWorker returns a worker that has room and is not suspended, or nil. It checks the near rack first, then a
 // random sample, and all workers only if neither has room.
-func (placer *Placer) chooseWorker(request Size, nearRack string, now time.Time) *workerState {
+func (placer *Placer) chooseWorker(request Resources, nearRack string, now time.Time) *workerState {
 	near := placer.racks[nearRack]
 	best := leastLoaded(nil, placer.states[near.begin:near.end], request, now)
 	if best != nil {
@@ -265,7 +265,7 @@
 
 // leastLoaded returns the worker with the largest free CPU share among best, which may be nil, and those of states
 // that have room and are not suspended.
-func leastLoaded(best *workerState, states []*workerState, request Size, now time.Time) *workerState {
+func leastLoaded(best *workerState, states []*workerState, request Resources, now time.Time) *workerState {
 	for _, workerState := range states {
 		free := workerState.free(now)
 		if workerState.suspended(now) || !request.Fits(free) {
@@ -280,7 +280,7 @@
 
 // freeCPUShare returns the free part of a worker's processor time in millionths, which makes workers of different
 // size comparable.
-func freeCPUShare(state *workerState, free Size) int64 {
+func freeCPUShare(state *workerState, free Resources) int64 {
 	return free.MilliCores * 1_000_000 / max(state.total.MilliCores, 1)
 }
 
@@ -303,7 +303,7 @@
 	case Done:
 		state.consecutiveFailures = 0
 		placer.estimate(held.kind).observe(result.peak)
-	case SizeExceeded:
+	case ResourcesExceeded:
 		placer.estimate(held.kind).observeExceeded(held.granted, result.peak)
 	case Failed:
 		placer.recordFailure(state, now)
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -14,7 +14,7 @@
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // newWorkers returns count workers of size total in racks of perRack workers.
-func newWorkers(count, perRack int, total placer.Size) []placer.Worker {
+func newWorkers(count, perRack int, total placer.Resources) []placer.Worker {
 	workers := make([]placer.Worker, count)
 	for i := range workers {
 		workers[i] = placer.NewWorker(fmt.Sprintf("worker-%03d", i), fmt.Sprintf("rack-%03d", i/perRack), total)
@@ -25,11 +25,11 @@
 // Guards against reserving more than the size of a worker, and against a release that is lost or counted twice.
 func TestReservationsAgainstReference(t *testing.T) {
 	is := is.New(t)
-	total := placer.Size{MilliCores: 32_000, MemoryMB: 131_072}
+	total := placer.Resources{MilliCores: 32_000, MemoryMB: 131_072}
 	random := rand.New(rand.NewPCG(1, 2))
 	subject := placer.New(rand.New(rand.NewPCG(3, 4)))
 	subject.Update(newWorkers(16, 8, total))
-	used := make(map[string]placer.Size)
+	used := make(map[string]placer.Resources)
 	var held []placer.Placed
 	for range 20_000 {
 		if len(held) > 0 && random.IntN(3) == 0 {
@@ -38,26 +38,26 @@
 			held = append(held[:i], held[i+1:]...)
 			subject.Release(placed, placer.NotStarted{}, start)
 			subject.Release(placed, placer.NotStarted{}, start)
-			size := used[placed.Worker().Name()]
-			size.MilliCores -= placed.Granted().MilliCores
-			size.MemoryMB -= placed.Granted().MemoryMB
-			used[placed.Worker().Name()] = size
+			resources := used[placed.Worker().Name()]
+			resources.MilliCores -= placed.Granted().MilliCores
+			resources.MemoryMB -= placed.Granted().MemoryMB
+			used[placed.Worker().Name()] = resources
 			continue
 		}
-		request := placer.Size{MilliCores: 1000 * (1 + random.Int64N(16)), MemoryMB: 1024 * (1 + random.Int64N(64))}
+		request := placer.Resources{MilliCores: 1000 * (1 + random.Int64N(16)), MemoryMB: 1024 * (1 + random.Int64N(64))}
 		switch decision := subject.Place("plan", request, "", start).(type) {
 		case placer.Placed:
 			held = append(held, decision)
-			size := used[decision.Worker().Name()]
-			size.MilliCores += request.MilliCores
-			size.MemoryMB += request.MemoryMB
-			used[decision.Worker().Name()] = size
-			is.True(size.MilliCores <= total.MilliCores)
-			is.True(size.MemoryMB <= total.MemoryMB)
+			resources := used[decision.Worker().Name()]
+			resources.MilliCores += request.MilliCores
+			resources.MemoryMB += request.MemoryMB
+			used[decision.Worker().Name()] = resources
+			is.True(resources.MilliCores <= total.MilliCores)
+			is.True(resources.MemoryMB <= total.MemoryMB)
 		case placer.Full:
 			for _, worker := range newWorkers(16, 8, total) {
-				size := used[worker.Name()]
-				fits := size.MilliCores+request.MilliCores <= total.MilliCores && size.MemoryMB+request.MemoryMB <= total.MemoryMB
+				resources := used[worker.Name()]
+				fits := resources.MilliCores+request.MilliCores <= total.MilliCores && resources.MemoryMB+request.MemoryMB <= total.MemoryMB
 				is.True(!fits) // Full requires that no worker has room
 			}
 		case placer.Impossible:
@@ -68,17 +68,17 @@
 
 // Guards against queueing a task forever that no worker can run, and against placing a task on a suspended worker.
 func TestDecisions(t *testing.T) {
-	total := placer.Size{MilliCores: 4000, MemoryMB: 8192, Accelerators: 2}
+	total := placer.Resources{MilliCores: 4000, MemoryMB: 8192, Accelerators: 2}
 	cases := []struct {
 		name      string
-		request   placer.Size
+		request   placer.Resources
 		suspended bool
 		want      string
 	}{
-		{"fits", placer.Size{MilliCores: 4000, MemoryMB: 8192, Accelerators: 2}, false, "placer.Placed"},
-		{"too much memory", placer.Size{MemoryMB: 8193}, false, "placer.Impossible"},
-		{"too many accelerators", placer.Size{Accelerators: 3}, false, "placer.Impossible"},
-		{"suspended worker", placer.Size{MilliCores: 1}, true, "placer.Full"},
+		{"fits", placer.Resources{MilliCores: 4000, MemoryMB: 8192, Accelerators: 2}, false, "placer.Placed"},
+		{"too much memory", placer.Resources{MemoryMB: 8193}, false, "placer.Impossible"},
+		{"too many accelerators", placer.Resources{Accelerators: 3}, false, "placer.Impossible"},
+		{"suspended worker", placer.Resources{MilliCores: 1}, true, "placer.Full"},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -97,30 +97,30 @@
 func TestSizeEstimates(t *testing.T) {
 	is := is.New(t)
 	subject := placer.New(rand.New(rand.NewPCG(3, 4)))
-	subject.Update(newWorkers(4, 2, placer.Size{MilliCores: 32_000, MemoryMB: 131_072}))
-	place := func(kind string, declared placer.Size) placer.Placed {
+	subject.Update(newWorkers(4, 2, placer.Resources{MilliCores: 32_000, MemoryMB: 131_072}))
+	place := func(kind string, declared placer.Resources) placer.Placed {
 		placed, ok := subject.Place(kind, declared, "", start).(placer.Placed)
 		is.True(ok)
 		return placed
 	}
-	small := placer.Size{MilliCores: 1000, MemoryMB: 1000}
-	subject.Release(place("understated", small), placer.NewSizeExceeded(placer.Size{MilliCores: 1000, MemoryMB: 4000}), start)
+	small := placer.Resources{MilliCores: 1000, MemoryMB: 1000}
+	subject.Release(place("understated", small), placer.NewResourcesExceeded(placer.Resources{MilliCores: 1000, MemoryMB: 4000}), start)
 	is.True(place("understated", small).Granted().MemoryMB >= 4000) // at least the peak of the first task
 
-	large := placer.Size{MilliCores: 16_000, MemoryMB: 65_536}
+	large := placer.Resources{MilliCores: 16_000, MemoryMB: 65_536}
 	for range 20 {
 		subject.Release(place("overstated", large), placer.NewDone(small), start)
 	}
-	is.Equal(place("overstated", large).Granted(), placer.Size{MilliCores: 1200, MemoryMB: 1200})
+	is.Equal(place("overstated", large).Granted(), placer.Resources{MilliCores: 1200, MemoryMB: 1200})
 }
 
 // Guards against placing tasks on room that other instances use, and against using an expired usage report.
 func TestUsageOfOtherInstances(t *testing.T) {
 	is := is.New(t)
 	subject := placer.New(rand.New(rand.NewPCG(3, 4)))
-	subject.Update(newWorkers(1, 1, placer.Size{MilliCores: 4000, MemoryMB: 4000}))
-	request := placer.Size{MilliCores: 2000, MemoryMB: 2000}
-	busy := placer.Size{MilliCores: 3000, MemoryMB: 3000}
+	subject.Update(newWorkers(1, 1, placer.Resources{MilliCores: 4000, MemoryMB: 4000}))
+	request := placer.Resources{MilliCores: 2000, MemoryMB: 2000}
+	busy := placer.Resources{MilliCores: 3000, MemoryMB: 3000}
 	subject.ReportUsage("worker-000", busy, start)
 	_, ok := subject.Place("plan", request, "", start).(placer.Placed)
 	is.True(ok) // the report has expired
@@ -133,8 +133,8 @@
 func TestFailingWorkersAreSuspended(t *testing.T) {
 	is := is.New(t)
 	subject := placer.New(rand.New(rand.NewPCG(3, 4)))
-	subject.Update(newWorkers(10, 5, placer.Size{MilliCores: 4000, MemoryMB: 4000}))
-	small := placer.Size{MilliCores: 100, MemoryMB: 100}
+	subject.Update(newWorkers(10, 5, placer.Resources{MilliCores: 4000, MemoryMB: 4000}))
+	small := placer.Resources{MilliCores: 100, MemoryMB: 100}
 	run := func(failing func(name string) bool, now time.Time) map[string]int {
 		starts := make(map[string]int)
 		for range 500 {
@@ -176,7 +176,7 @@
 func affectedJobs(near string) int {
 	random := rand.New(rand.NewPCG(5, 6))
 	subject := placer.New(rand.New(rand.NewPCG(3, 4)))
-	subject.Update(newWorkers(48, 8, placer.Size{MilliCores: 32_000, MemoryMB: 131_072}))
+	subject.Update(newWorkers(48, 8, placer.Resources{MilliCores: 32_000, MemoryMB: 131_072}))
 	hit := 0
 	for range 60 {
 		rack, uses := "", false
@@ -184,7 +184,7 @@
 			rack = subject.LastRack("plan")
 		}
 		for range 1 + random.IntN(20) {
-			placed := subject.Place("plan", placer.Size{MilliCores: 1000, MemoryMB: 1000}, rack, start).(placer.Placed)
+			placed := subject.Place("plan", placer.Resources{MilliCores: 1000, MemoryMB: 1000}, rack, start).(placer.Placed)
 			if near != "none" {
 				rack = placed.Worker().Rack()
 			}
@@ -201,10 +201,10 @@
 	for _, count := range []int{50, 500, 2_000, 22_000} {
 		b.Run(fmt.Sprintf("workers=%d", count), func(b *testing.B) {
 			subject := placer.New(rand.New(rand.NewPCG(3, 4)))
-			subject.Update(newWorkers(count, 8, placer.Size{MilliCores: 32_000, MemoryMB: 131_072}))
+			subject.Update(newWorkers(count, 8, placer.Resources{MilliCores: 32_000, MemoryMB: 131_072}))
 			b.ReportAllocs()
 			for b.Loop() {
-				placed := subject.Place("plan", placer.Size{MilliCores: 1000, MemoryMB: 1000}, "", start).(placer.Placed)
+				placed := subject.Place("plan", placer.Resources{MilliCores: 1000, MemoryMB: 1000}, "", start).(placer.Placed)
 				subject.Release(placed, placer.NotStarted{}, start)
 			}
 		})
