--- a/executor/delegation.go
+++ b/executor/delegation.go
@@ -139,7 +139,7 @@
 // answerDelegated gives the outcome of a delegated job to its callers; the caller holds the lock.
 func (executor *Executor) answerDelegated(passed *delegation, outcome dispatcher.Outcome) {
 	now := executor.now()
-	executor.logger.Info("job answered for delegate", "job", passed.job.ID, "delegate", passed.delegate, "outcome", dispatcher.ClassOf(outcome),
+	executor.logger.Info("job answered for delegate", "job", passed.job.ID, "delegate", passed.delegate, "outcome", dispatcher.OutcomeClass(outcome),
 		"took-ms", now.Sub(passed.job.Arrived).Milliseconds(), "late-ms", max(0, now.Sub(passed.job.Objective)).Milliseconds())
 	executor.meter.delegated(outcome)
 	executor.deliver(passed.job.ID, outcome)
--- a/keeper/submit.go
+++ b/keeper/submit.go
@@ -213,7 +213,7 @@
 	case known.outcome != nil:
 		return Answer{Outcome: known.outcome}
 	case known.holder == shard.self() && known.state == StateFinished:
-		return AnswerLost{Fate: dispatcher.Finished}
+		return AnswerLost{Fate: dispatcher.FateFinished}
 	case known.holder == shard.self():
 		return Joined{}
 	}
@@ -221,9 +221,9 @@
 		return Forward{To: holder, Held: true}
 	}
 	if known.state == StateFinished {
-		return AnswerLost{Fate: dispatcher.Finished}
+		return AnswerLost{Fate: dispatcher.FateFinished}
 	}
-	return AnswerLost{Fate: dispatcher.OutcomeUnknown}
+	return AnswerLost{Fate: dispatcher.FateUnknown}
 }
 
 func cancelledOutcome() dispatcher.Refused {
--- a/leaser/leaser.go
+++ b/leaser/leaser.go
@@ -62,7 +62,7 @@
 func (completed Completed) Result() json.RawMessage { return completed.status.Result }
 
 // Usage returns how the task's size is to be learned.
-func (completed Completed) Usage() placer.Ending { return usage(completed.status) }
+func (completed Completed) Usage() placer.Result { return usage(completed.status) }
 
 // Detail returns why the task has no result.
 func (broken Broken) Detail() string {
@@ -70,7 +70,7 @@
 }
 
 // Usage returns how the task's size is to be learned.
-func (broken Broken) Usage() placer.Ending { return usage(broken.status) }
+func (broken Broken) Usage() placer.Result { return usage(broken.status) }
 
 // Detail returns why the task did not start.
 func (notStarted NotStarted) Detail() string { return notStarted.detail }
@@ -81,9 +81,9 @@
 // Detail returns what was last seen of the worker.
 func (lost Lost) Detail() string { return lost.detail }
 
-func usage(status LeaseStatus) placer.Ending {
+func usage(status LeaseStatus) placer.Result {
 	if status.Guard != GuardNone {
-		return placer.NewGuarded(status.Peak)
+		return placer.NewSizeExceeded(status.Peak)
 	}
 	if status.State == Finished {
 		return placer.NewDone(status.Peak)
--- a/linker/linker_test.go
+++ b/linker/linker_test.go
@@ -89,7 +89,7 @@
 
 // sampleMessages holds one message of every type with its fields filled.
 func sampleMessages() []Message {
-	outcome := EncodeOutcome(dispatcher.NewFailed("cut", []dispatcher.TaskFate{{Name: "t", Fate: dispatcher.Finished, Detail: "d"}}), time.Time{})
+	outcome := EncodeOutcome(dispatcher.NewFailed("cut", []dispatcher.TaskFate{{Name: "t", Fate: dispatcher.FateFinished, Detail: "d"}}), time.Time{})
 	return []Message{
 		Hello{Version: 1, Domain: "d", Name: "n", Incarnation: "i", Address: "a:1"},
 		Heartbeat{View: 7, Suspects: []string{"a"}, BundleVersion: 3, Load: 5, Synced: true, Leaving: true},
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -30,8 +30,8 @@
 // Total returns the worker's size.
 func (worker Worker) Total() Size { return worker.total }
 
-// Verdict is the answer to a request for a place: Placed, Full or Impossible.
-type Verdict interface{ isVerdict() }
+// Decision is the answer to a request for a place: Placed, Full or Impossible.
+type Decision interface{ isVerdict() }
 
 // Placed means that room was reserved on a worker.
 type Placed struct {
@@ -59,31 +59,31 @@
 // Largest returns the largest size on offer in each dimension.
 func (impossible Impossible) Largest() Size { return impossible.largest }
 
-// Ending is how a placed task ended: Done, Guarded or Unstarted.
-type Ending interface{ isEnding() }
+// Result is how a placed task ended: Done, Guarded or Unstarted.
+type Result interface{ isEnding() }
 
 // Done means that the task ended on its own, with the peak usage that the worker reported.
 type Done struct{ peak Size }
 
-// Guarded means that the worker throttled, checkpointed or stopped the task for exceeding its size.
-type Guarded struct{ peak Size }
+// SizeExceeded means that the worker throttled, checkpointed or stopped the task for exceeding its size.
+type SizeExceeded struct{ peak Size }
 
 // Failed means that the task failed on its worker for another reason than its size.
 type Failed struct{}
 
-// Unstarted means that the task gave no information on its size or its worker.
-type Unstarted struct{}
+// NotStarted means that the task gave no information on its size or its worker.
+type NotStarted struct{}
 
-func (Done) isEnding()      {}
-func (Guarded) isEnding()   {}
-func (Failed) isEnding()    {}
-func (Unstarted) isEnding() {}
+func (Done) isEnding()         {}
+func (SizeExceeded) isEnding() {}
+func (Failed) isEnding()       {}
+func (NotStarted) isEnding()   {}
 
 // NewDone returns an ending with the given peak usage.
 func NewDone(peak Size) Done { return Done{peak: peak} }
 
-// NewGuarded returns an ending by the guard with the given peak usage.
-func NewGuarded(peak Size) Guarded { return Guarded{peak: peak} }
+// NewSizeExceeded returns an ending by the guard with the given peak usage.
+func NewSizeExceeded(peak Size) SizeExceeded { return SizeExceeded{peak: peak} }
 
 // seat is the placer's account of one worker.
 type seat struct {
@@ -178,9 +178,9 @@
 	}
 }
 
-// Report takes a worker's usage, which holds until end; usage beyond the own reservations is held to be other
+// ReportUsage takes a worker's usage, which holds until end; usage beyond the own reservations is held to be other
 // instances'. Later than end it would describe tasks that have long ended.
-func (placer *Placer) Report(worker string, used Size, end time.Time) {
+func (placer *Placer) ReportUsage(worker string, used Size, end time.Time) {
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
 	if entry := placer.byName[worker]; entry != nil {
@@ -188,8 +188,8 @@
 	}
 }
 
-// Close keeps new tasks from a worker until end.
-func (placer *Placer) Close(worker string, end time.Time) {
+// Suspend keeps new tasks from a worker until end.
+func (placer *Placer) Suspend(worker string, end time.Time) {
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
 	if entry := placer.byName[worker]; entry != nil {
@@ -199,7 +199,7 @@
 
 // Place reserves room for one task of kind; nearRack, if not empty, is preferred, because a job whose tasks
 // share a rack is lost to the failure of fewer racks.
-func (placer *Placer) Place(kind string, declared Size, nearRack string, now time.Time) Verdict {
+func (placer *Placer) Place(kind string, declared Size, nearRack string, now time.Time) Decision {
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
 	request := placer.estimate(kind).request(declared)
@@ -228,8 +228,8 @@
 	return placer.lastRacks[kind]
 }
 
-// Possible reports whether a task of the declared size fits on any worker that is idle.
-func (placer *Placer) Possible(declared Size) bool {
+// FitsAnyWorker reports whether a task of the declared size fits on any worker that is idle.
+func (placer *Placer) FitsAnyWorker(declared Size) bool {
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
 	return placer.fitsIdle(declared)
@@ -278,8 +278,8 @@
 	return room.MilliCores * 1_000_000 / max(entry.total.MilliCores, 1)
 }
 
-// End releases the room of a placed task and learns from how it ended; a second call has no effect.
-func (placer *Placer) End(placed Placed, ending Ending, now time.Time) {
+// Release releases the room of a placed task and learns from how it ended; a second call has no effect.
+func (placer *Placer) Release(placed Placed, result Result, now time.Time) {
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
 	held, ok := placer.reservations[placed.id]
@@ -292,15 +292,15 @@
 		entry = &seat{}
 	}
 	entry.reserved = entry.reserved.subtract(held.granted)
-	switch ending := ending.(type) {
+	switch ending := result.(type) {
 	case Done:
 		entry.failures = 0
 		placer.estimate(held.kind).observe(ending.peak)
-	case Guarded:
+	case SizeExceeded:
 		placer.estimate(held.kind).guard(held.granted, ending.peak)
 	case Failed:
 		placer.countFailure(entry, now)
-	case Unstarted:
+	case NotStarted:
 	}
 }
 
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -35,8 +35,8 @@
 			i := random.IntN(len(held))
 			placed := held[i]
 			held = append(held[:i], held[i+1:]...)
-			subject.End(placed, placer.Unstarted{}, start)
-			subject.End(placed, placer.Unstarted{}, start)
+			subject.Release(placed, placer.NotStarted{}, start)
+			subject.Release(placed, placer.NotStarted{}, start)
 			size := used[placed.Worker().Name()]
 			size.MilliCores -= placed.Granted().MilliCores
 			size.MemoryMB -= placed.Granted().MemoryMB
@@ -85,7 +85,7 @@
 			subject := placer.New(rand.New(rand.NewPCG(3, 4)))
 			subject.Update(fleet(1, 1, total))
 			if test.closed {
-				subject.Close("worker-000", start.Add(time.Second))
+				subject.Suspend("worker-000", start.Add(time.Second))
 			}
 			is.Equal(fmt.Sprintf("%T", subject.Place("plan", test.request, "", start)), test.want)
 		})
@@ -103,12 +103,12 @@
 		return placed
 	}
 	small := placer.Size{MilliCores: 1000, MemoryMB: 1000}
-	subject.End(place("understated", small), placer.NewGuarded(placer.Size{MilliCores: 1000, MemoryMB: 4000}), start)
+	subject.Release(place("understated", small), placer.NewSizeExceeded(placer.Size{MilliCores: 1000, MemoryMB: 4000}), start)
 	is.True(place("understated", small).Granted().MemoryMB >= 4000) // the next lease is large enough
 
 	large := placer.Size{MilliCores: 16_000, MemoryMB: 65_536}
 	for range 20 {
-		subject.End(place("overstated", large), placer.NewDone(small), start)
+		subject.Release(place("overstated", large), placer.NewDone(small), start)
 	}
 	is.Equal(place("overstated", large).Granted(), placer.Size{MilliCores: 1200, MemoryMB: 1200})
 }
@@ -120,10 +120,10 @@
 	subject.Update(fleet(1, 1, placer.Size{MilliCores: 4000, MemoryMB: 4000}))
 	request := placer.Size{MilliCores: 2000, MemoryMB: 2000}
 	busy := placer.Size{MilliCores: 3000, MemoryMB: 3000}
-	subject.Report("worker-000", busy, start)
+	subject.ReportUsage("worker-000", busy, start)
 	_, ok := subject.Place("plan", request, "", start).(placer.Placed)
 	is.True(ok) // an expired report says nothing
-	subject.Report("worker-000", busy, start.Add(time.Second))
+	subject.ReportUsage("worker-000", busy, start.Add(time.Second))
 	_, ok = subject.Place("plan", request, "", start).(placer.Full)
 	is.True(ok) // the own 2000 and another instance's 1000 leave 1000
 }
@@ -140,10 +140,10 @@
 			placed := subject.Place("plan", small, "", now).(placer.Placed)
 			starts[placed.Worker().Name()]++
 			if failing(placed.Worker().Name()) {
-				subject.End(placed, placer.Failed{}, now)
+				subject.Release(placed, placer.Failed{}, now)
 				continue
 			}
-			subject.End(placed, placer.NewDone(small), now)
+			subject.Release(placed, placer.NewDone(small), now)
 		}
 		return starts
 	}
@@ -203,7 +203,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				placed := subject.Place("plan", placer.Size{MilliCores: 1000, MemoryMB: 1000}, "", start).(placer.Placed)
-				subject.End(placed, placer.Unstarted{}, start)
+				subject.Release(placed, placer.NotStarted{}, start)
 			}
 		})
 	}
--- a/server/forward.go
+++ b/server/forward.go
@@ -133,14 +133,14 @@
 		origin:      forward.Origin,
 	}
 	outcome := server.resolve(context.Background(), request)
-	server.meter.forwards[dispatcher.ClassOf(outcome)].Inc()
+	server.meter.forwards[dispatcher.OutcomeClass(outcome)].Inc()
 	answer := linker.ForwardAnswer{
 		ID: forward.ID, Key: forward.Key, Outcome: linker.EncodeOutcome(outcome, time.Now()), Counts: server.grantCount(request),
 	}
 	err := server.linker.Send(from.Incarnation, answer)
 	if _, complete := outcome.(dispatcher.Complete); complete && err != nil {
 		// An answer above the links' bound cannot be sent; the sender learns at least that the tasks finished.
-		answer.Outcome = linker.EncodeOutcome(lostAnswer(request.job, dispatcher.Finished), time.Now())
+		answer.Outcome = linker.EncodeOutcome(lostAnswer(request.job, dispatcher.FateFinished), time.Now())
 		err = server.linker.Send(from.Incarnation, answer)
 	}
 	if err != nil {
