--- a/executor/delegation.go
+++ b/executor/delegation.go
@@ -234,7 +234,7 @@
 		step := &job.Steps[i]
 		steps[i] = linker.JobStep{
 			Tasks: step.Tasks, MilliCores: step.Resources.MilliCores, MemoryMB: step.Resources.MemoryMB, Accelerators: step.Resources.Accelerators,
-			EstimateUS: step.Estimate.Microseconds(), After: step.DependsOn, Label: step.Label, PerTarget: step.MaxPerTarget,
+			EstimateUS: step.Estimate.Microseconds(), DependsOn: step.DependsOn, Label: step.Label, MaxPerTarget: step.MaxPerTarget,
 		}
 	}
 	return linker.Delegation{
@@ -250,7 +250,7 @@
 		step := &request.Steps[i]
 		steps[i] = scheduler.Step{
 			Tasks: step.Tasks, Resources: scheduler.Resources{MilliCores: step.MilliCores, MemoryMB: step.MemoryMB, Accelerators: step.Accelerators},
-			Estimate: time.Duration(step.EstimateUS) * time.Microsecond, DependsOn: step.After, Label: step.Label, MaxPerTarget: step.PerTarget,
+			Estimate: time.Duration(step.EstimateUS) * time.Microsecond, DependsOn: step.DependsOn, Label: step.Label, MaxPerTarget: step.MaxPerTarget,
 		}
 	}
 	return scheduler.Job{
--- a/executor/news.go
+++ b/executor/news.go
@@ -8,8 +8,8 @@
 	"github.com/hyssoplift/hyssoplift/scheduler"
 )
 
-// HandleNews takes what another instance tells.
-func (executor *Executor) HandleNews(from string, update linker.StateUpdate) {
+// HandleStateUpdate takes what another instance tells.
+func (executor *Executor) HandleStateUpdate(from string, update linker.StateUpdate) {
 	now := executor.now()
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -33,8 +33,8 @@
 
 // Receiver takes what other instances tell.
 type Receiver interface {
-	// HandleNews takes the news of one instance.
-	HandleNews(from string, update linker.StateUpdate)
+	// HandleStateUpdate takes the news of one instance.
+	HandleStateUpdate(from string, update linker.StateUpdate)
 	// PeerLost takes that an instance is not heard of any more.
 	PeerLost(from string)
 	// HandleDelegation takes a job to run for another instance, and must not block.
@@ -423,7 +423,7 @@
 		gossiper.receiver.LinkEnded(from.Incarnation)
 	case linker.StateUpdate:
 		gossiper.hear(from, message)
-		gossiper.receiver.HandleNews(from.Incarnation, message)
+		gossiper.receiver.HandleStateUpdate(from.Incarnation, message)
 	case linker.Delegation:
 		gossiper.hear(from, linker.StateUpdate{})
 		gossiper.receiver.HandleDelegation(from.Incarnation, message)
--- a/gossiper/share_test.go
+++ b/gossiper/share_test.go
@@ -46,10 +46,10 @@
 // recording is a receiver that notes the instances that are gone.
 type recording struct{ gone []string }
 
-func (*recording) HandleNews(string, linker.StateUpdate)      {}
-func (recording *recording) PeerLost(from string)             { recording.gone = append(recording.gone, from) }
-func (*recording) HandleDelegation(string, linker.Delegation) {}
-func (*recording) LinkEnded(string)                           {}
+func (*recording) HandleStateUpdate(string, linker.StateUpdate) {}
+func (recording *recording) PeerLost(from string)               { recording.gone = append(recording.gone, from) }
+func (*recording) HandleDelegation(string, linker.Delegation)   {}
+func (*recording) LinkEnded(string)                             {}
 
 // newTestGossiper returns a gossiper without goroutines, whose time is set through the pointer.
 func newTestGossiper(weight float64) (*Gossiper, *recording, *time.Time) {
--- a/leaser/leaser.go
+++ b/leaser/leaser.go
@@ -83,7 +83,7 @@
 
 func usage(status LeaseStatus) placer.Result {
 	if status.Guard != GuardNone {
-		return placer.NewSizeExceeded(status.Peak)
+		return placer.NewResourcesExceeded(status.Peak)
 	}
 	if status.State == Finished {
 		return placer.NewDone(status.Peak)
@@ -117,10 +117,10 @@
 
 // Run starts task on the worker at address under a lease of size and renews the lease until the task ends or
 // ctx is done; it starts the task at most once.
-func (leaser *Leaser) Run(ctx context.Context, address, kind string, size placer.Size, task dispatcher.Task) Result {
+func (leaser *Leaser) Run(ctx context.Context, address, kind string, resources placer.Resources, task dispatcher.Task) Result {
 	base := fmt.Sprintf("http://%s/leases/%s", address, uuid.NewString())
 	request := LeaseRequest{
-		Kind: kind, Payload: task.Payload(), Size: size,
+		Kind: kind, Payload: task.Payload(), Resources: resources,
 		LeaseMS: leaseTime.Milliseconds(), WaitMS: renewAfter.Milliseconds(),
 	}
 	first := leaser.exchange(ctx, http.MethodPut, base, request)
--- a/leaser/wire.go
+++ b/leaser/wire.go
@@ -40,9 +40,9 @@
 
 // LeaseRequest is the body of PUT /leases/{id}, which starts a task, and of POST /leases/{id}/renew.
 type LeaseRequest struct {
-	Kind    string          `json:"kind,omitempty"`
-	Payload json.RawMessage `json:"payload,omitempty"`
-	Size    placer.Size     `json:"size"`
+	Kind      string           `json:"kind,omitempty"`
+	Payload   json.RawMessage  `json:"payload,omitempty"`
+	Resources placer.Resources `json:"size"`
 	// LeaseMS is how long the lease is valid from its receipt, in milliseconds.
 	LeaseMS int64 `json:"lease-ms"`
 	// WaitMS is how long the worker may hold its answer until the task ends, in milliseconds.
@@ -51,15 +51,15 @@
 
 // LeaseStatus is the worker's answer.
 type LeaseStatus struct {
-	State  State           `json:"state"`
-	Guard  GuardAction     `json:"guard,omitempty"`
-	Peak   placer.Size     `json:"peak"`
-	Result json.RawMessage `json:"result,omitempty"`
-	Detail string          `json:"detail,omitempty"`
+	State  State            `json:"state"`
+	Guard  GuardAction      `json:"guard,omitempty"`
+	Peak   placer.Resources `json:"peak"`
+	Result json.RawMessage  `json:"result,omitempty"`
+	Detail string           `json:"detail,omitempty"`
 }
 
 // UsageReport is the body of GET /usage; it describes the worker as it was AgeMS milliseconds ago.
 type UsageReport struct {
-	Used  placer.Size `json:"used"`
-	AgeMS int64       `json:"age-ms"`
+	Used  placer.Resources `json:"used"`
+	AgeMS int64            `json:"age-ms"`
 }
--- a/linker/codec.go
+++ b/linker/codec.go
@@ -244,7 +244,7 @@
 	texts := []string{delegation.Job, delegation.Route, delegation.Service}
 	for i := range delegation.Steps {
 		step := &delegation.Steps[i]
-		for _, earlier := range step.After {
+		for _, earlier := range step.DependsOn {
 			if earlier < 0 || earlier >= i {
 				return eris.Errorf("step %d of a delegated job waits for step %d", i, earlier)
 			}
--- a/server/place.go
+++ b/server/place.go
@@ -66,7 +66,7 @@
 	next := &workers{placer: fleet.placer, addresses: make(map[string]string, len(targets))}
 	list := make([]placer.Worker, len(targets))
 	for i, target := range targets {
-		list[i] = placer.NewWorker(target.Name(), target.Rack(), target.Size())
+		list[i] = placer.NewWorker(target.Name(), target.Rack(), target.Resources())
 		next.addresses[target.Name()] = target.Address()
 	}
 	fleet.placer.Update(list)
@@ -76,7 +76,7 @@
 // place reserves room for a task of the kind, near the rack where the last one went: a job's tasks are placed one
 // after another, and one whose tasks share a rack is lost to the failure of fewer racks.
 func (fleet *workers) place(kind bundler.Kind, now time.Time) (place, bool) {
-	placed, ok := fleet.placer.Place(kind.Name(), kind.Size(), fleet.placer.LastRack(kind.Name()), now).(placer.Placed)
+	placed, ok := fleet.placer.Place(kind.Name(), kind.Resources(), fleet.placer.LastRack(kind.Name()), now).(placer.Placed)
 	if !ok {
 		return nil, false
 	}
--- a/server/scheduler.go
+++ b/server/scheduler.go
@@ -179,7 +179,7 @@
 // possible reports whether a task of the kind fits on any worker of its service; runners take every task.
 func (scheduler *scheduler) possible(kind bundler.Kind) bool {
 	fleet := scheduler.routers.Load().fleets[kind.Service()]
-	return fleet == nil || fleet.placer.FitsAnyWorker(kind.Size())
+	return fleet == nil || fleet.placer.FitsAnyWorker(kind.Resources())
 }
 
 // admit asks the limiter for the job; the refusal is nil if the job waits for its grants.
