--- a/dispatcher/outcome.go
+++ b/dispatcher/outcome.go
@@ -115,7 +115,7 @@
 	ReasonKeyConflict Reason = "key-conflict"
 	// ReasonCancelled means that the caller cancelled the job before it started.
 	ReasonCancelled Reason = "cancelled"
-	// ReasonOverload means that the queue or a quota has no room.
+	// ReasonOverload means that the queue is full or a quota is used up.
 	ReasonOverload Reason = "overload"
 	// ReasonUnavailable means that the instance cannot accept the job now.
 	ReasonUnavailable Reason = "unavailable"
--- a/limiter/entry.go
+++ b/limiter/entry.go
@@ -33,7 +33,7 @@
 	samples     int // measured run times in meanRunTime
 }
 
-func (kind *kind) hasRoom() bool { return kind.inFlight < kind.maxInFlight }
+func (kind *kind) hasCapacity() bool { return kind.inFlight < kind.maxInFlight }
 
 // observeRunTime adds a measured run time to the moving average. The first samples have a larger weight, because
 // declared run times can be wrong by a factor of 10.
@@ -58,7 +58,7 @@
 	inFlight    int
 }
 
-func (team *team) hasRoom() bool { return team.inFlight < team.maxInFlight }
+func (team *team) hasCapacity() bool { return team.inFlight < team.maxInFlight }
 
 // entry is one admitted job.
 type entry struct {
@@ -90,7 +90,7 @@
 	}
 }
 
-// recordSaturation updates the average number of tasks in flight at the times when no target has room.
+// recordSaturation updates the average number of tasks in flight at the times when no target has free capacity.
 func (limiter *Limiter) recordSaturation() {
 	if len(limiter.blockedKinds) == 0 {
 		return
@@ -106,7 +106,7 @@
 // It divides the work ahead by the number of tasks that run at once: for all
 // jobs and, if they are at their limits, for the entry's team and for its kind.
 // The longest of these waits counts. Jobs at the limit of their team or kind do
-// not delay other jobs. Until targets have run out of room for the first time,
+// not delay other jobs. Until targets have run out of capacity for the first time,
 // the work ahead of all jobs causes no wait.
 func (limiter *Limiter) expectedWait(entry *entry) time.Duration {
 	var all, team, kind time.Duration
@@ -115,7 +115,7 @@
 			break
 		}
 		work := time.Duration(ahead.remaining) * ahead.kind.meanRunTime
-		if ahead.team.hasRoom() && ahead.kind.hasRoom() {
+		if ahead.team.hasCapacity() && ahead.kind.hasCapacity() {
 			all += work
 		}
 		if ahead.team == entry.team {
@@ -129,10 +129,10 @@
 	if limiter.saturatedInFlight > 0 {
 		wait = all / time.Duration(max(1, limiter.inFlight, int(limiter.saturatedInFlight)))
 	}
-	if !entry.team.hasRoom() {
+	if !entry.team.hasCapacity() {
 		wait = max(wait, team/time.Duration(entry.team.maxInFlight))
 	}
-	if !entry.kind.hasRoom() {
+	if !entry.kind.hasCapacity() {
 		wait = max(wait, kind/time.Duration(entry.kind.maxInFlight))
 	}
 	return wait
--- a/limiter/limiter.go
+++ b/limiter/limiter.go
@@ -22,7 +22,7 @@
 	jobs              map[Ticket]*entry
 	lastTicket        Ticket
 	inFlight          int
-	saturatedInFlight float64 // moving average of tasks in flight while no target has room; 0 until that happens
+	saturatedInFlight float64 // moving average of tasks in flight while no target has free capacity; 0 until that happens
 	retryBudget       retryBudget
 	blockedKinds      []*kind // kinds without a free target in the current call of Next; kept to avoid allocations
 }
@@ -69,7 +69,7 @@
 	index, _ := slices.BinarySearchFunc(limiter.queue, entry, compareEntries)
 	limiter.queue = slices.Insert(limiter.queue, index, entry)
 	limiter.jobs[entry.ticket] = entry
-	if index == 0 && kind.hasRoom() && team.hasRoom() {
+	if index == 0 && kind.hasCapacity() && team.hasCapacity() {
 		return Runnable{ticket: entry.ticket}
 	}
 	return Queued{ticket: entry.ticket, startAt: now.Add(wait)}
@@ -95,14 +95,14 @@
 // Next grants the next task that the limits allow, in the order of the queue, or returns false if there is none.
 //
 // It calls pick with the kind of a task that may start, and skips the kind for
-// the rest of the call if pick reports that no target has room. Since it holds
+// the rest of the call if pick reports that no target has free capacity. Since it holds
 // the limiter's lock, pick must not call the limiter.
 func (limiter *Limiter) Next(now time.Time, pick func(kind string) bool) (Grant, bool) {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	limiter.blockedKinds = limiter.blockedKinds[:0]
 	for i, entry := range limiter.queue {
-		if !entry.kind.hasRoom() || !entry.team.hasRoom() || !now.Before(entry.deadline) || slices.Contains(limiter.blockedKinds, entry.kind) {
+		if !entry.kind.hasCapacity() || !entry.team.hasCapacity() || !now.Before(entry.deadline) || slices.Contains(limiter.blockedKinds, entry.kind) {
 			continue
 		}
 		if !pick(entry.kind.name) {
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -228,7 +228,7 @@
 // overload refusals without a retry time.
 func TestRefusals(t *testing.T) {
 	now := time.Unix(1000, 0)
-	// Each configuration lets ten tasks run at once: by the limit of the kind, the quota of the team or the room of
+	// Each configuration lets ten tasks run at once: by the limit of the kind, the quota of the team or the capacity of
 	// the targets.
 	config := func(kind, team int) Config {
 		return Config{
--- a/measurer/instance.go
+++ b/measurer/instance.go
@@ -18,7 +18,7 @@
 	router  *router.Router
 	runners map[string]*runner
 	jobs    map[limiter.Ticket]*progress
-	retries []*attempt // granted tasks whose start was refused and is to be repeated
+	retries []*attempt // granted tasks whose start was rejected and is to be repeated
 }
 
 // progress is the state of one job at an instance.
@@ -138,7 +138,7 @@
 }
 
 // startTasks starts all tasks that the limiter grants and for which the router has a target. Tasks whose start was
-// refused come first, and no task is granted while one of them waits.
+// rejected come first, and no task is granted while one of them waits.
 func (instance *instance) startTasks() {
 	now := instance.cluster.clock.now
 	waiting := instance.retries
@@ -207,9 +207,9 @@
 	case failed:
 		instance.router.Done(choice, router.Failed{}, now)
 		instance.failAttempt(attempt)
-	case refusedFull, refusedLeaving:
+	case rejectedFull, rejectedLeaving:
 		counts.recordWaste(progress.job, 2)
-		instance.router.Done(choice, router.NewNotStarted(answer.status == refusedLeaving), now)
+		instance.router.Done(choice, router.NewNotStarted(answer.status == rejectedLeaving), now)
 		if instance.limiter.AllowRetry(now) && now.Before(progress.job.deadline) {
 			instance.retries = append(instance.retries, attempt)
 		} else {
--- a/measurer/naive.go
+++ b/measurer/naive.go
@@ -15,7 +15,7 @@
 	maxNaiveTries = 3
 )
 
-// handleNaive starts all tasks of job at once on random targets, and starts a task again after a timeout or refusal.
+// handleNaive starts all tasks of job at once on random targets, and starts a task again after a timeout or rejection.
 func (instance *instance) handleNaive(job *job) {
 	clock := instance.cluster.clock
 	progress := &progress{job: job, tasksInFlight: len(job.tasks)}
@@ -52,7 +52,7 @@
 	receive := func(answer answer) {
 		counts.recordAnswer(job)
 		switch {
-		case answer.status == refusedFull || answer.status == refusedLeaving:
+		case answer.status == rejectedFull || answer.status == rejectedLeaving:
 			counts.recordWaste(job, 2)
 			retry()
 		case !attempt.pending || progress.answered:
--- a/measurer/runner.go
+++ b/measurer/runner.go
@@ -16,7 +16,7 @@
 	noFault fault = iota
 	failing       // reports an error immediately
 	frozen        // starts tasks and never answers
-	leaving       // refuses tasks with status 503
+	leaving       // rejects tasks with status 503
 )
 
 // answer is the answer of a runner to the start of a task.
@@ -31,8 +31,8 @@
 const (
 	finished status = iota
 	failed
-	refusedFull
-	refusedLeaving
+	rejectedFull
+	rejectedLeaving
 )
 
 // runner is a simulated target that runs tasks in its slots at its own speed, and queues further tasks up to its
@@ -50,11 +50,11 @@
 // start starts or queues a task of job and calls reply with the answer, unless the runner is frozen.
 func (runner *runner) start(job *job, task int, reply func(answer)) {
 	if runner.fault == leaving {
-		reply(answer{status: refusedLeaving})
+		reply(answer{status: rejectedLeaving})
 		return
 	}
 	if runner.running+len(runner.waiting) >= runnerConnections {
-		reply(answer{status: refusedFull})
+		reply(answer{status: rejectedFull})
 		return
 	}
 	job.starts[task]++
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -16,7 +16,7 @@
 	total Resources
 }
 
-// NewWorker returns a worker named name in the given rack with the given total size.
+// NewWorker returns a worker named name in the given rack with the given total resources.
 func NewWorker(name, rack string, total Resources) Worker {
 	return Worker{name: name, rack: rack, total: total}
 }
@@ -27,20 +27,20 @@
 // Rack returns the rack that the worker is in.
 func (worker Worker) Rack() string { return worker.rack }
 
-// Total returns the worker's total size.
+// Total returns the worker's total resources.
 func (worker Worker) Total() Resources { return worker.total }
 
 // Decision is the result of Place: Placed, Full or Impossible.
 type Decision interface{ isDecision() }
 
-// Placed means that the size was reserved on a worker; it must be passed to Release.
+// Placed means that the resources were reserved on a worker; it must be passed to Release.
 type Placed struct {
 	worker  Worker
 	granted Resources
 	id      uint64
 }
 
-// Full means that the task fits on some worker, but none has room for it now.
+// Full means that the task fits on some worker, but none has enough free capacity now.
 type Full struct{}
 
 // Impossible means that the task is larger than every worker.
@@ -53,25 +53,25 @@
 // Worker returns the chosen worker.
 func (placed Placed) Worker() Worker { return placed.worker }
 
-// Granted returns the size to request in the lease.
+// Granted returns the resources to request in the lease.
 func (placed Placed) Granted() Resources { return placed.granted }
 
-// Largest returns the largest size of any worker, separately for each dimension.
+// Largest returns the largest total resources of any worker, separately for each dimension.
 func (impossible Impossible) Largest() Resources { return impossible.largest }
 
-// Result is how a placed task ended: Done, SizeExceeded, Failed or NotStarted.
+// Result is how a placed task ended: Done, ResourcesExceeded, Failed or NotStarted.
 type Result interface{ isResult() }
 
 // Done means that the task ended on its own, with the peak usage that the worker reported.
 type Done struct{ peak Resources }
 
-// ResourcesExceeded means that the worker throttled, checkpointed or stopped the task for exceeding its size.
+// ResourcesExceeded means that the worker throttled, checkpointed or stopped the task for exceeding its resources.
 type ResourcesExceeded struct{ peak Resources }
 
-// Failed means that the task failed on its worker for a reason other than its size.
+// Failed means that the task failed on its worker for a reason other than its resources.
 type Failed struct{}
 
-// NotStarted means that the task did not run, so that it says nothing about its size or its worker.
+// NotStarted means that the task did not run, so that it says nothing about its resources or its worker.
 type NotStarted struct{}
 
 func (Done) isResult()              {}
@@ -82,7 +82,7 @@
 // NewDone returns the result of a task that ended on its own with the given peak usage.
 func NewDone(peak Resources) Done { return Done{peak: peak} }
 
-// NewResourcesExceeded returns the result of a task that exceeded its size with the given peak usage.
+// NewResourcesExceeded returns the result of a task that exceeded its resources with the given peak usage.
 func NewResourcesExceeded(peak Resources) ResourcesExceeded { return ResourcesExceeded{peak: peak} }
 
 // workerState is the placer's state of one worker.
@@ -97,7 +97,7 @@
 	consecutiveFailures int
 }
 
-// free returns the size that is neither reserved nor known to be used by other instances.
+// free returns the resources that are neither reserved nor known to be used by other instances.
 func (workerState *workerState) free(now time.Time) Resources {
 	free := workerState.total.subtract(workerState.reserved)
 	if now.Before(workerState.otherUsageUntil) {
@@ -110,7 +110,7 @@
 	return now.Before(workerState.suspendedUntil)
 }
 
-// reservation is the size reserved on a worker for one task.
+// reservation holds the resources reserved on a worker for one task.
 type reservation struct {
 	worker  string
 	kind    string
@@ -122,7 +122,7 @@
 	mu           sync.Mutex
 	states       []*workerState // by rack and name of the worker
 	byName       map[string]*workerState
-	estimates    map[string]*sizeEstimate
+	estimates    map[string]*resourceEstimate
 	reservations map[uint64]reservation
 	lastID       uint64
 	largest      Resources              // of any worker, separately for each dimension
@@ -143,7 +143,7 @@
 	return &Placer{
 		random:       random,
 		byName:       make(map[string]*workerState),
-		estimates:    make(map[string]*sizeEstimate),
+		estimates:    make(map[string]*resourceEstimate),
 		lastRacks:    make(map[string]string),
 		reservations: make(map[uint64]reservation),
 	}
@@ -201,14 +201,14 @@
 	}
 }
 
-// Place reserves room for one task of kind. It prefers nearRack, if not empty, because a job whose tasks share a rack
-// is affected by the failure of fewer racks.
+// Place reserves resources for one task of kind. It prefers nearRack, if not empty, because a job whose tasks share a
+// rack is affected by the failure of fewer racks.
 func (placer *Placer) Place(kind string, declared Resources, nearRack string, now time.Time) Decision {
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
 	request := placer.estimate(kind).request(declared)
 	if declared.Fits(placer.largest) {
-		// The estimate may exceed the largest worker. Such a task still runs there, and the worker enforces its size.
+		// The estimate may exceed the largest worker. Such a task still runs there, and the worker enforces its limits.
 		request = request.minimum(placer.largest)
 	}
 	best := placer.chooseWorker(request, nearRack, now)
@@ -232,7 +232,7 @@
 	return placer.lastRacks[kind]
 }
 
-// FitsAnyWorker reports whether a task of the declared size fits on any worker when that is idle.
+// FitsAnyWorker reports whether a task with the declared resources fits on any worker when that is idle.
 func (placer *Placer) FitsAnyWorker(declared Resources) bool {
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
@@ -243,8 +243,8 @@
 	return slices.ContainsFunc(placer.states, func(workerState *workerState) bool { return request.Fits(workerState.total) })
 }
 
-// chooseWorker returns a worker that has room and is not suspended, or nil. It checks the near rack first, then a
-// random sample, and all workers only if neither has room.
+// chooseWorker returns a worker that has enough free capacity and is not suspended, or nil. It checks the near rack
+// first, then a random sample, and all workers only if neither has such a worker.
 func (placer *Placer) chooseWorker(request Resources, nearRack string, now time.Time) *workerState {
 	near := placer.racks[nearRack]
 	best := leastLoaded(nil, placer.states[near.begin:near.end], request, now)
@@ -264,7 +264,7 @@
 }
 
 // leastLoaded returns the worker with the largest free CPU share among best, which may be nil, and those of states
-// that have room and are not suspended.
+// that have enough free capacity and are not suspended.
 func leastLoaded(best *workerState, states []*workerState, request Resources, now time.Time) *workerState {
 	for _, workerState := range states {
 		free := workerState.free(now)
@@ -279,13 +279,13 @@
 }
 
 // freeCPUShare returns the free part of a worker's processor time in millionths, which makes workers of different
-// size comparable.
+// capacity comparable.
 func freeCPUShare(state *workerState, free Resources) int64 {
 	return free.MilliCores * 1_000_000 / max(state.total.MilliCores, 1)
 }
 
-// Release ends the reservation of a placed task and updates the state of its worker and the size estimate of its kind
-// with the result. A second call has no effect.
+// Release ends the reservation of a placed task and updates the state of its worker and the resource estimate of its
+// kind with the result. A second call has no effect.
 func (placer *Placer) Release(placed Placed, result Result, now time.Time) {
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
@@ -314,8 +314,8 @@
 const (
 	// failuresToSuspend is the number of consecutive failures after which a worker is assumed to fail every task.
 	failuresToSuspend = 3
-	// suspendTime is the time for which such a worker gets no tasks; afterwards one more failure suspends it again.
-	suspendTime = 10 * time.Second
+	// suspendInterval is the time for which such a worker gets no tasks; afterwards one more failure suspends it again.
+	suspendInterval = 10 * time.Second
 	// maxSuspendedPercent bounds the workers suspended at once; if more fail, the tasks are more likely at fault.
 	maxSuspendedPercent = 30
 )
@@ -334,15 +334,15 @@
 		}
 	}
 	if (suspended+1)*100 <= maxSuspendedPercent*len(placer.states) {
-		state.suspendedUntil = now.Add(suspendTime)
+		state.suspendedUntil = now.Add(suspendInterval)
 	}
 }
 
-// estimate returns the size estimate of kind; the caller holds placer.mu.
-func (placer *Placer) estimate(kind string) *sizeEstimate {
+// estimate returns the resource estimate of kind; the caller holds placer.mu.
+func (placer *Placer) estimate(kind string) *resourceEstimate {
 	estimate := placer.estimates[kind]
 	if estimate == nil {
-		estimate = &sizeEstimate{}
+		estimate = &resourceEstimate{}
 		placer.estimates[kind] = estimate
 	}
 	return estimate
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// newWorkers returns count workers of size total in racks of perRack workers.
+// newWorkers returns count workers with the given total resources in racks of perRack workers.
 func newWorkers(count, perRack int, total placer.Resources) []placer.Worker {
 	workers := make([]placer.Worker, count)
 	for i := range workers {
@@ -22,7 +22,7 @@
 	return workers
 }
 
-// Guards against reserving more than the size of a worker, and against a release that is lost or counted twice.
+// Guards against reserving more than the total of a worker, and against a release that is lost or counted twice.
 func TestReservationsAgainstReference(t *testing.T) {
 	is := is.New(t)
 	total := placer.Resources{MilliCores: 32_000, MemoryMB: 131_072}
@@ -58,7 +58,7 @@
 			for _, worker := range newWorkers(16, 8, total) {
 				resources := used[worker.Name()]
 				fits := resources.MilliCores+request.MilliCores <= total.MilliCores && resources.MemoryMB+request.MemoryMB <= total.MemoryMB
-				is.True(!fits) // Full requires that no worker has room
+				is.True(!fits) // Full requires that no worker has enough free capacity
 			}
 		case placer.Impossible:
 			t.Fatal("Place returned Impossible for a request that fits an idle worker")
@@ -93,8 +93,9 @@
 	}
 }
 
-// Guards against ignoring that a task exceeded its size, and against using a declared size that is far too large.
-func TestSizeEstimates(t *testing.T) {
+// Guards against ignoring that a task exceeded its resources, and against using declared resources that are far too
+// large.
+func TestResourceEstimates(t *testing.T) {
 	is := is.New(t)
 	subject := placer.New(rand.New(rand.NewPCG(3, 4)))
 	subject.Update(newWorkers(4, 2, placer.Resources{MilliCores: 32_000, MemoryMB: 131_072}))
@@ -114,7 +115,7 @@
 	is.Equal(place("overstated", large).Granted(), placer.Resources{MilliCores: 1200, MemoryMB: 1200})
 }
 
-// Guards against placing tasks on room that other instances use, and against using an expired usage report.
+// Guards against placing tasks on capacity that other instances use, and against using an expired usage report.
 func TestUsageOfOtherInstances(t *testing.T) {
 	is := is.New(t)
 	subject := placer.New(rand.New(rand.NewPCG(3, 4)))
--- a/placer/size.go
+++ b/placer/resources.go
@@ -1,6 +1,6 @@
 package placer
 
-// Resources is the amount of resources that a task needs or a worker has.
+// Resources holds the amounts of resources that a task needs or a worker has.
 type Resources struct {
 	// MilliCores is processor time in thousandths of a core.
 	MilliCores int64 `json:"milli-cores"`
@@ -18,9 +18,9 @@
 	return Resources{resources.MilliCores - other.MilliCores, resources.MemoryMB - other.MemoryMB, resources.Accelerators - other.Accelerators}
 }
 
-// Fits reports whether size is at most room in every dimension.
-func (resources Resources) Fits(room Resources) bool {
-	return resources.MilliCores <= room.MilliCores && resources.MemoryMB <= room.MemoryMB && resources.Accelerators <= room.Accelerators
+// Fits reports whether resources is at most available in every dimension.
+func (resources Resources) Fits(available Resources) bool {
+	return resources.MilliCores <= available.MilliCores && resources.MemoryMB <= available.MemoryMB && resources.Accelerators <= available.Accelerators
 }
 
 // Maximum returns the larger value of each dimension.
@@ -38,49 +38,49 @@
 }
 
 const (
-	// trustedSamples is the number of observed tasks from which the estimated size of a kind replaces a larger
-	// declared one.
+	// trustedSamples is the number of observed tasks from which the estimate of a kind replaces larger declared
+	// resources.
 	trustedSamples = 20
-	// headroomPercent scales the estimated size, so that ordinary variation does not exceed it.
+	// headroomPercent scales the estimate, so that ordinary variation does not exceed the granted resources.
 	headroomPercent = 120
 	// decayPercent is the part of the estimate's excess over a new observation that is kept, so that one outlier does
 	// not reserve memory forever.
 	decayPercent = 97
-	// exceededGrowthPercent scales the granted size of a task that exceeded it; the result is the new minimum of the
-	// estimate.
+	// exceededGrowthPercent scales the granted resources of a task that exceeded them; the result is the new minimum
+	// of the estimate.
 	exceededGrowthPercent = 150
 )
 
-// sizeEstimate is the estimated size of one kind: a slowly decaying maximum of the observed peaks.
-type sizeEstimate struct {
+// resourceEstimate is the estimate of the resources of one kind: a slowly decaying maximum of the observed peaks.
+type resourceEstimate struct {
 	peak    Resources
 	samples int
 }
 
-// observe updates the estimate with the peak usage of a task that stayed within its size.
-func (sizeEstimate *sizeEstimate) observe(peak Resources) {
-	excess := sizeEstimate.peak.subtract(peak)
+// observe updates the estimate with the peak usage of a task that stayed within its resources.
+func (resourceEstimate *resourceEstimate) observe(peak Resources) {
+	excess := resourceEstimate.peak.subtract(peak)
 	decayed := peak.add(excess.scale(decayPercent))
-	decayed.Accelerators = max(peak.Accelerators, sizeEstimate.peak.Accelerators)
-	sizeEstimate.peak = peak.Maximum(decayed)
-	sizeEstimate.samples++
+	decayed.Accelerators = max(peak.Accelerators, resourceEstimate.peak.Accelerators)
+	resourceEstimate.peak = peak.Maximum(decayed)
+	resourceEstimate.samples++
 }
 
 // observeExceeded raises the estimate after the worker throttled, checkpointed or stopped a task for exceeding its
-// granted size.
-func (sizeEstimate *sizeEstimate) observeExceeded(granted, peak Resources) {
-	sizeEstimate.peak = sizeEstimate.peak.Maximum(granted.scale(exceededGrowthPercent)).Maximum(peak)
-	sizeEstimate.samples = max(sizeEstimate.samples, 1)
+// granted resources.
+func (resourceEstimate *resourceEstimate) observeExceeded(granted, peak Resources) {
+	resourceEstimate.peak = resourceEstimate.peak.Maximum(granted.scale(exceededGrowthPercent)).Maximum(peak)
+	resourceEstimate.samples = max(resourceEstimate.samples, 1)
 }
 
-// request returns the size to request for a task with the declared size.
-func (sizeEstimate *sizeEstimate) request(declared Resources) Resources {
-	if sizeEstimate.samples == 0 {
+// request returns the resources to request for a task with the declared resources.
+func (resourceEstimate *resourceEstimate) request(declared Resources) Resources {
+	if resourceEstimate.samples == 0 {
 		return declared
 	}
-	estimated := sizeEstimate.peak.scale(headroomPercent)
+	estimated := resourceEstimate.peak.scale(headroomPercent)
 	estimated.Accelerators = declared.Accelerators
-	if sizeEstimate.samples < trustedSamples {
+	if resourceEstimate.samples < trustedSamples {
 		return declared.Maximum(estimated)
 	}
 	return estimated
--- a/router/api.go
+++ b/router/api.go
@@ -53,7 +53,7 @@
 	return Share{low: below / total, high: (below + weights[i]) / total}
 }
 
-// Policy is the rule by which a target is chosen among those with room: LeastExpectedCompletion, RoundRobin,
+// Policy is the rule by which a target is chosen among those with free capacity: LeastExpectedCompletion, RoundRobin,
 // LeastInFlight, PowerOfTwoChoices or Random.
 type Policy interface{ isPolicy() }
 
@@ -69,7 +69,7 @@
 // PowerOfTwoChoices draws two targets and chooses the one with fewer tasks of this instance in flight per slot.
 type PowerOfTwoChoices struct{}
 
-// Random chooses a random target with room.
+// Random chooses a random target with free capacity.
 type Random struct{}
 
 func (LeastExpectedCompletion) isPolicy() {}
@@ -120,5 +120,5 @@
 // time since the choice is used.
 func NewFinished(runTime time.Duration) Finished { return Finished{runTime: runTime} }
 
-// NewNotStarted returns the result of a refused start; leaving means that the target takes no more tasks.
+// NewNotStarted returns the result of a rejected start; leaving means that the target takes no more tasks.
 func NewNotStarted(leaving bool) NotStarted { return NotStarted{leaving: leaving} }
--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -35,7 +35,7 @@
 				router.Done(ring[i], Finished{runTime: time.Duration(100+i%300) * time.Millisecond}, now)
 				choice, ok := router.Pick("check", now)
 				if !ok {
-					b.Fatal("no target has room")
+					b.Fatal("no target has free capacity")
 				}
 				ring[i] = choice
 				i = (i + 1) % len(ring)
--- a/router/borrow_test.go
+++ b/router/borrow_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// fill picks targets for tasks of kind until none has room.
+// fill picks targets for tasks of kind until none has free capacity.
 func fill(router *Router, kind string, now time.Time) []Choice {
 	var choices []Choice
 	for {
--- a/router/choose.go
+++ b/router/choose.go
@@ -23,7 +23,7 @@
 	queueWaitLifetime = 2 * time.Second
 )
 
-// Pick chooses a target for one task of kind; it reports false if no target has room.
+// Pick chooses a target for one task of kind; it reports false if no target has free capacity.
 func (router *Router) Pick(kind string, now time.Time) (Choice, bool) {
 	router.mu.Lock()
 	defer router.mu.Unlock()
--- a/router/eject.go
+++ b/router/eject.go
@@ -26,7 +26,7 @@
 	// firstTrialDelay is the base delay from the ejection to the first trial; it doubles with each failed trial,
 	// because each failed trial fails a whole job.
 	firstTrialDelay = 8 * time.Second
-	// trialRetryDelay is the time until a due trial is tried again after the target had no room.
+	// trialRetryDelay is the time until a due trial is tried again after the target had no free capacity.
 	trialRetryDelay = 50 * time.Millisecond
 	// maxTrialDoublings bounds the delay between trials to 8 times the first.
 	maxTrialDoublings = 3
@@ -91,7 +91,7 @@
 	router.ejected = slices.Delete(router.ejected, i, i+1)
 }
 
-// dueTrial returns an ejected target whose trial is due and that has room, or nil.
+// dueTrial returns an ejected target whose trial is due and that has free capacity, or nil.
 func (router *Router) dueTrial(now int64) *target {
 	if now < router.trialAt {
 		return nil
@@ -106,7 +106,7 @@
 			due = target
 			continue
 		}
-		// A due trial of a target without room is postponed, so that not every decision checks it again.
+		// A due trial of a target without free capacity is postponed, so that not every decision checks it again.
 		target.trialAt = max(target.trialAt, now+int64(trialRetryDelay))
 		router.trialAt = min(router.trialAt, target.trialAt)
 	}
--- a/router/learn.go
+++ b/router/learn.go
@@ -17,8 +17,8 @@
 	overallFailureSmoothing = 0.02
 	// minQueueWait is the longest wait that counts as none; it covers the network delay.
 	minQueueWait = 5 * time.Millisecond
-	// pauseStep is the base time for which a target gets no tasks after it refused a start; it doubles with each
-	// further refusal or failure in a row.
+	// pauseStep is the base time for which a target gets no tasks after it rejected a start; it doubles with each
+	// further rejected start or failure in a row.
 	pauseStep = 50 * time.Millisecond
 	// maxPauseDoublings bounds the pause to 64 times pauseStep.
 	maxPauseDoublings = 6
@@ -115,7 +115,7 @@
 	}
 }
 
-// recordNotStarted pauses a target that refused a start, so that the next starts are not refused as well, or marks it
+// recordNotStarted pauses a target that rejected a start, so that the next starts are not rejected as well, or marks it
 // as leaving.
 func (router *Router) recordNotStarted(target *target, result NotStarted, now int64) {
 	if result.leaving {
--- a/router/router.go
+++ b/router/router.go
@@ -50,7 +50,7 @@
 
 // Update replaces the snapshot of targets; the statistics of targets that stay are kept.
 //
-// A target passed to MarkLeaving gets no new tasks for minLeavingTime even if
+// A target passed to MarkLeaving gets no new tasks for minLeavingInterval even if
 // the snapshot does not show it as leaving, because the snapshot may be stale.
 func (router *Router) Update(targets []Target, now time.Time) {
 	router.mu.Lock()
@@ -119,7 +119,7 @@
 }
 
 // MarkLeaving marks the target named name as leaving. It gets no new tasks until an Update lists it as not leaving;
-// within minLeavingTime, only an Update after one that listed it as leaving counts.
+// within minLeavingInterval, only an Update after one that listed it as leaving counts.
 func (router *Router) MarkLeaving(name string, now time.Time) {
 	router.mu.Lock()
 	defer router.mu.Unlock()
@@ -129,7 +129,7 @@
 }
 
 func (router *Router) markLeaving(target *target, now int64) {
-	target.leavingUntil = max(target.leavingUntil, now+int64(minLeavingTime))
+	target.leavingUntil = max(target.leavingUntil, now+int64(minLeavingInterval))
 	router.restore(target)
 	router.reindex(target)
 }
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -46,7 +46,7 @@
 
 func (reference *reference) leave(name string, now time.Time) {
 	if _, ok := reference.targets[name]; ok {
-		reference.leaving[name] = now.Add(minLeavingTime)
+		reference.leaving[name] = now.Add(minLeavingInterval)
 	}
 }
 
@@ -115,7 +115,7 @@
 	_, least := sequence.router.config.Policy.(LeastExpectedCompletion)
 	switch {
 	case !ok && len(candidates) > 0 && !silent:
-		sequence.Fatalf("no target was picked, %d have room", len(candidates))
+		sequence.Fatalf("no target was picked, %d have free capacity", len(candidates))
 	case !ok:
 		return
 	case !sequence.reference.isEligible(choice.Name()):
@@ -123,7 +123,7 @@
 	case choice.trial && !slices.Contains(ejected, choice.target):
 		sequence.Fatalf("%s was picked for a trial, but was not ejected", choice.Name())
 	case !choice.trial && !slices.Contains(candidates, choice.target):
-		sequence.Fatalf("%s was picked, but is ejected or has no room", choice.Name())
+		sequence.Fatalf("%s was picked, but is ejected or has no free capacity", choice.Name())
 	case least && !choice.trial && !silent && !slices.Contains(cheapest, choice.target):
 		sequence.Fatalf("%s was picked, but does not have the least expected completion", choice.Name())
 	}
@@ -140,7 +140,7 @@
 	choice := sequence.openChoices[i]
 	sequence.openChoices = slices.Delete(sequence.openChoices, i, i+1)
 	var result Result = NewFinished(time.Duration(sequence.random.IntN(400)) * time.Millisecond)
-	// Some targets fail, do not answer, refuse or are slow most of the time, so that ejections and returns occur.
+	// Some targets fail, do not answer, reject tasks or are slow most of the time, so that ejections and returns occur.
 	if class := int(choice.target.name[len(choice.target.name)-1] - '0'); class < 4 && sequence.random.IntN(10) > 0 {
 		result = []Result{Failed{}, Lost{}, NewNotStarted(false), NewFinished(5 * time.Second)}[class]
 	}
@@ -187,8 +187,8 @@
 		}
 		if up := sequence.reference.isEligible(name) && target.state == healthy; up {
 			availableShare += target.share
-			if room := target.inFlight < router.inFlightLimit(target); room != (target.targetList != nil) {
-				sequence.Fatalf("%s has room: %v, the lists say %v", name, room, !room)
+			if hasCapacity := target.inFlight < router.inFlightLimit(target); hasCapacity != (target.targetList != nil) {
+				sequence.Fatalf("%s has free capacity: %v, the lists say %v", name, hasCapacity, !hasCapacity)
 			}
 		}
 	}
@@ -321,7 +321,7 @@
 	for _, fault := range []faultBehavior{
 		{"fails at once", time.Millisecond, Failed{}},
 		{"does not answer", 8 * time.Second, Lost{}},
-		{"refuses", time.Millisecond, NewNotStarted(false)},
+		{"rejects", time.Millisecond, NewNotStarted(false)},
 		{"is slow", 900 * time.Millisecond, NewFinished(900 * time.Millisecond)},
 	} {
 		for _, policy := range []Policy{LeastExpectedCompletion{}, RoundRobin{}, LeastInFlight{}, PowerOfTwoChoices{}, Random{}} {
--- a/router/target.go
+++ b/router/target.go
@@ -8,8 +8,8 @@
 const (
 	// never is a time that is never reached.
 	never = math.MaxInt64
-	// minLeavingTime exceeds the lag of the instance list, which shows a leaving target as live for up to 5 s.
-	minLeavingTime = 10 * time.Second
+	// minLeavingInterval exceeds the lag of the instance list, which shows a leaving target as live for up to 5 s.
+	minLeavingInterval = 10 * time.Second
 	// defaultRunTime is assumed for kinds and targets of which no task has finished.
 	defaultRunTime = 200 * time.Millisecond
 )
@@ -40,7 +40,7 @@
 // target is the router's state of one target.
 type target struct {
 	Target
-	targetList     *targetList // the list that the target is on, nil if it has no room
+	targetList     *targetList // the list that the target is on, nil if it has no free capacity
 	listIndex      int32       // position on the list
 	inFlight       int32
 	share          int32
@@ -57,7 +57,7 @@
 	queueWait           float64 // moving average of the wait for a slot behind the tasks of all instances, nanoseconds
 	queueWaitAt         int64
 	failureRate         float32 // moving average of failures, 0 to 1
-	consecutiveFailures int32   // failures and refusals since the last success
+	consecutiveFailures int32   // failures and rejected starts since the last success
 
 	lastActivityAt  int64 // last answer, or the pick that ended an idle time
 	pickedAt        int64
@@ -102,7 +102,7 @@
 }
 
 // reindex moves target to the list of targets with free own slots or with slots to borrow, or removes it from both
-// if it has no room or may get no tasks.
+// if it has no free capacity or may get no tasks.
 func (router *Router) reindex(target *target) {
 	if target.borrowLimit < 0 || target.borrowLimit > float32(target.slots)-float32(target.share) {
 		// All slots beyond the share may be borrowed until waits show that other instances use them.
