--- a/server/meter.go
+++ b/server/meter.go
@@ -56,7 +56,7 @@
 		"hyssoplift_link_pings_sent":       traffic.PingsSent,
 		"hyssoplift_link_messages_dropped": traffic.Dropped,
 		"hyssoplift_link_stray_answers":    traffic.StrayAnswers,
-		"hyssoplift_start_records":         func() int64 { return int64(server.keeper.Records()) },
+		"hyssoplift_start_records":         func() int64 { return int64(server.keeper.RecordCount()) },
 		"hyssoplift_jobs_waiting":          func() int64 { return int64(server.scheduler.limiter.Waiting()) },
 		"hyssoplift_tasks_in_flight":       func() int64 { return int64(server.scheduler.limiter.InFlight()) },
 		"hyssoplift_view":                  func() int64 { number, _ := server.keeper.View(); return number },
--- a/server/submit.go
+++ b/server/submit.go
@@ -210,7 +210,7 @@
 		return answer(decision.Outcome)
 	case keeper.AnswerLost:
 		return answer(lostAnswer(request.job, decision.Fate))
-	case keeper.NotYet:
+	case keeper.RetryLater:
 		return false, func() dispatcher.Outcome { return request.pause(ctx, decision.Outcome) }
 	case keeper.Forward:
 		return false, func() dispatcher.Outcome { return server.forward(ctx, request, decision.To) }
@@ -257,7 +257,7 @@
 		return dispatcher.NewUnknown("no decision was reached by the deadline")
 	}
 	switch event := event.(type) {
-	case keeper.AttemptLost:
+	case keeper.AttemptFailed:
 		if event.Resubmit {
 			return nil
 		}
@@ -268,7 +268,7 @@
 		return event.Outcome
 	case keeper.CancelConfirmed:
 		return cancelled()
-	case keeper.AnswerFound:
+	case keeper.RefusalSuperseded:
 		return event.Outcome
 	case keeper.OutcomeKnown:
 		return event.Outcome
