--- a/keeper/attempt.go
+++ b/keeper/attempt.go
@@ -11,13 +11,13 @@
 	// witnessRounds is how often the list of possible witnesses is tried: a second round covers one lost
 	// message, and more would only delay the answer "unknown".
 	witnessRounds = 2
-	// maxTries bounds the messages of one attempt in a large failure domain.
-	maxTries = 6
+	// maxRequests bounds the messages of one attempt in a large failure domain.
+	maxRequests = 6
 )
 
 // replicate starts an attempt for a record of this owner.
 func (shard *shard) replicate(key Key, submission Submission, stored *record, now time.Time, effects *effects) Decision {
-	if key.form == SoloKey || shard.alone() {
+	if key.form == SoloKey || shard.isOnlyMember() {
 		// Only a cancellation gets here; nobody else decides the key, so it is final at once.
 		stored.confirmed = true
 		return Answer{Outcome: cancelledOutcome()}
@@ -25,26 +25,26 @@
 	ticket := shard.keeper.ticket()
 	added := &attempt{key: key.text, submission: submission, tickets: []uint64{ticket}}
 	shard.attempts[key.text] = added
-	if !shard.request(added, stored, now, effects) {
+	if !shard.requestWitness(added, stored, now, effects) {
 		shard.abandon(added, stored)
-		return unknown(detailNoWitness)
+		return unknownAnswer(detailNoWitness)
 	}
 	return AwaitWitness{Ticket: ticket}
 }
 
-// request sends the record to the next witness; it returns false if none is left.
-func (shard *shard) request(attempt *attempt, stored *record, now time.Time, effects *effects) bool {
+// requestWitness sends the record to the next witness; it returns false if none is left.
+func (shard *shard) requestWitness(attempt *attempt, stored *record, now time.Time, effects *effects) bool {
 	witness, found := shard.nextWitness(attempt)
 	if !found {
 		return false
 	}
 	shard.sequence++
-	stored.view, stored.sequence, stored.holder = shard.place.number(), shard.sequence, shard.self()
-	attempt.witness, attempt.held = witness, false
+	stored.view, stored.sequence, stored.holder = shard.history.number(), shard.sequence, shard.self()
+	attempt.witness, attempt.awaitsView = witness, false
 	attempt.tried = append(attempt.tried, witness.Incarnation)
-	attempt.tries++
+	attempt.requests++
 	attempt.deadline = now.Add(shard.keeper.limits.AckTimeout)
-	shard.wake(attempt.deadline)
+	shard.scheduleBy(attempt.deadline)
 	effects.send(witness, Record{Key: attempt.key, Digest: stored.digest, View: stored.view, State: stored.state, Sequence: stored.sequence})
 	return true
 }
@@ -52,9 +52,9 @@
 // nextWitness returns the first member in rendezvous order that is neither tried nor suspected; if all
 // are suspected, the suspicion may be wrong and they are tried all the same.
 func (shard *shard) nextWitness(attempt *attempt) (Member, bool) {
-	current := shard.place.current
-	others := current.order[shard.slice][1:]
-	if attempt.tries >= min(maxTries, witnessRounds*len(others)) {
+	current := shard.history.current
+	others := current.rendezvousOrder[shard.slice][1:]
+	if attempt.requests >= min(maxRequests, witnessRounds*len(others)) {
 		return Member{}, false
 	}
 	var fallback *Member
@@ -89,17 +89,17 @@
 func (shard *shard) retry(attempt *attempt, now time.Time, effects *effects) {
 	stored := shard.records[attempt.key]
 	shard.withdraw(attempt, stored, effects)
-	if shard.request(attempt, stored, now, effects) {
+	if shard.requestWitness(attempt, stored, now, effects) {
 		return
 	}
 	shard.abandon(attempt, stored)
-	if stored.state == StatePending && attempt.fulls == attempt.tries {
+	if stored.state == StatePending && attempt.fullRefusals == attempt.requests {
 		// No member has room: the job is refused for the same reason as with a full table of its owner.
-		refused := dispatcher.NewRefused(dispatcher.ReasonOverload, detailFull, "", now.Add(fullRetryDelay))
+		refused := dispatcher.NewRefused(dispatcher.ReasonOverload, detailFull, "", now.Add(fullTableRetryDelay))
 		shard.keeper.confirmer.requeue(shard.refusal(Key{}, attempt.submission, refused, attempt.tickets, now), now, effects)
 		return
 	}
-	shard.loseAttempt(attempt, detailNoWitness, false, effects)
+	shard.failAttempt(attempt, detailNoWitness, false, effects)
 }
 
 // withdraw frees the witness of a record that will not start; a cancellation stays true and needs none.
@@ -114,7 +114,7 @@
 func (shard *shard) abandon(attempt *attempt, stored *record) {
 	delete(shard.attempts, attempt.key)
 	if stored.state == StatePending {
-		shard.drop(attempt.key)
+		shard.dropRecord(attempt.key)
 	}
 }
 
@@ -134,15 +134,15 @@
 }
 
 func (shard *shard) receiveAck(from string, ack RecordAck, effects *effects) {
-	attempt, stored := shard.match(from, ack.Key, ack.View, ack.Sequence)
+	attempt, stored := shard.matchAttempt(from, ack.Key, ack.View, ack.Sequence)
 	if attempt != nil {
 		shard.grant(attempt, stored, effects)
 	}
 }
 
-// match returns the attempt that an answer belongs to. An answer to an earlier attempt must not count: its
+// matchAttempt returns the attempt that an answer belongs to. An answer to an earlier attempt must not count: its
 // record has been withdrawn.
-func (shard *shard) match(from, key string, view int64, sequence uint64) (*attempt, *record) {
+func (shard *shard) matchAttempt(from, key string, view int64, sequence uint64) (*attempt, *record) {
 	attempt, stored := shard.attempts[key], shard.records[key]
 	if attempt == nil || stored == nil || attempt.witness.Incarnation != from || stored.sequence != sequence || stored.view != view {
 		return nil, nil
@@ -151,55 +151,55 @@
 }
 
 func (shard *shard) receiveRefused(from string, refused RecordRefused, now time.Time, effects *effects) {
-	attempt, _ := shard.match(from, refused.Key, refused.View, refused.Sequence)
+	attempt, _ := shard.matchAttempt(from, refused.Key, refused.View, refused.Sequence)
 	if attempt == nil {
 		return
 	}
 	if refused.Current > refused.View {
 		// The log holds a later view; the attempt continues in it, or goes to its owner.
-		attempt.held, attempt.deadline = true, now.Add(shard.keeper.limits.SyncTimeout)
+		attempt.awaitsView, attempt.deadline = true, now.Add(shard.keeper.limits.SyncTimeout)
 		return
 	}
 	if refused.Full {
-		attempt.fulls++
+		attempt.fullRefusals++
 	}
 	shard.retry(attempt, now, effects)
 }
 
 // receiveRecord stores a witness's copy. A witness that has not read the owner's view yet may store it too:
 // it hands the copy over when it adopts a later view, and refuses only what is below its own.
-func (shard *shard) receiveRecord(from Member, key Key, asked Record, now time.Time, effects *effects) {
-	refused := RecordRefused{Key: asked.Key, View: asked.View, Sequence: asked.Sequence, Current: shard.place.number()}
-	known := shard.records[asked.Key]
+func (shard *shard) receiveRecord(from Member, key Key, request Record, now time.Time, effects *effects) {
+	refused := RecordRefused{Key: request.Key, View: request.View, Sequence: request.Sequence, Current: shard.history.number()}
+	known := shard.records[request.Key]
 	switch {
-	case asked.View < 0, refused.Current > asked.View:
-	case refused.Current == asked.View && shard.owner().Incarnation != from.Incarnation:
-	case known == nil && shard.keeper.full():
+	case request.View < 0, refused.Current > request.View:
+	case refused.Current == request.View && shard.owner().Incarnation != from.Incarnation:
+	case known == nil && shard.keeper.tableFull():
 		refused.Full = true
-	case known != nil && shard.outranks(known, from.Incarnation, asked):
+	case known != nil && shard.supersedes(known, from.Incarnation, request):
 	default:
-		shard.put(asked.Key, &record{digest: asked.Digest, view: asked.View, sequence: asked.Sequence, state: asked.State, holder: from.Incarnation})
-		if asked.State == StateCancelled {
+		shard.putRecord(request.Key, &record{digest: request.Digest, view: request.View, sequence: request.Sequence, state: request.State, holder: from.Incarnation})
+		if request.State == StateCancelled {
 			shard.expireLater(key, now.Add(shard.keeper.limits.Retention))
 		}
-		effects.send(from, RecordAck{Key: asked.Key, View: asked.View, Sequence: asked.Sequence})
+		effects.send(from, RecordAck{Key: request.Key, View: request.View, Sequence: request.Sequence})
 		return
 	}
 	effects.send(from, refused)
 }
 
-// outranks says that the known record must not be replaced by the asked one.
-func (shard *shard) outranks(known *record, from string, asked Record) bool {
-	if known.holder == from && known.view == asked.View {
+// supersedes says that the known record must not be replaced by the asked one.
+func (shard *shard) supersedes(known *record, from string, request Record) bool {
+	if known.holder == from && known.view == request.View {
 		// A message that was overtaken by a later attempt of the same owner.
-		return known.sequence > asked.Sequence
+		return known.sequence > request.Sequence
 	}
-	return shard.attempts[asked.Key] != nil || known.view > asked.View || known.holder == shard.self() && known.state >= StateStarted
+	return shard.attempts[request.Key] != nil || known.view > request.View || known.holder == shard.self() && known.state >= StateStarted
 }
 
 func (shard *shard) receiveWithdraw(from string, withdraw Withdraw) {
 	known := shard.records[withdraw.Key]
 	if known != nil && known.state == StatePending && known.holder == from && known.view == withdraw.View && known.sequence == withdraw.Sequence {
-		shard.drop(withdraw.Key)
+		shard.dropRecord(withdraw.Key)
 	}
 }
--- a/keeper/cancel.go
+++ b/keeper/cancel.go
@@ -22,7 +22,7 @@
 	if stored != nil && stored.holder == shard.self() && stored.state >= StateStarted {
 		return AlreadyStarted{}, nil
 	}
-	if decision := shard.standingDecision(key, forwarded); decision != nil {
+	if decision := shard.ownershipDecision(key, forwarded); decision != nil {
 		return decision, nil
 	}
 	switch {
@@ -30,11 +30,11 @@
 		return shard.cancelFresh(key, now, effects), nil
 	case stored.state == StateCancelled:
 		submission := Submission{Key: key.text, Digest: stored.digest}
-		verdict := shard.recall(key, stored, submission, effects, now)
-		if verdict.refusal != nil {
-			return nil, shard.refusal(key, submission, *verdict.refusal, nil, now)
+		result := shard.answerFromRecord(key, stored, submission, effects, now)
+		if result.refusal != nil {
+			return nil, shard.refusal(key, submission, *result.refusal, nil, now)
 		}
-		return verdict.decision, nil
+		return result.decision, nil
 	case shard.attempts[key.text] != nil:
 		return shard.cancelPending(key, stored, now, effects), nil
 	default:
@@ -44,14 +44,14 @@
 
 // cancelFresh cancels a job that has not been submitted here, so that it never starts.
 func (shard *shard) cancelFresh(key Key, now time.Time, effects *effects) Decision {
-	if detail := shard.doubt(key, now); detail != "" {
-		return unknown(detail)
+	if detail := shard.uncertaintyReason(key, now); detail != "" {
+		return unknownAnswer(detail)
 	}
-	if shard.keeper.full() {
-		return unknown(detailFull)
+	if shard.keeper.tableFull() {
+		return unknownAnswer(detailFull)
 	}
-	stored := &record{view: shard.place.number(), state: StateCancelled, holder: shard.self()}
-	shard.put(key.text, stored)
+	stored := &record{view: shard.history.number(), state: StateCancelled, holder: shard.self()}
+	shard.putRecord(key.text, stored)
 	shard.expireLater(key, now.Add(shard.keeper.limits.Retention))
 	return shard.replicate(key, Submission{Key: key.text}, stored, now, effects)
 }
@@ -64,11 +64,11 @@
 	shard.expireLater(key, now.Add(shard.keeper.limits.Retention))
 	ticket := shard.keeper.ticket()
 	pending.tickets = append(pending.tickets, ticket)
-	pending.tried, pending.tries, pending.fulls = nil, 0, 0
-	if !shard.request(pending, stored, now, effects) {
+	pending.tried, pending.requests, pending.fullRefusals = nil, 0, 0
+	if !shard.requestWitness(pending, stored, now, effects) {
 		// The next Expire ends the attempt and tells its waiters.
 		pending.deadline = now
-		shard.wake(now)
+		shard.scheduleBy(now)
 	}
 	return AwaitWitness{Ticket: ticket}
 }
--- a/keeper/expire.go
+++ b/keeper/expire.go
@@ -50,8 +50,8 @@
 		at = at.Add(shard.keeper.limits.Retention)
 	}
 	shard.records[key.text].expires = at.UnixNano()
-	shard.expiring.push(key.text, at.UnixNano())
-	shard.wake(at)
+	shard.expirations.push(key.text, at.UnixNano())
+	shard.scheduleBy(at)
 }
 
 // HandleDeadlines acts on every deadline up to now: it resends, changes witness, gives up, and drops expired records.
@@ -60,70 +60,70 @@
 	var effects effects
 	requests := map[string]*SyncRequest{}
 	for _, shard := range keeper.shards {
-		if shard.due.Load() > now.UnixNano() {
+		if shard.nextDeadline.Load() > now.UnixNano() {
 			continue
 		}
-		number, missing := shard.expire(now, &effects)
+		number, missing := shard.handleDeadlines(now, &effects)
 		for _, member := range missing {
 			addRequest(requests, member, number, shard.slice)
 		}
 	}
 	keeper.sendRequests(requests, &effects)
-	keeper.confirmer.expire(now, &effects)
-	keeper.outbox.expire(now, &effects)
-	keeper.announceAgain(now, &effects)
+	keeper.confirmer.handleDeadlines(now, &effects)
+	keeper.outbox.handleDeadlines(now, &effects)
+	keeper.repeatAnnouncement(now, &effects)
 	return effects.events, effects.outgoing
 }
 
-// expire returns the members to ask again for the slice's records.
-func (shard *shard) expire(now time.Time, effects *effects) (int64, []string) {
+// handleDeadlines returns the members to ask again for the slice's records.
+func (shard *shard) handleDeadlines(now time.Time, effects *effects) (int64, []string) {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
 	for {
-		due, found := shard.expiring.pop(now.UnixNano())
+		due, found := shard.expirations.pop(now.UnixNano())
 		if !found {
 			break
 		}
 		if stored := shard.records[due.key]; stored != nil && stored.expires == due.time && shard.attempts[due.key] == nil {
-			shard.drop(due.key)
+			shard.dropRecord(due.key)
 		}
 	}
 	if len(shard.attempts) > 0 {
-		shard.expireAttempts(now, effects)
+		shard.handleAttemptDeadlines(now, effects)
 	}
 	var missing []string
-	if shard.syncing != nil {
-		missing = shard.expireSync(now, effects)
+	if shard.syncState != nil {
+		missing = shard.handleSyncDeadlines(now, effects)
 	}
-	shard.schedule()
-	return shard.place.number(), missing
+	shard.reschedule()
+	return shard.history.number(), missing
 }
 
-// schedule sets the time of the next look at the shard.
-func (shard *shard) schedule() {
+// reschedule sets the time of the next look at the shard.
+func (shard *shard) reschedule() {
 	next := int64(math.MaxInt64)
-	if head := shard.expiring.head; head < len(shard.expiring.entries) {
-		next = shard.expiring.entries[head].time
+	if head := shard.expirations.head; head < len(shard.expirations.entries) {
+		next = shard.expirations.entries[head].time
 	}
 	for _, attempt := range shard.attempts {
 		next = min(next, attempt.deadline.UnixNano())
 	}
-	if shard.syncing != nil {
-		next = min(next, shard.syncing.resend.UnixNano())
+	if shard.syncState != nil {
+		next = min(next, shard.syncState.resendAt.UnixNano())
 	}
-	shard.due.Store(next)
+	shard.nextDeadline.Store(next)
 }
 
-func (shard *shard) expireAttempts(now time.Time, effects *effects) {
+func (shard *shard) handleAttemptDeadlines(now time.Time, effects *effects) {
 	for _, text := range slices.Sorted(maps.Keys(shard.attempts)) {
 		attempt := shard.attempts[text]
 		switch {
 		case now.Before(attempt.deadline):
-		case attempt.held:
+		case attempt.awaitsView:
 			// The log that holds the later view cannot be read.
 			shard.withdraw(attempt, shard.records[text], effects)
 			shard.abandon(attempt, shard.records[text])
-			shard.loseAttempt(attempt, detailNoWitness, false, effects)
+			shard.failAttempt(attempt, detailNoWitness, false, effects)
 		default:
 			shard.retry(attempt, now, effects)
 		}
--- a/keeper/find.go
+++ b/keeper/find.go
@@ -20,24 +20,24 @@
 	defer shard.mutex.Unlock()
 	stored := shard.lookUp(key, now)
 	local := stored != nil && stored.holder == shard.self() && stored.state >= StateStarted
-	if decision := shard.standingDecision(key, forwarded); decision != nil && !local {
+	if decision := shard.ownershipDecision(key, forwarded); decision != nil && !local {
 		return decision, nil
 	}
 	switch {
-	case stored == nil && shard.doubt(key, now) != "":
-		return unknown(shard.doubt(key, now)), nil
+	case stored == nil && shard.uncertaintyReason(key, now) != "":
+		return unknownAnswer(shard.uncertaintyReason(key, now)), nil
 	case stored == nil:
 		return Absent{}, nil
 	case shard.attempts[key.text] != nil:
 		return Running{}, nil
 	}
 	submission := Submission{Key: key.text, Digest: stored.digest, Forwarded: forwarded}
-	verdict := shard.recall(key, stored, submission, effects, now)
-	if verdict.refusal != nil {
-		return nil, shard.refusal(key, submission, *verdict.refusal, nil, now)
+	result := shard.answerFromRecord(key, stored, submission, effects, now)
+	if result.refusal != nil {
+		return nil, shard.refusal(key, submission, *result.refusal, nil, now)
 	}
-	if _, joined := verdict.decision.(Joined); joined {
+	if _, joined := result.decision.(Joined); joined {
 		return Running{}, nil
 	}
-	return verdict.decision, nil
+	return result.decision, nil
 }
--- a/keeper/finish.go
+++ b/keeper/finish.go
@@ -41,7 +41,7 @@
 	if _, complete := outcome.(dispatcher.Complete); complete {
 		stored.state = StateFinished
 	}
-	shard.held.hold(stored)
+	shard.answers.add(stored)
 	shard.expireLater(key, now.Add(shard.keeper.limits.Retention))
 	var recipients []string
 	if stored.witness != "" {
@@ -72,68 +72,68 @@
 
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
-	trays    map[string]*tray
+	queues   map[string]*outcomeQueue
 	sequence uint64
 }
 
-// tray holds what one member has to learn.
-type tray struct {
+// outcomeQueue holds what one member has to learn.
+type outcomeQueue struct {
 	waiting  []RecordOutcome
-	flight   []RecordOutcome
+	inFlight []RecordOutcome
 	sequence uint64
-	due      time.Time
+	dueAt    time.Time
 }
 
 func (outbox *outbox) add(member string, ended RecordOutcome, now time.Time) {
 	outbox.mutex.Lock()
 	defer outbox.mutex.Unlock()
-	held := outbox.trays[member]
-	if held == nil {
-		held = &tray{due: now.Add(outbox.keeper.limits.OutcomeInterval)}
-		outbox.trays[member] = held
+	queue := outbox.queues[member]
+	if queue == nil {
+		queue = &outcomeQueue{dueAt: now.Add(outbox.keeper.limits.OutcomeInterval)}
+		outbox.queues[member] = queue
 	}
-	held.waiting = append(held.waiting, ended)
+	queue.waiting = append(queue.waiting, ended)
 }
 
-func (outbox *outbox) expire(now time.Time, effects *effects) {
-	place := outbox.keeper.place.Load()
+func (outbox *outbox) handleDeadlines(now time.Time, effects *effects) {
+	history := outbox.keeper.history.Load()
 	outbox.mutex.Lock()
 	defer outbox.mutex.Unlock()
-	if len(outbox.trays) == 0 {
+	if len(outbox.queues) == 0 {
 		return
 	}
-	for _, incarnation := range slices.Sorted(maps.Keys(outbox.trays)) {
-		held := outbox.trays[incarnation]
-		if now.Before(held.due) {
+	for _, incarnation := range slices.Sorted(maps.Keys(outbox.queues)) {
+		queue := outbox.queues[incarnation]
+		if now.Before(queue.dueAt) {
 			continue
 		}
 		member, found := Member{}, false
-		if place != nil {
-			member, found = find(place.current.view.Members, incarnation)
+		if history != nil {
+			member, found = findMember(history.current.view.Members, incarnation)
 		}
-		if !found || len(held.waiting)+len(held.flight) == 0 {
-			delete(outbox.trays, incarnation)
+		if !found || len(queue.waiting)+len(queue.inFlight) == 0 {
+			delete(outbox.queues, incarnation)
 			continue
 		}
-		outbox.sendTray(member, held, now, effects)
+		outbox.sendBatch(member, queue, now, effects)
 	}
 }
 
-func (outbox *outbox) sendTray(member Member, held *tray, now time.Time, effects *effects) {
-	if len(held.flight) == 0 {
-		count := min(len(held.waiting), outcomesPerBatch)
-		held.flight, held.waiting = held.waiting[:count:count], held.waiting[count:]
+func (outbox *outbox) sendBatch(member Member, queue *outcomeQueue, now time.Time, effects *effects) {
+	if len(queue.inFlight) == 0 {
+		count := min(len(queue.waiting), outcomesPerBatch)
+		queue.inFlight, queue.waiting = queue.waiting[:count:count], queue.waiting[count:]
 		outbox.sequence++
-		held.sequence = outbox.sequence
+		queue.sequence = outbox.sequence
 	}
-	held.due = now.Add(max(outbox.keeper.limits.OutcomeInterval, outbox.keeper.limits.AckTimeout))
-	effects.send(member, OutcomeBatch{Sequence: held.sequence, Outcomes: held.flight})
+	queue.dueAt = now.Add(max(outbox.keeper.limits.OutcomeInterval, outbox.keeper.limits.AckTimeout))
+	effects.send(member, OutcomeBatch{Sequence: queue.sequence, Outcomes: queue.inFlight})
 }
 
 func (outbox *outbox) receiveAck(from string, ack OutcomeAck, now time.Time) {
 	outbox.mutex.Lock()
 	defer outbox.mutex.Unlock()
-	if held := outbox.trays[from]; held != nil && held.sequence == ack.Sequence && len(held.flight) > 0 {
-		held.flight, held.due = nil, now.Add(outbox.keeper.limits.OutcomeInterval)
+	if queue := outbox.queues[from]; queue != nil && queue.sequence == ack.Sequence && len(queue.inFlight) > 0 {
+		queue.inFlight, queue.dueAt = nil, now.Add(outbox.keeper.limits.OutcomeInterval)
 	}
 }
--- a/keeper/held.go
+++ b/keeper/held.go
@@ -2,49 +2,49 @@
 
 import "github.com/hyssoplift/hyssoplift/dispatcher"
 
-// heldAnswers bounds the bytes of the complete answers that one shard keeps for resubmissions. The oldest goes first,
+// answerCache bounds the bytes of the complete answers that one shard keeps for resubmissions. The oldest goes first,
 // because resubmissions come soon; its record stays, so the job never starts again and is answered "answer lost".
-type heldAnswers struct {
+type answerCache struct {
 	limit int64
 	bytes int64
-	// order holds the records in the order of their ends; the first ones may have lost their answers already.
-	order []*record
+	// records holds the records in the order of their ends; the first ones may have lost their answers already.
+	records []*record
 }
 
-// hold notes that ended has its answer and drops the oldest answers beyond the limit.
-func (heldAnswers *heldAnswers) hold(ended *record) {
+// add notes that ended has its answer and drops the oldest answers beyond the limit.
+func (answerCache *answerCache) add(ended *record) {
 	size := answerBytes(ended.outcome)
 	if size == 0 {
 		return
 	}
-	heldAnswers.bytes += size
-	heldAnswers.order = append(heldAnswers.order, ended)
-	for heldAnswers.bytes > heldAnswers.limit {
-		heldAnswers.release(heldAnswers.order[0])
-		heldAnswers.trim()
+	answerCache.bytes += size
+	answerCache.records = append(answerCache.records, ended)
+	for answerCache.bytes > answerCache.limit {
+		answerCache.release(answerCache.records[0])
+		answerCache.trim()
 	}
-	heldAnswers.trim()
+	answerCache.trim()
 }
 
 // release drops the answer of a record, if it is a complete one.
-func (heldAnswers *heldAnswers) release(dropped *record) {
+func (answerCache *answerCache) release(dropped *record) {
 	size := answerBytes(dropped.outcome)
 	if size == 0 {
 		return
 	}
-	heldAnswers.bytes -= size
+	answerCache.bytes -= size
 	dropped.outcome = nil
 }
 
 // trim forgets the first records that have no answer any more.
-func (heldAnswers *heldAnswers) trim() {
+func (answerCache *answerCache) trim() {
 	first := 0
-	for first < len(heldAnswers.order) && heldAnswers.order[first].outcome == nil {
+	for first < len(answerCache.records) && answerCache.records[first].outcome == nil {
 		first++
 	}
 	// Without the nil assignment the array would keep the records alive.
-	clear(heldAnswers.order[:first])
-	heldAnswers.order = heldAnswers.order[first:]
+	clear(answerCache.records[:first])
+	answerCache.records = answerCache.records[first:]
 }
 
 // resultOverheadBytes is the memory of one result beside its text.
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -40,30 +40,30 @@
 	shards    [SliceCount]*shard
 	confirmer *confirmer
 	outbox    *outbox
-	// place is stored before any shard adopts it (see receiveConfirm).
-	place    atomic.Pointer[position]
-	suspects atomic.Pointer[map[string]bool]
-	count    atomic.Int64
-	tickets  atomic.Uint64
+	// history is stored before any shard adopts it (see receiveConfirm).
+	history     atomic.Pointer[viewHistory]
+	suspects    atomic.Pointer[map[string]bool]
+	recordCount atomic.Int64
+	lastTicket  atomic.Uint64
 	// serving has a bit for each slice that this instance owns and has synced.
 	serving atomic.Uint64
-	// handed has a bit for each slice whose owner has synced, on a departing member.
-	handed atomic.Uint64
-	issued atomic.Uint64
+	// handedOver has a bit for each slice whose owner has synced, on a departing member.
+	handedOver     atomic.Uint64
+	prefixesIssued atomic.Uint64
 
-	// chainMutex serialises Adopt; it guards chain, adopted and announceDue.
-	chainMutex  sync.Mutex
-	chain       chain
-	adopted     time.Time
-	announceDue time.Time
+	// viewMutex serialises Adopt; it guards chain, adopted and announceDue.
+	viewMutex        sync.Mutex
+	viewChain        viewChain
+	adoptedAt        time.Time
+	nextAnnouncement time.Time
 
 	// deferMutex guards deferred, the requests of members that have read more of the log.
-	deferMutex sync.Mutex
-	deferred   map[string]SyncRequest
+	deferMutex    sync.Mutex
+	deferredSyncs map[string]SyncRequest
 
-	// accountMutex guards accounted, the views that every live incarnation is known to have adopted.
-	accountMutex sync.Mutex
-	accounted    []accountedView
+	// fullyAdoptedMutex guards accounted, the views that every live incarnation is known to have adopted.
+	fullyAdoptedMutex sync.Mutex
+	fullyAdopted      []fullyAdoptedView
 
 	// suspectMutex serialises Suspect and Restore.
 	suspectMutex sync.Mutex
@@ -71,41 +71,41 @@
 
 // New returns a keeper without a view; until it has adopted one it starts only solo keys.
 func New(self Member, domain string, limits Limits, now time.Time) *Keeper {
-	keeper := &Keeper{self: self, domain: domain, limits: limits, started: now, deferred: map[string]SyncRequest{}}
+	keeper := &Keeper{self: self, domain: domain, limits: limits, started: now, deferredSyncs: map[string]SyncRequest{}}
 	keeper.confirmer = &confirmer{keeper: keeper}
-	keeper.outbox = &outbox{keeper: keeper, trays: map[string]*tray{}}
+	keeper.outbox = &outbox{keeper: keeper, queues: map[string]*outcomeQueue{}}
 	keeper.suspects.Store(&map[string]bool{})
 	for slice := range SliceCount {
 		keeper.shards[slice] = &shard{
 			keeper: keeper, slice: slice,
 			records: map[string]*record{}, attempts: map[string]*attempt{},
-			held: heldAnswers{limit: limits.MaxAnswerBytes / SliceCount},
+			answers: answerCache{limit: limits.MaxAnswerBytes / SliceCount},
 		}
-		keeper.shards[slice].due.Store(math.MaxInt64)
+		keeper.shards[slice].nextDeadline.Store(math.MaxInt64)
 	}
 	return keeper
 }
 
 // View returns the number of the current view and the view, or NoView; callers must not change its slices.
 func (keeper *Keeper) View() (int64, View) {
-	place := keeper.place.Load()
-	if place == nil {
+	history := keeper.history.Load()
+	if history == nil {
 		return NoView, View{}
 	}
-	return place.number(), place.current.view
+	return history.number(), history.current.view
 }
 
 // Owner returns the owner of a slice in the current view, and whether there is a view.
 func (keeper *Keeper) Owner(slice int) (Member, bool) {
-	place := keeper.place.Load()
-	if place == nil {
+	history := keeper.history.Load()
+	if history == nil {
 		return Member{}, false
 	}
-	return place.current.owner(slice), true
+	return history.current.owner(slice), true
 }
 
 // RecordCount returns the number of records in the table, both own ones and copies.
-func (keeper *Keeper) RecordCount() int { return int(keeper.count.Load()) }
+func (keeper *Keeper) RecordCount() int { return int(keeper.recordCount.Load()) }
 
 // Receive handles a message from the member with the given incarnation.
 func (keeper *Keeper) Receive(from string, message Message, now time.Time) ([]Event, []Outgoing) {
@@ -158,36 +158,36 @@
 // member returns the member with the incarnation, or only the incarnation if the view does not hold it; links
 // are found by incarnation.
 func (keeper *Keeper) member(incarnation string) Member {
-	if place := keeper.place.Load(); place != nil {
-		if member, found := find(place.current.view.Members, incarnation); found {
+	if history := keeper.history.Load(); history != nil {
+		if member, found := findMember(history.current.view.Members, incarnation); found {
 			return member
 		}
-		if member, found := find(place.current.view.Departing, incarnation); found {
+		if member, found := findMember(history.current.view.Departing, incarnation); found {
 			return member
 		}
 	}
 	return Member{Incarnation: incarnation}
 }
 
-// others returns the other members of a view, without those suspected unless all are.
-func (keeper *Keeper) others(place *position) []Member {
-	if place == nil {
+// candidates returns the other members of a view, without those suspected unless all are.
+func (keeper *Keeper) candidates(history *viewHistory) []Member {
+	if history == nil {
 		return nil
 	}
-	var others, suspected []Member
-	for _, member := range place.current.view.Members {
+	var candidates, suspected []Member
+	for _, member := range history.current.view.Members {
 		switch {
 		case member.Incarnation == keeper.self.Incarnation:
 		case keeper.suspected(member.Incarnation):
 			suspected = append(suspected, member)
 		default:
-			others = append(others, member)
+			candidates = append(candidates, member)
 		}
 	}
-	if len(others) == 0 {
+	if len(candidates) == 0 {
 		return suspected
 	}
-	return others
+	return candidates
 }
 
 // Suspect makes the keeper prefer other members to this one until Restore.
@@ -215,6 +215,8 @@
 	return (*keeper.suspects.Load())[incarnation]
 }
 
-func (keeper *Keeper) ticket() uint64 { return keeper.tickets.Add(1) }
+func (keeper *Keeper) ticket() uint64 { return keeper.lastTicket.Add(1) }
 
-func (keeper *Keeper) full() bool { return keeper.count.Load() >= int64(keeper.limits.MaxRecords) }
+func (keeper *Keeper) tableFull() bool {
+	return keeper.recordCount.Load() >= int64(keeper.limits.MaxRecords)
+}
--- a/keeper/key.go
+++ b/keeper/key.go
@@ -108,14 +108,14 @@
 func HomeDomain(key string, domains []string) string {
 	home, best := "", uint64(0)
 	for _, domain := range domains {
-		if score := mix(hashText(key) ^ mix(hashText(domain))); home == "" || score > best || score == best && domain < home {
+		if score := mixBits(hashText(key) ^ mixBits(hashText(domain))); home == "" || score > best || score == best && domain < home {
 			home, best = domain, score
 		}
 	}
 	return home
 }
 
-func sliceOf(text string) int { return int(mix(hashText(text)) % SliceCount) }
+func sliceOf(text string) int { return int(mixBits(hashText(text)) % SliceCount) }
 
 // hashText is FNV-1a: every instance must compute the same slices, so the hash has no seed.
 func hashText(text string) uint64 {
@@ -127,9 +127,9 @@
 	return hash
 }
 
-// mix spreads a hash over all bits (the finalizer of splitmix64), because FNV-1a barely changes the high
+// mixBits spreads a hash over all bits (the finalizer of splitmix64), because FNV-1a barely changes the high
 // bits of texts that differ only in their last byte.
-func mix(hash uint64) uint64 {
+func mixBits(hash uint64) uint64 {
 	hash = (hash ^ hash>>30) * 0xbf58476d1ce4e5b9
 	hash = (hash ^ hash>>27) * 0x94d049bb133111eb
 	return hash ^ hash>>31
--- a/keeper/refuse.go
+++ b/keeper/refuse.go
@@ -12,7 +12,7 @@
 	submission Submission
 	refused    dispatcher.Refused
 	tickets    []uint64
-	decided    time.Time
+	decidedAt  time.Time
 	// view is the view in which the refusal was decided.
 	view int64
 	// exempt says that nobody else can decide the key, so that no confirmation is needed.
@@ -41,17 +41,17 @@
 		shard.abandon(pending, stored)
 		return nil, shard.refusal(key, submission, refused, pending.tickets, now)
 	}
-	verdict := shard.judge(key, submission, now, effects)
-	if verdict.decision != nil {
-		return verdict.decision, nil
+	result := shard.evaluate(key, submission, now, effects)
+	if result.decision != nil {
+		return result.decision, nil
 	}
 	return nil, shard.refusal(key, submission, refused, nil, now)
 }
 
 func (shard *shard) refusal(key Key, submission Submission, refused dispatcher.Refused, tickets []uint64, now time.Time) *refusal {
 	return &refusal{
-		submission: submission, refused: refused, tickets: tickets, decided: now, view: shard.place.number(),
-		exempt: key.form == SoloKey || shard.alone(),
+		submission: submission, refused: refused, tickets: tickets, decidedAt: now, view: shard.history.number(),
+		exempt: key.form == SoloKey || shard.isOnlyMember(),
 	}
 }
 
@@ -71,13 +71,13 @@
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
 	waiting  []*refusal
-	flight   []*refusal
+	inFlight []*refusal
 	sequence uint64
 	member   string
-	tries    int
+	requests int
 	deadline time.Time
-	// held says that a member has adopted a later view: the batch waits until this instance has read it.
-	held bool
+	// awaitsView says that a member has adopted a later view: the batch waits until this instance has read it.
+	awaitsView bool
 }
 
 // add queues a refusal; the decision is final for one that needs no confirmation.
@@ -89,63 +89,63 @@
 	added.tickets = append(added.tickets, ticket)
 	confirmer.mutex.Lock()
 	defer confirmer.mutex.Unlock()
-	if added.view != confirmer.keeper.place.Load().number() {
+	if added.view != confirmer.keeper.history.Load().number() {
 		// A later view has been adopted since the decision; a new decision would need the slice again.
-		return unknown(detailUnconfirmed)
+		return unknownAnswer(detailUnconfirmed)
 	}
 	confirmer.waiting = append(confirmer.waiting, added)
-	confirmer.launch(now, effects)
+	confirmer.sendNextBatch(now, effects)
 	return AwaitConfirmation{Ticket: ticket}
 }
 
-// launch sends the next batch if none is in flight.
-func (confirmer *confirmer) launch(now time.Time, effects *effects) {
-	if len(confirmer.flight) > 0 || len(confirmer.waiting) == 0 {
+// sendNextBatch sends the next batch if none is in flight.
+func (confirmer *confirmer) sendNextBatch(now time.Time, effects *effects) {
+	if len(confirmer.inFlight) > 0 || len(confirmer.waiting) == 0 {
 		return
 	}
-	confirmer.flight, confirmer.waiting, confirmer.tries = confirmer.waiting, nil, 0
-	confirmer.ask(now, effects)
+	confirmer.inFlight, confirmer.waiting, confirmer.requests = confirmer.waiting, nil, 0
+	confirmer.sendConfirm(now, effects)
 }
 
-// ask sends the batch in flight to the next member, or gives up.
-func (confirmer *confirmer) ask(now time.Time, effects *effects) {
-	place := confirmer.keeper.place.Load()
-	for _, refusal := range confirmer.flight {
-		if refusal.view != place.number() {
+// sendConfirm sends the batch in flight to the next member, or gives up.
+func (confirmer *confirmer) sendConfirm(now time.Time, effects *effects) {
+	history := confirmer.keeper.history.Load()
+	for _, refusal := range confirmer.inFlight {
+		if refusal.view != history.number() {
 			// A confirmation in a later view proves nothing; Adopt takes the batch and decides it again.
 			return
 		}
 	}
-	others := confirmer.keeper.others(place)
-	if confirmer.tries >= min(maxTries, witnessRounds*len(others)) {
-		confirmer.fail(now, effects)
+	candidates := confirmer.keeper.candidates(history)
+	if confirmer.requests >= min(maxRequests, witnessRounds*len(candidates)) {
+		confirmer.failBatch(now, effects)
 		return
 	}
 	confirmer.sequence++
-	confirmer.tries++
-	member := others[confirmer.sequence%uint64(len(others))]
-	confirmer.member, confirmer.held = member.Incarnation, false
+	confirmer.requests++
+	member := candidates[confirmer.sequence%uint64(len(candidates))]
+	confirmer.member, confirmer.awaitsView = member.Incarnation, false
 	confirmer.deadline = now.Add(confirmer.keeper.limits.AckTimeout)
-	effects.send(member, Confirm{View: place.number(), Sequence: confirmer.sequence})
+	effects.send(member, Confirm{View: history.number(), Sequence: confirmer.sequence})
 }
 
-func (confirmer *confirmer) fail(now time.Time, effects *effects) {
-	for _, refusal := range confirmer.flight {
-		refusal.unconfirmed(effects)
+func (confirmer *confirmer) failBatch(now time.Time, effects *effects) {
+	for _, refusal := range confirmer.inFlight {
+		refusal.emitUnconfirmed(effects)
 	}
-	confirmer.flight = nil
-	confirmer.launch(now, effects)
+	confirmer.inFlight = nil
+	confirmer.sendNextBatch(now, effects)
 }
 
-func (refusal *refusal) unconfirmed(effects *effects) {
+func (refusal *refusal) emitUnconfirmed(effects *effects) {
 	for _, ticket := range refusal.tickets {
 		effects.emit(RefusalUnconfirmed{Key: refusal.submission.Key, Ticket: ticket, Outcome: dispatcher.NewUnknown(detailUnconfirmed)})
 	}
 }
 
-func (refusal *refusal) confirmed(effects *effects) {
+func (refusal *refusal) emitConfirmed(effects *effects) {
 	for _, ticket := range refusal.tickets {
-		effects.emit(RefusalConfirmed{Key: refusal.submission.Key, Ticket: ticket, Refusal: refusal.refused, Decided: refusal.decided})
+		effects.emit(RefusalConfirmed{Key: refusal.submission.Key, Ticket: ticket, Refusal: refusal.refused, Decided: refusal.decidedAt})
 	}
 }
 
@@ -153,7 +153,7 @@
 // a slice that serves a later view has been preceded by the refusal of this confirmation. A member that is
 // still in an earlier view has not adopted a later one either.
 func (keeper *Keeper) receiveConfirm(from Member, confirm Confirm, effects *effects) {
-	if current := keeper.place.Load().number(); current > confirm.View {
+	if current := keeper.history.Load().number(); current > confirm.View {
 		effects.send(from, ConfirmRefused{Sequence: confirm.Sequence, Current: current})
 		return
 	}
@@ -163,57 +163,57 @@
 func (confirmer *confirmer) receiveAck(from string, ack ConfirmAck, now time.Time, effects *effects) {
 	confirmer.mutex.Lock()
 	defer confirmer.mutex.Unlock()
-	if len(confirmer.flight) == 0 || ack.Sequence != confirmer.sequence || from != confirmer.member {
+	if len(confirmer.inFlight) == 0 || ack.Sequence != confirmer.sequence || from != confirmer.member {
 		return
 	}
-	for _, refusal := range confirmer.flight {
-		refusal.confirmed(effects)
+	for _, refusal := range confirmer.inFlight {
+		refusal.emitConfirmed(effects)
 	}
-	confirmer.flight = nil
-	confirmer.launch(now, effects)
+	confirmer.inFlight = nil
+	confirmer.sendNextBatch(now, effects)
 }
 
 func (confirmer *confirmer) receiveRefused(from string, refused ConfirmRefused, now time.Time) {
 	confirmer.mutex.Lock()
 	defer confirmer.mutex.Unlock()
-	if len(confirmer.flight) > 0 && refused.Sequence == confirmer.sequence && from == confirmer.member {
-		confirmer.held, confirmer.deadline = true, now.Add(confirmer.keeper.limits.SyncTimeout)
+	if len(confirmer.inFlight) > 0 && refused.Sequence == confirmer.sequence && from == confirmer.member {
+		confirmer.awaitsView, confirmer.deadline = true, now.Add(confirmer.keeper.limits.SyncTimeout)
 	}
 }
 
-// expire asks another member when one has not answered, or gives up when no later view has been read.
-func (confirmer *confirmer) expire(now time.Time, effects *effects) {
+// handleDeadlines asks another member when one has not answered, or gives up when no later view has been read.
+func (confirmer *confirmer) handleDeadlines(now time.Time, effects *effects) {
 	confirmer.mutex.Lock()
 	defer confirmer.mutex.Unlock()
 	switch {
-	case len(confirmer.flight) == 0 || now.Before(confirmer.deadline):
-	case confirmer.held:
-		confirmer.fail(now, effects)
+	case len(confirmer.inFlight) == 0 || now.Before(confirmer.deadline):
+	case confirmer.awaitsView:
+		confirmer.failBatch(now, effects)
 	default:
-		confirmer.ask(now, effects)
+		confirmer.sendConfirm(now, effects)
 	}
 }
 
-// take removes every refusal, so that a new view can decide them again.
-func (confirmer *confirmer) take() []*refusal {
+// takeAll removes every refusal, so that a new view can decide them again.
+func (confirmer *confirmer) takeAll() []*refusal {
 	confirmer.mutex.Lock()
 	defer confirmer.mutex.Unlock()
-	taken := append(confirmer.flight, confirmer.waiting...)
-	confirmer.flight, confirmer.waiting = nil, nil
+	taken := append(confirmer.inFlight, confirmer.waiting...)
+	confirmer.inFlight, confirmer.waiting = nil, nil
 	return taken
 }
 
-// decideAgain decides refusals of an earlier view in the current one.
-func (keeper *Keeper) decideAgain(refusals []*refusal, now time.Time, effects *effects) {
+// reconsiderRefusals decides refusals of an earlier view in the current one.
+func (keeper *Keeper) reconsiderRefusals(refusals []*refusal, now time.Time, effects *effects) {
 	for _, earlier := range refusals {
 		key, err := ParseKey(earlier.submission.Key)
 		if err != nil {
 			continue
 		}
-		again, outcome := keeper.shards[key.slice].refuseAgain(key, earlier, now)
+		again, outcome := keeper.shards[key.slice].reconsiderRefusal(key, earlier, now)
 		switch {
 		case again != nil && again.exempt:
-			again.confirmed(effects)
+			again.emitConfirmed(effects)
 		case again != nil:
 			keeper.confirmer.requeue(again, now, effects)
 		case outcome != nil:
@@ -221,27 +221,27 @@
 				effects.emit(RefusalSuperseded{Key: earlier.submission.Key, Ticket: ticket, Outcome: outcome})
 			}
 		default:
-			earlier.unconfirmed(effects)
+			earlier.emitUnconfirmed(effects)
 		}
 	}
 }
 
-// refuseAgain returns the refusal decided in the current view, or the outcome that replaces it, or neither. It
+// reconsiderRefusal returns the refusal decided in the current view, or the outcome that replaces it, or neither. It
 // joins no attempt and starts none: the server knows only the tickets of the earlier decision.
-func (shard *shard) refuseAgain(key Key, earlier *refusal, now time.Time) (*refusal, dispatcher.Outcome) {
+func (shard *shard) reconsiderRefusal(key Key, earlier *refusal, now time.Time) (*refusal, dispatcher.Outcome) {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
 	stored := shard.lookUp(key, now)
 	switch {
 	case stored != nil && stored.outcome != nil && stored.digest == earlier.submission.Digest:
 		return nil, stored.outcome
-	case shard.standingDecision(key, true) != nil:
+	case shard.ownershipDecision(key, true) != nil:
 		return nil, nil
 	case stored != nil && stored.state == StateCancelled && stored.confirmed && key.form != PlainKey:
 		return nil, cancelledOutcome()
 	case stored != nil && stored.state == StateCancelled && stored.confirmed:
 		return shard.refusal(key, earlier.submission, earlier.refused, earlier.tickets, now), nil
-	case stored == nil && shard.doubt(key, now) == "":
+	case stored == nil && shard.uncertaintyReason(key, now) == "":
 		return shard.refusal(key, earlier.submission, earlier.refused, earlier.tickets, now), nil
 	case stored != nil && stored.state >= StateStarted && stored.digest != earlier.submission.Digest:
 		return shard.refusal(key, earlier.submission, earlier.refused, earlier.tickets, now), nil
@@ -254,5 +254,5 @@
 	confirmer.mutex.Lock()
 	defer confirmer.mutex.Unlock()
 	confirmer.waiting = append(confirmer.waiting, again)
-	confirmer.launch(now, effects)
+	confirmer.sendNextBatch(now, effects)
 }
--- a/keeper/submit.go
+++ b/keeper/submit.go
@@ -24,10 +24,10 @@
 	detailUnconfirmed = "the refusal could not be confirmed"
 )
 
-func unknown(detail string) Decision { return Answer{Outcome: dispatcher.NewUnknown(detail)} }
+func unknownAnswer(detail string) Decision { return Answer{Outcome: dispatcher.NewUnknown(detail)} }
 
-// verdict is the outcome of a look-up: a decision, or a refusal to confirm, or neither for a fresh key.
-type verdict struct {
+// lookupResult is the outcome of a look-up: a decision, or a refusal to confirm, or neither for a fresh key.
+type lookupResult struct {
 	decision Decision
 	refusal  *dispatcher.Refused
 }
@@ -55,7 +55,7 @@
 		return key, nil
 	}
 	if forwarded {
-		return key, unknown(detailNotOwner)
+		return key, unknownAnswer(detailNotOwner)
 	}
 	return key, ForwardDomain{Domain: key.domain}
 }
@@ -63,78 +63,78 @@
 func (shard *shard) submit(key Key, submission Submission, now time.Time, effects *effects) (Decision, *refusal) {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
-	verdict := shard.judge(key, submission, now, effects)
-	if verdict.decision != nil {
-		return verdict.decision, nil
+	result := shard.evaluate(key, submission, now, effects)
+	if result.decision != nil {
+		return result.decision, nil
 	}
-	if verdict.refusal == nil {
-		verdict.refusal = shard.bar(key, submission, now)
+	if result.refusal == nil {
+		result.refusal = shard.refusalReason(key, submission, now)
 	}
-	if verdict.refusal != nil {
-		return nil, shard.refusal(key, submission, *verdict.refusal, nil, now)
+	if result.refusal != nil {
+		return nil, shard.refusal(key, submission, *result.refusal, nil, now)
 	}
 	return shard.start(key, submission, now, effects), nil
 }
 
-// bar returns why a fresh job may not start, if so.
-func (shard *shard) bar(key Key, submission Submission, now time.Time) *dispatcher.Refused {
+// refusalReason returns why a fresh job may not start, if so.
+func (shard *shard) refusalReason(key Key, submission Submission, now time.Time) *dispatcher.Refused {
 	var refusal dispatcher.Refused
 	switch {
 	case !submission.Deadline.IsZero() && now.After(submission.Deadline):
 		refusal = dispatcher.NewRefused(dispatcher.ReasonDeadline, detailLate, "", time.Time{})
 	case submission.Unrepeatable && key.form == PlainKey:
 		refusal = dispatcher.NewRefused(dispatcher.ReasonInvalid, detailPlain, "Idempotency-Key", time.Time{})
-	case shard.keeper.full():
-		refusal = dispatcher.NewRefused(dispatcher.ReasonOverload, detailFull, "", now.Add(fullRetryDelay))
+	case shard.keeper.tableFull():
+		refusal = dispatcher.NewRefused(dispatcher.ReasonOverload, detailFull, "", now.Add(fullTableRetryDelay))
 	default:
 		return nil
 	}
 	return &refusal
 }
 
-// fullRetryDelay is the Retry-After of a full table; records expire continuously, so a short delay helps.
-const fullRetryDelay = time.Second
+// fullTableRetryDelay is the Retry-After of a full table; records expire continuously, so a short delay helps.
+const fullTableRetryDelay = time.Second
 
-// judge looks the key up and says what is known; an empty verdict means that the job is fresh here.
-func (shard *shard) judge(key Key, submission Submission, now time.Time, effects *effects) verdict {
+// evaluate looks the key up and says what is known; an empty verdict means that the job is fresh here.
+func (shard *shard) evaluate(key Key, submission Submission, now time.Time, effects *effects) lookupResult {
 	known := shard.lookUp(key, now)
 	if known != nil && known.holder == shard.self() && known.state >= StateStarted {
 		// The holder answers for its own job whoever owns the slice now.
-		return shard.recall(key, known, submission, effects, now)
+		return shard.answerFromRecord(key, known, submission, effects, now)
 	}
-	if decision := shard.standingDecision(key, submission.Forwarded); decision != nil {
-		return verdict{decision: decision}
+	if decision := shard.ownershipDecision(key, submission.Forwarded); decision != nil {
+		return lookupResult{decision: decision}
 	}
 	if known != nil {
-		return shard.recall(key, known, submission, effects, now)
+		return shard.answerFromRecord(key, known, submission, effects, now)
 	}
-	if detail := shard.doubt(key, now); detail != "" {
-		return verdict{decision: unknown(detail)}
+	if detail := shard.uncertaintyReason(key, now); detail != "" {
+		return lookupResult{decision: unknownAnswer(detail)}
 	}
-	return verdict{}
+	return lookupResult{}
 }
 
 // lookUp returns the record of the key; one that is due to be dropped does not count, however late Expire runs.
 func (shard *shard) lookUp(key Key, now time.Time) *record {
 	known := shard.records[key.text]
 	if known != nil && known.expires != 0 && known.expires <= now.UnixNano() && shard.attempts[key.text] == nil {
-		shard.drop(key.text)
+		shard.dropRecord(key.text)
 		return nil
 	}
 	return known
 }
 
-// standingDecision returns the decision on a key that this instance cannot decide in its view, if so.
-func (shard *shard) standingDecision(key Key, forwarded bool) Decision {
+// ownershipDecision returns the decision on a key that this instance cannot decide in its view, if so.
+func (shard *shard) ownershipDecision(key Key, forwarded bool) Decision {
 	switch {
 	case key.form == SoloKey:
 		return shard.soloDecision(key, forwarded)
-	case shard.place == nil:
-		return unknown(detailNoView)
-	case key.Epoch() > shard.place.number():
+	case shard.history == nil:
+		return unknownAnswer(detailNoView)
+	case key.Epoch() > shard.history.number():
 		return RetryLater{Outcome: dispatcher.NewUnknown(detailBehind)}
 	case !shard.owns() && forwarded:
-		return unknown(detailNotOwner)
+		return unknownAnswer(detailNotOwner)
 	case !shard.owns():
 		return Forward{To: shard.owner()}
 	case !shard.synced:
@@ -144,26 +144,26 @@
 	}
 }
 
-// doubt returns why the absence of a record does not prove that the key never started, or an empty string.
-func (shard *shard) doubt(key Key, now time.Time) string {
+// uncertaintyReason returns why the absence of a record does not prove that the key never started, or an empty string.
+func (shard *shard) uncertaintyReason(key Key, now time.Time) string {
 	switch {
 	case key.form == IssuedKey && key.number < shard.floor:
 		return detailBelowFloor
-	case key.form == SoloKey && !shard.keeper.current(key.number, now):
+	case key.form == SoloKey && !shard.keeper.generationValid(key.number, now):
 		return detailBelowFloor
-	case key.form == PlainKey && shard.shut(now):
+	case key.form == PlainKey && shard.closedToPlainKeys(now):
 		return detailClosed
 	default:
 		return ""
 	}
 }
 
-// shut says whether the slice is closed to plain keys, and opens it when its time has come.
-func (shard *shard) shut(now time.Time) bool {
-	if shard.closed && !shard.opens.IsZero() && !now.Before(shard.opens) {
-		shard.closed, shard.opens = false, time.Time{}
-		if shard.last != nil {
-			shard.last.Closed = false
+// closedToPlainKeys says whether the slice is closed to plain keys, and opens it when its time has come.
+func (shard *shard) closedToPlainKeys(now time.Time) bool {
+	if shard.closed && !shard.opensAt.IsZero() && !now.Before(shard.opensAt) {
+		shard.closed, shard.opensAt = false, time.Time{}
+		if shard.lastSynced != nil {
+			shard.lastSynced.Closed = false
 		}
 	}
 	return shard.closed
@@ -174,38 +174,38 @@
 	if key.incarnation == shard.self() {
 		return nil
 	}
-	if issuer, found := shard.live(key.incarnation); found && !forwarded {
+	if issuer, found := shard.reachableMember(key.incarnation); found && !forwarded {
 		return Forward{To: issuer, ToHolder: true}
 	}
-	return unknown(detailOtherRun)
+	return unknownAnswer(detailOtherRun)
 }
 
-// recall answers from a record.
-func (shard *shard) recall(key Key, known *record, submission Submission, effects *effects, now time.Time) verdict {
+// answerFromRecord answers from a record.
+func (shard *shard) answerFromRecord(key Key, known *record, submission Submission, effects *effects, now time.Time) lookupResult {
 	if known.digest != submission.Digest && known.digest != (dispatcher.Digest{}) {
 		refusal := dispatcher.NewRefused(dispatcher.ReasonKeyConflict, detailConflict, "Idempotency-Key", time.Time{})
-		return verdict{refusal: &refusal}
+		return lookupResult{refusal: &refusal}
 	}
 	if known.state == StateCancelled && known.confirmed && key.form == PlainKey {
 		// A successor may have dropped its copy and started the job again, so that a paused owner has to ask.
 		refusal := cancelledOutcome()
-		return verdict{refusal: &refusal}
+		return lookupResult{refusal: &refusal}
 	}
 	if pending := shard.attempts[key.text]; pending != nil {
 		ticket := shard.keeper.ticket()
 		pending.tickets = append(pending.tickets, ticket)
-		return verdict{decision: Joined{Ticket: ticket}}
+		return lookupResult{decision: Joined{Ticket: ticket}}
 	}
-	return verdict{decision: shard.recallSettled(key, known, submission, effects, now)}
+	return lookupResult{decision: shard.answerWithoutAttempt(key, known, submission, effects, now)}
 }
 
-func (shard *shard) recallSettled(key Key, known *record, submission Submission, effects *effects, now time.Time) Decision {
+func (shard *shard) answerWithoutAttempt(key Key, known *record, submission Submission, effects *effects, now time.Time) Decision {
 	switch {
 	case known.state == StateCancelled && known.confirmed:
 		return Answer{Outcome: cancelledOutcome()}
-	case known.state == StateCancelled && shard.doubt(key, now) != "":
+	case known.state == StateCancelled && shard.uncertaintyReason(key, now) != "":
 		// Without an acknowledgement a successor may have started the job, and its record may be lost.
-		return unknown(shard.doubt(key, now))
+		return unknownAnswer(shard.uncertaintyReason(key, now))
 	case known.state == StateCancelled:
 		// The answer to come binds the key from now on, so the record must outlive it by a whole retention period.
 		shard.expireLater(key, now.Add(shard.keeper.limits.Retention))
@@ -217,7 +217,7 @@
 	case known.holder == shard.self():
 		return Joined{}
 	}
-	if holder, found := shard.live(known.holder); found {
+	if holder, found := shard.reachableMember(known.holder); found {
 		return Forward{To: holder, ToHolder: true}
 	}
 	if known.state == StateFinished {
@@ -232,9 +232,9 @@
 
 // start stores the record of a fresh job and, unless none is needed, asks for a witness.
 func (shard *shard) start(key Key, submission Submission, now time.Time, effects *effects) Decision {
-	added := &record{digest: submission.Digest, view: shard.place.number(), state: StatePending, holder: shard.self()}
-	shard.put(key.text, added)
-	if key.form == SoloKey || shard.alone() {
+	added := &record{digest: submission.Digest, view: shard.history.number(), state: StatePending, holder: shard.self()}
+	shard.putRecord(key.text, added)
+	if key.form == SoloKey || shard.isOnlyMember() {
 		added.state = StateStarted
 		return StartNow{}
 	}
--- a/keeper/sync.go
+++ b/keeper/sync.go
@@ -16,38 +16,38 @@
 	announceTimeouts = 10
 )
 
-// syncing is the state of an owner that collects the records of its slice.
-type syncing struct {
+// syncState is the state of an owner that collects the records of its slice.
+type syncState struct {
 	// missing holds what each member that has not answered has sent so far.
-	missing map[string]*partial
+	missing map[string]*syncProgress
 	// answered holds the last synced view of each member that has answered, nil if it had none.
 	answered map[string]*SyncedView
-	resend   time.Time
-	giveUp   time.Time
+	resendAt time.Time
+	giveUpAt time.Time
 }
 
-// partial is the answer of one member to one request.
-type partial struct {
-	sequence uint64
-	seen     []bool
-	left     int
+// syncProgress is the answer of one member to one request.
+type syncProgress struct {
+	sequence  uint64
+	seen      []bool
+	remaining int
 }
 
 // startSync returns the members to ask; a view without other members is synced at once.
 func (shard *shard) startSync(now time.Time, effects *effects) []string {
 	timeout := shard.keeper.limits.SyncTimeout
-	shard.syncing = &syncing{
-		missing: map[string]*partial{}, answered: map[string]*SyncedView{},
-		resend: now.Add(timeout), giveUp: now.Add(departingTimeouts * timeout),
+	shard.syncState = &syncState{
+		missing: map[string]*syncProgress{}, answered: map[string]*SyncedView{},
+		resendAt: now.Add(timeout), giveUpAt: now.Add(departingTimeouts * timeout),
 	}
-	shard.wake(shard.syncing.resend)
-	view := shard.place.current.view
+	shard.scheduleBy(shard.syncState.resendAt)
+	view := shard.history.current.view
 	for _, member := range slices.Concat(view.Members, view.Departing) {
 		if member.Incarnation != shard.self() {
-			shard.syncing.missing[member.Incarnation] = &partial{}
+			shard.syncState.missing[member.Incarnation] = &syncProgress{}
 		}
 	}
-	asked := slices.Sorted(maps.Keys(shard.syncing.missing))
+	asked := slices.Sorted(maps.Keys(shard.syncState.missing))
 	shard.finishSync(now, effects)
 	return asked
 }
@@ -74,9 +74,9 @@
 // later view does not answer: it may have dropped records that the earlier view still counts on.
 func (keeper *Keeper) receiveSyncRequest(from Member, request SyncRequest, effects *effects) {
 	keeper.deferMutex.Lock()
-	later := request.View > keeper.place.Load().number()
+	later := request.View > keeper.history.Load().number()
 	if later {
-		keeper.deferred[from.Incarnation] = request
+		keeper.deferredSyncs[from.Incarnation] = request
 	}
 	keeper.deferMutex.Unlock()
 	if later {
@@ -92,8 +92,8 @@
 // answerDeferred answers the requests that came before their view.
 func (keeper *Keeper) answerDeferred(effects *effects) {
 	keeper.deferMutex.Lock()
-	ready := keeper.deferred
-	keeper.deferred = map[string]SyncRequest{}
+	ready := keeper.deferredSyncs
+	keeper.deferredSyncs = map[string]SyncRequest{}
 	keeper.deferMutex.Unlock()
 	for _, incarnation := range slices.Sorted(maps.Keys(ready)) {
 		keeper.receiveSyncRequest(keeper.member(incarnation), ready[incarnation], effects)
@@ -104,7 +104,7 @@
 func (shard *shard) answerSync(from Member, request SyncRequest, effects *effects) {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
-	if shard.place.number() != request.View || shard.owner().Incarnation != from.Incarnation {
+	if shard.history.number() != request.View || shard.owner().Incarnation != from.Incarnation {
 		return
 	}
 	records := make([]SyncRecord, 0, len(shard.records))
@@ -124,8 +124,8 @@
 			View: request.View, Slice: shard.slice, Sequence: request.Sequence, Part: part, Parts: parts,
 			Records: records[part*recordsPerPart : min(len(records), (part+1)*recordsPerPart)],
 		}
-		if shard.last != nil {
-			synced := *shard.last
+		if shard.lastSynced != nil {
+			synced := *shard.lastSynced
 			response.Synced = &synced
 		}
 		effects.send(from, response)
@@ -139,113 +139,113 @@
 	shard := keeper.shards[response.Slice]
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
-	if shard.syncing == nil || response.View != shard.place.number() {
+	if shard.syncState == nil || response.View != shard.history.number() {
 		return
 	}
-	if shard.collect(from, response) {
+	if shard.mergePart(from, response) {
 		shard.finishSync(now, effects)
 	}
 }
 
-// collect merges one part and returns whether the member's answer is complete. Only parts of one answer
+// mergePart merges one part and returns whether the member's answer is complete. Only parts of one answer
 // count together: two answers may divide the records differently.
-func (shard *shard) collect(from string, response SyncResponse) bool {
-	partial := shard.syncing.missing[from]
-	if partial == nil || response.Sequence < partial.sequence || response.Parts < 1 || response.Part < 0 || response.Part >= response.Parts {
+func (shard *shard) mergePart(from string, response SyncResponse) bool {
+	progress := shard.syncState.missing[from]
+	if progress == nil || response.Sequence < progress.sequence || response.Parts < 1 || response.Part < 0 || response.Part >= response.Parts {
 		return false
 	}
-	if response.Sequence > partial.sequence {
-		partial.sequence, partial.seen, partial.left = response.Sequence, make([]bool, response.Parts), response.Parts
+	if response.Sequence > progress.sequence {
+		progress.sequence, progress.seen, progress.remaining = response.Sequence, make([]bool, response.Parts), response.Parts
 	}
-	if response.Part >= len(partial.seen) || partial.seen[response.Part] {
+	if response.Part >= len(progress.seen) || progress.seen[response.Part] {
 		return false
 	}
-	partial.seen[response.Part] = true
-	partial.left--
-	for _, brought := range response.Records {
-		shard.merge(brought)
+	progress.seen[response.Part] = true
+	progress.remaining--
+	for _, incoming := range response.Records {
+		shard.mergeRecord(incoming)
 	}
-	if partial.left > 0 {
+	if progress.remaining > 0 {
 		return false
 	}
-	delete(shard.syncing.missing, from)
-	shard.syncing.answered[from] = response.Synced
+	delete(shard.syncState.missing, from)
+	shard.syncState.answered[from] = response.Synced
 	return true
 }
 
-// merge takes over a record that another member knows, if it says more than the known one.
-func (shard *shard) merge(brought SyncRecord) {
-	key, err := ParseKey(brought.Key)
+// mergeRecord takes over a record that another member knows, if it says more than the known one.
+func (shard *shard) mergeRecord(incoming SyncRecord) {
+	key, err := ParseKey(incoming.Key)
 	if err != nil || key.slice != shard.slice {
 		return
 	}
-	known := shard.records[brought.Key]
+	known := shard.records[incoming.Key]
 	switch {
 	case known == nil:
 	case known.holder == shard.self() && known.state >= StateStarted:
 		return
-	case (known.state >= StateStarted) != (brought.State >= StateStarted):
+	case (known.state >= StateStarted) != (incoming.State >= StateStarted):
 		if known.state >= StateStarted {
 			return
 		}
-	case known.view > brought.View || known.view == brought.View && known.sequence > brought.Sequence:
+	case known.view > incoming.View || known.view == incoming.View && known.sequence > incoming.Sequence:
 		return
-	case known.view == brought.View && known.sequence == brought.Sequence && known.state >= brought.State:
+	case known.view == incoming.View && known.sequence == incoming.Sequence && known.state >= incoming.State:
 		return
 	}
-	shard.put(brought.Key, &record{
-		digest: brought.Digest, view: brought.View, sequence: brought.Sequence, state: brought.State, holder: brought.Holder,
+	shard.putRecord(incoming.Key, &record{
+		digest: incoming.Digest, view: incoming.View, sequence: incoming.Sequence, state: incoming.State, holder: incoming.Holder,
 	})
 }
 
 // finishSync makes the slice served once every member has answered, and every departing one has answered or
 // has had its time.
 func (shard *shard) finishSync(now time.Time, effects *effects) {
-	for incarnation := range shard.syncing.missing {
-		_, departing := find(shard.place.current.view.Departing, incarnation)
-		if !departing || now.Before(shard.syncing.giveUp) && !shard.keeper.suspected(incarnation) {
+	for incarnation := range shard.syncState.missing {
+		_, departing := findMember(shard.history.current.view.Departing, incarnation)
+		if !departing || now.Before(shard.syncState.giveUpAt) && !shard.keeper.suspected(incarnation) {
 			return
 		}
 	}
-	answered := shard.syncing.answered
-	answered[shard.self()] = shard.last
-	floor, closed := shard.place.floor(shard.slice, answered, shard.keeper.horizon(now))
-	shard.syncing = nil
-	shard.resolve(answered, now)
-	shard.serve(max(floor, shard.place.current.expiryFloor), closed)
-	for _, member := range shard.place.current.view.Departing {
-		effects.send(member, Synced{View: shard.place.number(), Slices: []int{shard.slice}})
+	answered := shard.syncState.answered
+	answered[shard.self()] = shard.lastSynced
+	floor, closed := shard.history.floor(shard.slice, answered, shard.keeper.protectionHorizon(now))
+	shard.syncState = nil
+	shard.resolvePending(answered, now)
+	shard.startServing(max(floor, shard.history.current.expiryFloor), closed)
+	for _, member := range shard.history.current.view.Departing {
+		effects.send(member, Synced{View: shard.history.number(), Slices: []int{shard.slice}})
 	}
 }
 
-// resolve settles what the copies leave open. A holder that has answered reports every start as started, so
+// resolvePending settles what the copies leave open. A holder that has answered reports every start as started, so
 // a copy that is only pending has not started and never will; without its holder's answer it may have.
-func (shard *shard) resolve(answered map[string]*SyncedView, now time.Time) {
+func (shard *shard) resolvePending(answered map[string]*SyncedView, now time.Time) {
 	for text, stored := range shard.records {
 		if stored.state == StatePending {
 			if _, found := answered[stored.holder]; found {
-				shard.drop(text)
+				shard.dropRecord(text)
 				continue
 			}
 			stored.state = StateStarted
 		}
-		shard.age(text, stored, now)
+		shard.expireRecord(text, stored, now)
 	}
 }
 
-// expireSync returns the members to ask again.
-func (shard *shard) expireSync(now time.Time, effects *effects) []string {
-	if now.Before(shard.syncing.resend) {
+// handleSyncDeadlines returns the members to ask again.
+func (shard *shard) handleSyncDeadlines(now time.Time, effects *effects) []string {
+	if now.Before(shard.syncState.resendAt) {
 		return nil
 	}
-	if !now.Before(shard.syncing.giveUp) {
+	if !now.Before(shard.syncState.giveUpAt) {
 		shard.finishSync(now, effects)
-		if shard.syncing == nil {
+		if shard.syncState == nil {
 			return nil
 		}
 	}
-	shard.syncing.resend = now.Add(shard.keeper.limits.SyncTimeout)
-	return slices.Sorted(maps.Keys(shard.syncing.missing))
+	shard.syncState.resendAt = now.Add(shard.keeper.limits.SyncTimeout)
+	return slices.Sorted(maps.Keys(shard.syncState.missing))
 }
 
 // floor walks the views back from the current one and returns the lowest view from which every start of the
@@ -253,10 +253,10 @@
 // have adopted the current view, with the last view in which each had synced the slice. A loss below the
 // horizon concerns no plain key any more; without this, every crash of an owner whose slice has a longer
 // history than the kept one would close the slice.
-func (place *position) floor(slice int, answered map[string]*SyncedView, horizon int64) (int64, bool) {
-	after := place.current
-	for i := len(place.before) - 1; after.origin == follows && i >= 0; i-- {
-		view := place.before[i]
+func (history *viewHistory) floor(slice int, answered map[string]*SyncedView, horizon int64) (int64, bool) {
+	after := history.current
+	for i := len(history.earlier) - 1; after.predecessor == previousView && i >= 0; i-- {
+		view := history.earlier[i]
 		owner := view.owner(slice).Incarnation
 		synced, ownerAnswered := answered[owner]
 		switch {
@@ -267,7 +267,7 @@
 		}
 		after = view
 	}
-	if after.origin == first {
+	if after.predecessor == firstOfLog {
 		return 0, false
 	}
 	return after.number, after.number > horizon
@@ -275,23 +275,23 @@
 
 // witnessesAnswered says that the view had other members than its owner and that all have answered: one of
 // them holds a copy of every start in that view.
-func (standing *standing) witnessesAnswered(owner string, answered map[string]*SyncedView) bool {
-	for _, member := range standing.view.Members {
+func (adoptedView *adoptedView) witnessesAnswered(owner string, answered map[string]*SyncedView) bool {
+	for _, member := range adoptedView.view.Members {
 		if _, found := answered[member.Incarnation]; !found && member.Incarnation != owner {
 			return false
 		}
 	}
-	return len(standing.view.Members) > 1
+	return len(adoptedView.view.Members) > 1
 }
 
 // Synced says whether this instance has read a view and every slice that it owns there is synced.
 func (keeper *Keeper) Synced() bool {
-	place := keeper.place.Load()
-	if place == nil {
+	history := keeper.history.Load()
+	if history == nil {
 		return false
 	}
 	for slice := range SliceCount {
-		if place.current.owner(slice).Incarnation == keeper.self.Incarnation && keeper.serving.Load()&(1<<slice) == 0 {
+		if history.current.owner(slice).Incarnation == keeper.self.Incarnation && keeper.serving.Load()&(1<<slice) == 0 {
 			return false
 		}
 	}
@@ -303,8 +303,8 @@
 	silent := map[string]bool{}
 	for _, shard := range keeper.shards {
 		shard.mutex.Lock()
-		if shard.syncing != nil && !now.Before(shard.syncing.giveUp.Add(-(departingTimeouts-1)*keeper.limits.SyncTimeout)) {
-			for incarnation := range shard.syncing.missing {
+		if shard.syncState != nil && !now.Before(shard.syncState.giveUpAt.Add(-(departingTimeouts-1)*keeper.limits.SyncTimeout)) {
+			for incarnation := range shard.syncState.missing {
 				silent[incarnation] = true
 			}
 		}
@@ -313,45 +313,45 @@
 	return slices.Sorted(maps.Keys(silent))
 }
 
-// announce tells departing members which slices are served without them.
-func (keeper *Keeper) announce(place *position, effects *effects) {
+// announceSynced tells departing members which slices are served without them.
+func (keeper *Keeper) announceSynced(history *viewHistory, effects *effects) {
 	served := keeper.serving.Load()
-	if served == 0 || len(place.current.view.Departing) == 0 {
+	if served == 0 || len(history.current.view.Departing) == 0 {
 		return
 	}
-	message := Synced{View: place.number()}
+	message := Synced{View: history.number()}
 	for slice := range SliceCount {
 		if served&(1<<slice) != 0 {
 			message.Slices = append(message.Slices, slice)
 		}
 	}
-	for _, member := range place.current.view.Departing {
+	for _, member := range history.current.view.Departing {
 		effects.send(member, message)
 	}
 }
 
-// announceAgain repeats the announcement for a while, because a departing member waits for it.
-func (keeper *Keeper) announceAgain(now time.Time, effects *effects) {
-	keeper.chainMutex.Lock()
-	defer keeper.chainMutex.Unlock()
-	place, timeout := keeper.place.Load(), keeper.limits.SyncTimeout
-	if place == nil || now.Before(keeper.announceDue) || now.After(keeper.adopted.Add(announceTimeouts*timeout)) {
+// repeatAnnouncement repeats the announcement for a while, because a departing member waits for it.
+func (keeper *Keeper) repeatAnnouncement(now time.Time, effects *effects) {
+	keeper.viewMutex.Lock()
+	defer keeper.viewMutex.Unlock()
+	history, timeout := keeper.history.Load(), keeper.limits.SyncTimeout
+	if history == nil || now.Before(keeper.nextAnnouncement) || now.After(keeper.adoptedAt.Add(announceTimeouts*timeout)) {
 		return
 	}
-	keeper.announceDue = now.Add(timeout)
-	keeper.announce(place, effects)
+	keeper.nextAnnouncement = now.Add(timeout)
+	keeper.announceSynced(history, effects)
 }
 
 func (keeper *Keeper) receiveSynced(synced Synced) {
-	if synced.View != keeper.place.Load().number() {
+	if synced.View != keeper.history.Load().number() {
 		return
 	}
 	for _, slice := range synced.Slices {
 		if slice >= 0 && slice < SliceCount {
-			keeper.handed.Or(1 << slice)
+			keeper.handedOver.Or(1 << slice)
 		}
 	}
 }
 
 // HandedOver says, on a departing member, whether every slice has an owner that has synced without it.
-func (keeper *Keeper) HandedOver() bool { return keeper.handed.Load() == ^uint64(0) }
+func (keeper *Keeper) HandedOver() bool { return keeper.handedOver.Load() == ^uint64(0) }
--- a/keeper/view.go
+++ b/keeper/view.go
@@ -24,9 +24,11 @@
 }
 
 // Member returns the member with the given incarnation, and whether there is one.
-func (view View) Member(incarnation string) (Member, bool) { return find(view.Members, incarnation) }
+func (view View) Member(incarnation string) (Member, bool) {
+	return findMember(view.Members, incarnation)
+}
 
-func find(members []Member, incarnation string) (Member, bool) {
+func findMember(members []Member, incarnation string) (Member, bool) {
 	for _, member := range members {
 		if member.Incarnation == incarnation {
 			return member, true
