--- a/keeper/bench_test.go
+++ b/keeper/bench_test.go
@@ -30,29 +30,29 @@
 	return members
 }
 
-// group is a set of keepers whose messages arrive at once.
-type group struct {
-	keepers map[string]*keeper.Keeper
-	members []keeper.Member
-	now     time.Time
-	count   int
-	bytes   int
+// cluster is a set of keepers whose messages arrive at once.
+type cluster struct {
+	keepers      map[string]*keeper.Keeper
+	members      []keeper.Member
+	now          time.Time
+	syncMessages int
+	syncBytes    int
 }
 
-func newGroup(size int) *group {
-	group := &group{keepers: map[string]*keeper.Keeper{}, members: benchMembers(size), now: time.Unix(1000, 0)}
-	for _, member := range group.members {
-		group.keepers[member.Incarnation] = keeper.New(member, "hanoi-a", benchLimits(), group.now)
+func newGroup(size int) *cluster {
+	cluster := &cluster{keepers: map[string]*keeper.Keeper{}, members: benchMembers(size), now: time.Unix(1000, 0)}
+	for _, member := range cluster.members {
+		cluster.keepers[member.Incarnation] = keeper.New(member, "hanoi-a", benchLimits(), cluster.now)
 	}
-	group.adopt(0, keeper.View{Prev: keeper.NoView, Members: group.members})
-	return group
+	cluster.adopt(0, keeper.View{Prev: keeper.NoView, Members: cluster.members})
+	return cluster
 }
 
-func (group *group) adopt(offset int64, view keeper.View) {
+func (cluster *cluster) adopt(offset int64, view keeper.View) {
 	var sent []func()
-	for _, member := range group.members {
-		_, outgoing := group.keepers[member.Incarnation].Adopt(offset, view, group.now)
-		sent = append(sent, func() { group.deliver(member, outgoing) })
+	for _, member := range cluster.members {
+		_, outgoing := cluster.keepers[member.Incarnation].Adopt(offset, view, cluster.now)
+		sent = append(sent, func() { cluster.deliver(member, outgoing) })
 	}
 	for _, deliver := range sent {
 		deliver()
@@ -60,45 +60,45 @@
 }
 
 // deliver passes messages on until none is left.
-func (group *group) deliver(from keeper.Member, outgoing []keeper.Outgoing) {
+func (cluster *cluster) deliver(from keeper.Member, outgoing []keeper.Outgoing) {
 	for _, sent := range outgoing {
 		if _, isSync := sent.Message.(keeper.SyncResponse); isSync {
 			encoded, err := cbor.Marshal(sent.Message)
 			if err != nil {
 				panic(err)
 			}
-			group.count++
-			group.bytes += len(encoded)
+			cluster.syncMessages++
+			cluster.syncBytes += len(encoded)
 		}
-		if receiver := group.keepers[sent.To.Incarnation]; receiver != nil {
-			_, replies := receiver.Receive(from.Incarnation, sent.Message, group.now)
-			group.deliver(sent.To, replies)
+		if receiver := cluster.keepers[sent.To.Incarnation]; receiver != nil {
+			_, replies := receiver.Receive(from.Incarnation, sent.Message, cluster.now)
+			cluster.deliver(sent.To, replies)
 		}
 	}
 }
 
 // runJob takes one job from Submit to Finish at the first member.
-func (group *group) runJob(owner *keeper.Keeper, key string) {
-	submission := keeper.Submission{Key: key, Digest: dispatcher.Digest{1}, Deadline: group.now.Add(time.Minute)}
-	_, outgoing := owner.Submit(submission, group.now)
+func (cluster *cluster) runJob(owner *keeper.Keeper, key string) {
+	submission := keeper.Submission{Key: key, Digest: dispatcher.Digest{1}, Deadline: cluster.now.Add(time.Minute)}
+	_, outgoing := owner.Submit(submission, cluster.now)
 	for _, sent := range outgoing {
 		if record, isRecord := sent.Message.(keeper.Record); isRecord {
 			// A decoded message has its own copy of the key.
 			record.Key = strings.Clone(record.Key)
 			sent.Message = record
 		}
-		_, replies := group.keepers[sent.To.Incarnation].Receive(group.members[0].Incarnation, sent.Message, group.now)
+		_, replies := cluster.keepers[sent.To.Incarnation].Receive(cluster.members[0].Incarnation, sent.Message, cluster.now)
 		for _, reply := range replies {
-			owner.Receive(sent.To.Incarnation, reply.Message, group.now)
+			owner.Receive(sent.To.Incarnation, reply.Message, cluster.now)
 		}
 	}
-	owner.Finish(key, dispatcher.Complete{}, group.now)
+	owner.Finish(key, dispatcher.Complete{}, cluster.now)
 }
 
-func (group *group) fill(records int) *keeper.Keeper {
-	owner := group.keepers[group.members[0].Incarnation]
+func (cluster *cluster) fill(records int) *keeper.Keeper {
+	owner := cluster.keepers[cluster.members[0].Incarnation]
 	for number := range records {
-		group.runJob(owner, fmt.Sprintf("%sjob-%010d", owner.KeyPrefix(group.now), number))
+		cluster.runJob(owner, fmt.Sprintf("%sjob-%010d", owner.KeyPrefix(cluster.now), number))
 	}
 	return owner
 }
@@ -107,12 +107,12 @@
 func BenchmarkJob(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			group := newGroup(3)
-			owner := group.fill(size)
+			cluster := newGroup(3)
+			owner := cluster.fill(size)
 			b.ReportAllocs()
 			number := 0
 			for b.Loop() {
-				group.runJob(owner, fmt.Sprintf("%snew-%010d", owner.KeyPrefix(group.now), number))
+				cluster.runJob(owner, fmt.Sprintf("%snew-%010d", owner.KeyPrefix(cluster.now), number))
 				number++
 			}
 		})
@@ -125,14 +125,14 @@
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for b.Loop() {
 				var before, after runtime.MemStats
-				group := newGroup(3)
+				cluster := newGroup(3)
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				group.fill(size)
+				cluster.fill(size)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(2*size), "B/record")
-				runtime.KeepAlive(group)
+				runtime.KeepAlive(cluster)
 			}
 		})
 	}
@@ -166,13 +166,13 @@
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for b.Loop() {
 				b.StopTimer()
-				group := newGroup(3)
-				group.fill(size)
-				group.count, group.bytes = 0, 0
+				cluster := newGroup(3)
+				cluster.fill(size)
+				cluster.syncMessages, cluster.syncBytes = 0, 0
 				b.StartTimer()
-				group.adopt(1, keeper.View{Prev: 0, Members: group.members[1:], Departing: group.members[:1]})
-				b.ReportMetric(float64(group.bytes), "B/sync")
-				b.ReportMetric(float64(group.count), "messages/sync")
+				cluster.adopt(1, keeper.View{Prev: 0, Members: cluster.members[1:], Departing: cluster.members[:1]})
+				b.ReportMetric(float64(cluster.syncBytes), "B/sync")
+				b.ReportMetric(float64(cluster.syncMessages), "messages/sync")
 			}
 		})
 	}
@@ -182,12 +182,12 @@
 func BenchmarkAdopt(b *testing.B) {
 	for _, size := range []int{3, 9, 27} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			group := newGroup(size)
-			first := group.keepers[group.members[0].Incarnation]
+			cluster := newGroup(size)
+			first := cluster.keepers[cluster.members[0].Incarnation]
 			offset := int64(1)
 			b.ReportAllocs()
 			for b.Loop() {
-				first.Adopt(offset, keeper.View{Prev: offset - 1, Members: group.members}, group.now)
+				first.Adopt(offset, keeper.View{Prev: offset - 1, Members: cluster.members}, cluster.now)
 				offset++
 			}
 		})
--- a/keeper/directed_test.go
+++ b/keeper/directed_test.go
@@ -13,172 +13,172 @@
 
 const deadline = 5 * time.Second
 
-// script is one directed case: three instances have a view, and first is an order with a key of slot 0.
-type script func(world *world, first order)
+// scenario is one directed case: three instances have a view, and first is an order with a key of slot 0.
+type scenario func(simulation *simulation, job jobSpec)
 
-// submitAt submits through each slot in turn, a second apart.
-func (world *world) submitAt(sent order, slots ...int) {
+// submitToSlots submits through each slot in turn, a second apart.
+func (simulation *simulation) submitToSlots(job jobSpec, slots ...int) {
 	for _, slot := range slots {
-		world.send(slot, sent, false, 0, deadline)
-		world.run(time.Second)
+		simulation.submit(slot, job, false, 0, deadline)
+		simulation.run(time.Second)
 	}
 }
 
-// struck returns a script with a fault at a point of the first submission, and resubmissions to the others
+// faultAt returns a script with a fault at a point of the first submission, and resubmissions to the others
 // during the fault and after it.
-func struck(at point, fault func(*world, *node)) script {
-	return func(world *world, first order) {
-		struck := false
-		world.strike = func(reached point, node *node) {
-			if reached == at && !struck {
-				struck = true
-				fault(world, node)
+func faultAt(at faultPoint, fault func(*simulation, *node)) scenario {
+	return func(simulation *simulation, job jobSpec) {
+		injected := false
+		simulation.onFaultPoint = func(reached faultPoint, node *node) {
+			if reached == at && !injected {
+				injected = true
+				fault(simulation, node)
 			}
 		}
-		world.submitAt(first, 0, 1, 2)
-		world.run(15 * time.Second)
-		world.submitAt(first, 1, 2)
-		world.run(30 * time.Second)
-		world.submitAt(first, 0, 1, 2)
+		simulation.submitToSlots(job, 0, 1, 2)
+		simulation.run(15 * time.Second)
+		simulation.submitToSlots(job, 1, 2)
+		simulation.run(30 * time.Second)
+		simulation.submitToSlots(job, 0, 1, 2)
 	}
 }
 
-func leaveAll(world *world, apart time.Duration) {
-	for _, node := range world.slots {
-		node.leaving = world.now.Add(8 * time.Second)
-		world.run(apart)
+func stopAllInTurn(simulation *simulation, apart time.Duration) {
+	for _, node := range simulation.slots {
+		node.leaving = simulation.now.Add(8 * time.Second)
+		simulation.run(apart)
 	}
 }
 
-type directed struct {
+type directedCase struct {
 	name string
-	run  script
+	run  scenario
 }
 
-func directedCases() []directed {
-	var cases []directed
-	for _, at := range []point{beforeRecord, afterRecord, afterStart, afterAnswer, atWitness} {
-		cases = append(cases, directed{"killed " + string(at), struck(at, func(world *world, node *node) { world.kill(node, 10*time.Second) })}, directed{"frozen " + string(at), struck(at, func(world *world, node *node) { world.freeze(node, 40*time.Second) })})
+func directedCases() []directedCase {
+	var cases []directedCase
+	for _, at := range []faultPoint{beforeRecord, afterRecord, afterStart, afterAnswer, atWitness} {
+		cases = append(cases, directedCase{"killed " + string(at), faultAt(at, func(simulation *simulation, node *node) { simulation.kill(node, 10*time.Second) })}, directedCase{"frozen " + string(at), faultAt(at, func(simulation *simulation, node *node) { simulation.freeze(node, 40*time.Second) })})
 	}
 	return append(cases,
-		directed{"cut off from everything", func(world *world, first order) {
-			world.cut(0, 1, 20*time.Second)
-			world.cut(0, 2, 20*time.Second)
-			world.logCuts[0] = true
-			world.submitAt(first, 0, 1, 2)
-			world.run(20 * time.Second)
-			delete(world.logCuts, 0)
-			world.submitAt(first, 0, 1, 2)
+		directedCase{"cut off from everything", func(simulation *simulation, job jobSpec) {
+			simulation.cut(0, 1, 20*time.Second)
+			simulation.cut(0, 2, 20*time.Second)
+			simulation.logCuts[0] = true
+			simulation.submitToSlots(job, 0, 1, 2)
+			simulation.run(20 * time.Second)
+			delete(simulation.logCuts, 0)
+			simulation.submitToSlots(job, 0, 1, 2)
 		}},
-		directed{"cut off from the log", func(world *world, first order) {
-			world.logCuts[0] = true
-			world.kill(world.slots[2], time.Second)
-			world.run(10 * time.Second)
-			world.submitAt(first, 0, 1, 2)
+		directedCase{"cut off from the log", func(simulation *simulation, job jobSpec) {
+			simulation.logCuts[0] = true
+			simulation.kill(simulation.slots[2], time.Second)
+			simulation.run(10 * time.Second)
+			simulation.submitToSlots(job, 0, 1, 2)
 		}},
-		directed{"partial cut", func(world *world, first order) {
-			world.cut(0, 2, 20*time.Second)
-			world.submitAt(first, 0, 2, 1)
-			world.run(25 * time.Second)
-			world.submitAt(first, 2, 0)
+		directedCase{"partial cut", func(simulation *simulation, job jobSpec) {
+			simulation.cut(0, 2, 20*time.Second)
+			simulation.submitToSlots(job, 0, 2, 1)
+			simulation.run(25 * time.Second)
+			simulation.submitToSlots(job, 2, 0)
 		}},
-		directed{"log outage while the owner dies", func(world *world, first order) {
-			world.logDown = true
-			world.submitAt(first, 0)
-			world.kill(world.slots[0], time.Second)
-			world.run(3 * time.Second)
-			world.submitAt(first, 0, 1, 2)
-			world.logDown = false
-			world.run(20 * time.Second)
-			world.submitAt(first, 0, 1, 2)
+		directedCase{"log outage while the owner dies", func(simulation *simulation, job jobSpec) {
+			simulation.logDown = true
+			simulation.submitToSlots(job, 0)
+			simulation.kill(simulation.slots[0], time.Second)
+			simulation.run(3 * time.Second)
+			simulation.submitToSlots(job, 0, 1, 2)
+			simulation.logDown = false
+			simulation.run(20 * time.Second)
+			simulation.submitToSlots(job, 0, 1, 2)
 		}},
-		directed{"append answer lost and append repeated", rivals(1, 1)},
-		directed{"two proposals for one view", rivals(0, 1)},
-		directed{"forward times out", func(world *world, first order) {
-			world.cut(0, 1, 1500*time.Millisecond)
-			world.submitAt(first, 1, 0, 2)
+		directedCase{"append answer lost and append repeated", competingViews(1, 1)},
+		directedCase{"two proposals for one view", competingViews(0, 1)},
+		directedCase{"forward times out", func(simulation *simulation, job jobSpec) {
+			simulation.cut(0, 1, 1500*time.Millisecond)
+			simulation.submitToSlots(job, 1, 0, 2)
 		}},
-		directed{"cancellation crosses the start", func(world *world, first order) {
-			world.send(0, first, false, 0, deadline)
-			world.send(1, first, true, 0, deadline)
-			world.run(3 * time.Second)
-			world.submitAt(first, 2)
+		directedCase{"cancellation crosses the start", func(simulation *simulation, job jobSpec) {
+			simulation.submit(0, job, false, 0, deadline)
+			simulation.submit(1, job, true, 0, deadline)
+			simulation.run(3 * time.Second)
+			simulation.submitToSlots(job, 2)
 		}},
-		directed{"deadline passes in the queue", func(world *world, first order) {
-			world.submitAt(first, 0)
-			world.send(1, first, false, 300*time.Millisecond, 100*time.Millisecond)
-			world.run(3 * time.Second)
+		directedCase{"deadline passes in the queue", func(simulation *simulation, job jobSpec) {
+			simulation.submitToSlots(job, 0)
+			simulation.submit(1, job, false, 300*time.Millisecond, 100*time.Millisecond)
+			simulation.run(3 * time.Second)
 		}},
-		directed{"frozen in the queue beyond the deadline", func(world *world, first order) {
-			world.send(0, first, false, 500*time.Millisecond, 400*time.Millisecond)
-			world.run(100 * time.Millisecond)
-			world.freeze(world.slots[0], 30*time.Second)
-			world.run(15 * time.Second)
-			world.submitAt(first, 1, 2)
-			world.run(20 * time.Second)
+		directedCase{"frozen in the queue beyond the deadline", func(simulation *simulation, job jobSpec) {
+			simulation.submit(0, job, false, 500*time.Millisecond, 400*time.Millisecond)
+			simulation.run(100 * time.Millisecond)
+			simulation.freeze(simulation.slots[0], 30*time.Second)
+			simulation.run(15 * time.Second)
+			simulation.submitToSlots(job, 1, 2)
+			simulation.run(20 * time.Second)
 		}},
-		directed{"rolling replacement, planned", func(world *world, first order) {
-			world.submitAt(first, 0)
-			leaveAll(world, 15*time.Second)
-			world.submitAt(first, 0, 1, 2)
+		directedCase{"rolling replacement, planned", func(simulation *simulation, job jobSpec) {
+			simulation.submitToSlots(job, 0)
+			stopAllInTurn(simulation, 15*time.Second)
+			simulation.submitToSlots(job, 0, 1, 2)
 		}},
-		directed{"replacement of all at once, unplanned", func(world *world, first order) {
-			world.submitAt(first, 0)
-			for _, node := range world.slots {
-				world.kill(node, time.Second)
+		directedCase{"replacement of all at once, unplanned", func(simulation *simulation, job jobSpec) {
+			simulation.submitToSlots(job, 0)
+			for _, node := range simulation.slots {
+				simulation.kill(node, time.Second)
 			}
-			world.run(20 * time.Second)
-			world.submitAt(first, 0, 1, 2)
+			simulation.run(20 * time.Second)
+			simulation.submitToSlots(job, 0, 1, 2)
 		}},
-		directed{"full table", func(world *world, first order) {
+		directedCase{"full table", func(simulation *simulation, job jobSpec) {
 			for number := range 6 {
-				filler := order{key: world.slots[0].decider.KeyPrefix(world.now) + "filler" + string(rune('a'+number)), body: `"f"`}
-				world.submitAt(filler, 0)
+				filler := jobSpec{key: simulation.slots[0].decider.KeyPrefix(simulation.now) + "filler" + string(rune('a'+number)), body: `"f"`}
+				simulation.submitToSlots(filler, 0)
 			}
-			world.submitAt(first, 0, 1, 2)
+			simulation.submitToSlots(job, 0, 1, 2)
 		}},
-		directed{"key reused with another body", func(world *world, first order) {
-			world.submitAt(first, 0)
-			other := first
+		directedCase{"key reused with another body", func(simulation *simulation, job jobSpec) {
+			simulation.submitToSlots(job, 0)
+			other := job
 			other.body = `"other"`
-			world.submitAt(other, 0)
+			simulation.submitToSlots(other, 0)
 		}},
 	)
 }
 
-// rivals returns a script in which the instances in two slots append views that follow the same one; each
+// competingViews returns a script in which the instances in two slots append views that follow the same one; each
 // leaves out the other.
-func rivals(slots ...int) script {
-	return func(world *world, first order) {
+func competingViews(slots ...int) scenario {
+	return func(simulation *simulation, job jobSpec) {
 		for _, slot := range slots {
-			number, view := world.slots[slot].decider.View()
-			world.propose(world.slots[slot], keeper.View{Prev: number, Members: without(world, view, 1-slot)}, false)
+			number, view := simulation.slots[slot].decider.View()
+			simulation.propose(simulation.slots[slot], keeper.View{Prev: number, Members: without(simulation, view, 1-slot)}, false)
 		}
-		world.submitAt(first, 0, 1, 2)
-		world.run(10 * time.Second)
-		world.submitAt(first, 0, 1, 2)
+		simulation.submitToSlots(job, 0, 1, 2)
+		simulation.run(10 * time.Second)
+		simulation.submitToSlots(job, 0, 1, 2)
 	}
 }
 
 // without returns the members of a view other than the one in a slot.
-func without(world *world, view keeper.View, slot int) []keeper.Member {
+func without(simulation *simulation, view keeper.View, slot int) []keeper.Member {
 	return slices.DeleteFunc(slices.Clone(view.Members), func(member keeper.Member) bool {
-		return member == world.slots[slot].member
+		return member == simulation.slots[slot].member
 	})
 }
 
-func runDirected(run script, naive, full bool) *world {
-	world := newWorld(11, naive, 3)
+func runDirected(run scenario, naive, full bool) *simulation {
+	simulation := newWorld(11, naive, 3)
 	if full {
-		world.limits.MaxRecords = 5
-		for _, node := range world.slots {
-			world.kill(node, 0)
+		simulation.limits.MaxRecords = 5
+		for _, node := range simulation.slots {
+			simulation.kill(node, 0)
 		}
 	}
-	world.run(8 * time.Second)
-	run(world, order{key: world.slots[0].decider.KeyPrefix(world.now) + "job", body: `"1"`, unrepeatable: true})
-	world.run(45 * time.Second)
-	return world
+	simulation.run(8 * time.Second)
+	run(simulation, jobSpec{key: simulation.slots[0].decider.KeyPrefix(simulation.now) + "job", body: `"1"`, unrepeatable: true})
+	simulation.run(45 * time.Second)
+	return simulation
 }
 
 // TestDirected guards against each fault of the fault model by itself: the naive version breaks a promise in
@@ -188,10 +188,10 @@
 		t.Run(directed.name, func(t *testing.T) {
 			is := is.New(t)
 			full := directed.name == "full table"
-			is.True(len(runDirected(directed.run, true, full).judge()) > 0) // the naive version must break a promise
-			world := runDirected(directed.run, false, full)
+			is.True(len(runDirected(directed.run, true, full).violations()) > 0) // the naive version must break a promise
+			simulation := runDirected(directed.run, false, full)
 			for _, promise := range checker.Guarantees() {
-				if text := describe(world, promise); text != "" {
+				if text := describe(simulation, promise); text != "" {
 					t.Errorf("%s:\n%s", promise, text)
 				}
 			}
@@ -203,20 +203,20 @@
 // submission, resubmission included, gets its complete answer.
 func TestUndisturbed(t *testing.T) {
 	is := is.New(t)
-	world := newWorld(11, false, 3)
-	world.careful = true
-	world.run(8 * time.Second)
-	for _, key := range []string{world.slots[0].decider.KeyPrefix(world.now) + "job", "plain"} {
-		world.submitAt(order{key: key, body: `"1"`}, 0, 1, 2, 0)
+	simulation := newWorld(11, false, 3)
+	simulation.noFalseSuspicions = true
+	simulation.run(8 * time.Second)
+	for _, key := range []string{simulation.slots[0].decider.KeyPrefix(simulation.now) + "job", "plain"} {
+		simulation.submitToSlots(jobSpec{key: key, body: `"1"`}, 0, 1, 2, 0)
 	}
-	leaveAll(world, 15*time.Second)
-	world.submitAt(order{key: world.slots[1].decider.KeyPrefix(world.now) + "later", body: `"1"`}, 0, 1, 2, 0)
+	stopAllInTurn(simulation, 15*time.Second)
+	simulation.submitToSlots(jobSpec{key: simulation.slots[1].decider.KeyPrefix(simulation.now) + "later", body: `"1"`}, 0, 1, 2, 0)
 	answered := map[int64]bool{}
-	for _, event := range world.history {
+	for _, event := range simulation.history {
 		if answer, isAnswer := event.(checker.CompleteAnswer); isAnswer {
 			answered[answer.Submission] = true
 		}
 	}
 	is.Equal(len(answered), 12) // each submission
-	is.Equal(len(world.judge()), 0)
+	is.Equal(len(simulation.violations()), 0)
 }
--- a/keeper/naive_test.go
+++ b/keeper/naive_test.go
@@ -18,8 +18,8 @@
 	held   map[string]dispatcher.Outcome
 }
 
-func newNaive(world *world) *naive {
-	idle := keeper.New(keeper.Member{}, domain, world.limits, world.now)
+func newNaive(simulation *simulation) *naive {
+	idle := keeper.New(keeper.Member{}, domain, simulation.limits, simulation.now)
 	return &naive{Keeper: idle, seen: map[string]bool{}, held: map[string]dispatcher.Outcome{}}
 }
 
--- a/keeper/node_test.go
+++ b/keeper/node_test.go
@@ -40,32 +40,32 @@
 
 // node is one incarnation of an instance: a stub of the server around a decider.
 type node struct {
-	world   *world
-	slot    int
-	member  keeper.Member
-	decider decider
-	dead    bool
-	frozen  bool
-	leaving time.Time
-	inbox   []func()
-	next    int64
-	tickets map[uint64]*request
-	waiters map[string][]*request
-	running int
+	simulation *simulation
+	slot       int
+	member     keeper.Member
+	decider    decider
+	dead       bool
+	frozen     bool
+	leaving    time.Time
+	inbox      []func()
+	nextOffset int64
+	tickets    map[uint64]*request
+	waiters    map[string][]*request
+	running    int
 }
 
-func newNode(world *world, slot int, member keeper.Member) *node {
-	node := &node{world: world, slot: slot, member: member, tickets: map[uint64]*request{}, waiters: map[string][]*request{}}
-	if world.naive {
-		node.decider = newNaive(world)
+func newNode(simulation *simulation, slot int, member keeper.Member) *node {
+	node := &node{simulation: simulation, slot: slot, member: member, tickets: map[uint64]*request{}, waiters: map[string][]*request{}}
+	if simulation.naive {
+		node.decider = newNaive(simulation)
 	} else {
-		node.decider = keeper.New(member, domain, world.limits, world.now)
+		node.decider = keeper.New(member, domain, simulation.limits, simulation.now)
 	}
 	return node
 }
 
-// do runs a step of the node now, or when it resumes, or never.
-func (node *node) do(act func()) {
+// runOrQueue runs a step of the node now, or when it resumes, or never.
+func (node *node) runOrQueue(act func()) {
 	switch {
 	case node.dead:
 	case node.frozen:
@@ -75,47 +75,47 @@
 	}
 }
 
-// step schedules a step, so that a fault can strike before it.
-func (node *node) step(delay time.Duration, act func()) {
-	node.world.after(delay, func() { node.do(act) })
+// schedule schedules a step, so that a fault can strike before it.
+func (node *node) schedule(delay time.Duration, act func()) {
+	node.simulation.after(delay, func() { node.runOrQueue(act) })
 }
 
 func (node *node) openLog() {
-	node.next = node.world.trimmed
-	node.decider.SetEarliestOffset(node.next)
+	node.nextOffset = node.simulation.trimmed
+	node.decider.SetEarliestOffset(node.nextOffset)
 }
 
 func (node *node) readLog() {
-	world := node.world
-	if world.logDown || world.logCuts[node.slot] {
+	simulation := node.simulation
+	if simulation.logDown || simulation.logCuts[node.slot] {
 		return
 	}
-	if node.next < world.trimmed {
+	if node.nextOffset < simulation.trimmed {
 		node.openLog()
 	}
-	for ; node.next < int64(len(world.log)); node.next++ {
-		node.apply(node.decider.Adopt(node.next, world.log[node.next], world.now))
+	for ; node.nextOffset < int64(len(simulation.log)); node.nextOffset++ {
+		node.apply(node.decider.Adopt(node.nextOffset, simulation.log[node.nextOffset], simulation.now))
 	}
 }
 
 func (node *node) tick() {
-	node.apply(node.decider.HandleDeadlines(node.world.now))
+	node.apply(node.decider.HandleDeadlines(node.simulation.now))
 	if node.leaving.IsZero() {
 		return
 	}
-	if node.running == 0 && node.decider.HandedOver() || node.world.now.After(node.leaving) {
-		node.world.kill(node, 0)
+	if node.running == 0 && node.decider.HandedOver() || node.simulation.now.After(node.leaving) {
+		node.simulation.kill(node, 0)
 	}
 }
 
 // accept takes a request in; its wait in the queue may outlast its deadline.
 func (node *node) accept(request *request, wait time.Duration) {
-	node.world.strike(beforeRecord, node)
-	node.step(wait, func() { node.decide(request) })
+	node.simulation.onFaultPoint(beforeRecord, node)
+	node.schedule(wait, func() { node.decide(request) })
 }
 
 func (node *node) decide(request *request) {
-	now := node.world.now
+	now := node.simulation.now
 	request.decided = now
 	var decision keeper.Decision
 	var outgoing []keeper.Outgoing
@@ -129,16 +129,16 @@
 		decision, outgoing = node.decider.Submit(request.submission, now)
 	}
 	node.apply(nil, outgoing)
-	node.obey(request, decision)
+	node.carryOut(request, decision)
 }
 
-func (node *node) obey(request *request, decision keeper.Decision) {
+func (node *node) carryOut(request *request, decision keeper.Decision) {
 	key := request.submission.Key
 	switch decision := decision.(type) {
 	case keeper.StartNow:
 		node.waiters[key] = append(node.waiters[key], request)
-		node.world.strike(afterRecord, node)
-		node.step(0, func() { node.launch(request) })
+		node.simulation.onFaultPoint(afterRecord, node)
+		node.schedule(0, func() { node.startTasks(request) })
 	case keeper.AwaitWitness:
 		node.tickets[decision.Ticket] = request
 		node.waiters[key] = append(node.waiters[key], request)
@@ -156,7 +156,7 @@
 			request.reply(decision.Outcome, time.Time{})
 			return
 		}
-		node.step(50*time.Millisecond, func() { node.decide(request) })
+		node.schedule(50*time.Millisecond, func() { node.decide(request) })
 	case keeper.Forward:
 		node.forward(request, decision.To.Incarnation)
 	default:
@@ -164,70 +164,72 @@
 	}
 }
 
-// instance names the type where a receiver shadows it.
-type instance = node
+// nodeType names the type where a receiver shadows it.
+type nodeType = node
 
 // forward passes a request on and answers unknown when no answer comes in time.
 func (node *node) forward(original *request, to string) {
-	world := node.world
+	simulation := node.simulation
 	passed := *original
 	passed.submission.Forwarded = true
 	passed.reply = func(outcome dispatcher.Outcome, decided time.Time) {
-		if other := world.every[to]; other != nil {
-			world.transmit(other, node.member.Incarnation, func(*instance) { original.reply(outcome, decided) })
+		if other := simulation.nodes[to]; other != nil {
+			simulation.transmit(other, node.member.Incarnation, func(*nodeType) { original.reply(outcome, decided) })
 		}
 	}
-	world.transmit(node, to, func(target *instance) { target.accept(&passed, 0) })
-	node.step(forwardTime, func() { original.reply(dispatcher.NewUnknown("forward timed out"), time.Time{}) })
+	simulation.transmit(node, to, func(target *nodeType) { target.accept(&passed, 0) })
+	node.schedule(forwardTime, func() { original.reply(dispatcher.NewUnknown("forward timed out"), time.Time{}) })
 }
 
-// launch starts the tasks at the targets, which run on whatever happens to the node.
-func (node *node) launch(request *request) {
-	world := node.world
+// startTasks starts the tasks at the targets, which run on whatever happens to the node.
+func (node *node) startTasks(request *request) {
+	simulation := node.simulation
 	for _, task := range []string{"a", "b"} {
-		world.record(checker.TaskStarted{
-			At: world.stamp(), Key: request.submission.Key, Digest: request.body, Task: task, Instance: node.member.Incarnation,
+		simulation.record(checker.TaskStarted{
+			At: simulation.nextTimestamp(), Key: request.submission.Key, Digest: request.body, Task: task, Instance: node.member.Incarnation,
 		})
 	}
 	node.running++
-	length := world.between(50*time.Millisecond, time.Second)
-	world.after(length, func() { world.record(checker.JobEnded{At: world.stamp(), Key: request.submission.Key}) })
-	world.strike(afterStart, node)
-	node.step(length, func() {
+	length := simulation.between(50*time.Millisecond, time.Second)
+	simulation.after(length, func() {
+		simulation.record(checker.JobEnded{At: simulation.nextTimestamp(), Key: request.submission.Key})
+	})
+	simulation.onFaultPoint(afterStart, node)
+	node.schedule(length, func() {
 		node.running--
 		results := []dispatcher.TaskResult{{Name: "a", Result: []byte(request.body)}, {Name: "b", Result: []byte(request.body)}}
-		node.apply(node.decider.Finish(request.submission.Key, dispatcher.NewComplete(results), world.now))
-		world.strike(afterAnswer, node)
+		node.apply(node.decider.Finish(request.submission.Key, dispatcher.NewComplete(results), simulation.now))
+		simulation.onFaultPoint(afterAnswer, node)
 	})
 }
 
 // apply carries out events and sends messages.
 func (node *node) apply(events []keeper.Event, outgoing []keeper.Outgoing) {
 	for _, sent := range outgoing {
-		node.world.transmit(node, sent.To.Incarnation, func(target *instance) {
-			target.apply(target.decider.Receive(node.member.Incarnation, sent.Message, target.world.now))
+		node.simulation.transmit(node, sent.To.Incarnation, func(target *nodeType) {
+			target.apply(target.decider.Receive(node.member.Incarnation, sent.Message, target.simulation.now))
 			if _, isRecord := sent.Message.(keeper.Record); isRecord {
-				target.world.strike(atWitness, target)
+				target.simulation.onFaultPoint(atWitness, target)
 			}
 		})
 	}
 	for _, event := range events {
-		node.react(event)
+		node.handleEvent(event)
 	}
 }
 
-func (node *node) react(event keeper.Event) {
+func (node *node) handleEvent(event keeper.Event) {
 	switch event := event.(type) {
 	case keeper.StartGranted:
 		request := node.tickets[event.Ticket]
-		node.world.strike(afterRecord, node)
-		node.step(0, func() { node.launch(request) })
+		node.simulation.onFaultPoint(afterRecord, node)
+		node.schedule(0, func() { node.startTasks(request) })
 	case keeper.AttemptFailed:
 		lost := node.tickets[event.Ticket]
 		// The request does not wait for the job any more: a later job under its key may have another body.
 		node.waiters[event.Key] = slices.DeleteFunc(node.waiters[event.Key], func(waiter *request) bool { return waiter == lost })
 		if event.Resubmit && !lost.submission.Forwarded {
-			node.step(time.Millisecond, func() { node.decide(lost) })
+			node.schedule(time.Millisecond, func() { node.decide(lost) })
 			return
 		}
 		lost.reply(event.Outcome, time.Time{})
@@ -236,10 +238,10 @@
 	case keeper.RefusalUnconfirmed:
 		node.tickets[event.Ticket].reply(event.Outcome, time.Time{})
 	case keeper.RefusalSuperseded:
-		node.tickets[event.Ticket].reply(event.Outcome, node.world.now)
+		node.tickets[event.Ticket].reply(event.Outcome, node.simulation.now)
 	case keeper.CancelConfirmed:
 		refused := dispatcher.NewRefused(dispatcher.ReasonCancelled, "cancelled", "", time.Time{})
-		node.tickets[event.Ticket].reply(refused, node.world.now)
+		node.tickets[event.Ticket].reply(refused, node.simulation.now)
 	case keeper.OutcomeKnown:
 		for _, waiter := range node.waiters[event.Key] {
 			waiter.reply(event.Outcome, time.Time{})
@@ -248,13 +250,13 @@
 	}
 }
 
-// watch is a careless stand-in for the watcher: it suspects, proposes views and sometimes errs.
-func (node *node) watch() {
-	world := node.world
+// checkMembers is a careless stand-in for the watcher: it suspects, proposes views and sometimes errs.
+func (node *node) checkMembers() {
+	simulation := node.simulation
 	number, view := node.decider.View()
 	var seen []keeper.Member
 	accounted := true
-	for _, other := range world.every {
+	for _, other := range simulation.nodes {
 		if other.dead {
 			continue
 		}
@@ -262,8 +264,8 @@
 			accounted = false
 		}
 	}
-	for _, other := range world.slots {
-		if other.dead || other != node && (other.frozen || !world.linked(node.slot, other.slot)) {
+	for _, other := range simulation.slots {
+		if other.dead || other != node && (other.frozen || !simulation.linked(node.slot, other.slot)) {
 			node.decider.Suspect(other.member.Incarnation)
 			continue
 		}
@@ -271,33 +273,33 @@
 		seen = append(seen, other.member)
 	}
 	if accounted {
-		node.decider.SetAdoptedByAll(number, world.now)
+		node.decider.SetAdoptedByAll(number, simulation.now)
 	}
-	if world.chance(0.15) {
-		node.proposeFrom(number, view, seen)
+	if simulation.chance(0.15) {
+		node.proposeNextView(number, view, seen)
 	}
 }
 
-func (node *node) proposeFrom(number int64, view keeper.View, seen []keeper.Member) {
-	world := node.world
+func (node *node) proposeNextView(number int64, view keeper.View, seen []keeper.Member) {
+	simulation := node.simulation
 	if number == keeper.NoView {
-		known := slices.ContainsFunc(world.slots, func(other *instance) bool {
+		known := slices.ContainsFunc(simulation.slots, func(other *nodeType) bool {
 			otherNumber, _ := other.decider.View()
-			return !other.dead && world.linked(node.slot, other.slot) && otherNumber != keeper.NoView
+			return !other.dead && simulation.linked(node.slot, other.slot) && otherNumber != keeper.NoView
 		})
 		if !known {
-			world.propose(node, keeper.View{Prev: keeper.NoView, Members: seen, Reset: world.trimmed > 0}, false)
+			simulation.propose(node, keeper.View{Prev: keeper.NoView, Members: seen, Reset: simulation.trimmed > 0}, false)
 		}
 		return
 	}
-	if len(seen) > 1 && !world.careful && world.chance(0.1) {
+	if len(seen) > 1 && !simulation.noFalseSuspicions && simulation.chance(0.1) {
 		// A wrong suspicion: safety must not depend on the watcher.
-		lost := world.IntN(len(seen))
+		lost := simulation.IntN(len(seen))
 		seen = slices.Delete(seen, lost, lost+1)
 	}
 	var departing []keeper.Member
 	stay := slices.DeleteFunc(slices.Clone(seen), func(member keeper.Member) bool {
-		if world.every[member.Incarnation].leaving.IsZero() {
+		if simulation.nodes[member.Incarnation].leaving.IsZero() {
 			return false
 		}
 		departing = append(departing, member)
@@ -307,11 +309,11 @@
 		return
 	}
 	if slices.Equal(stay, view.Members) && slices.Equal(departing, view.Departing) {
-		if renewed, due := world.renewedView(number, view); due {
+		if renewed, due := simulation.renewedView(number, view); due {
 			renewed.Departing = departing
-			world.propose(node, renewed, true)
+			simulation.propose(node, renewed, true)
 		}
 		return
 	}
-	world.propose(node, keeper.View{Prev: number, Members: stay, Departing: departing, ExpiryFloor: view.ExpiryFloor}, false)
+	simulation.propose(node, keeper.View{Prev: number, Members: stay, Departing: departing, ExpiryFloor: view.ExpiryFloor}, false)
 }
--- a/keeper/protocol_test.go
+++ b/keeper/protocol_test.go
@@ -12,15 +12,15 @@
 	"github.com/hyssoplift/hyssoplift/keeper"
 )
 
-// trio returns three keepers in view 0, the first one, and a key of a slice that it owns.
-func trio() (*group, *keeper.Keeper, keeper.Submission) {
-	group := newGroup(3)
-	owner := group.keepers[group.members[0].Incarnation]
-	return group, owner, keeper.Submission{Key: owner.KeyPrefix(group.now) + "job", Digest: dispatcher.Digest{1}, Deadline: group.now.Add(time.Minute)}
+// newTrio returns three keepers in view 0, the first one, and a key of a slice that it owns.
+func newTrio() (*cluster, *keeper.Keeper, keeper.Submission) {
+	cluster := newGroup(3)
+	owner := cluster.keepers[cluster.members[0].Incarnation]
+	return cluster, owner, keeper.Submission{Key: owner.KeyPrefix(cluster.now) + "job", Digest: dispatcher.Digest{1}, Deadline: cluster.now.Add(time.Minute)}
 }
 
-// asked returns the record in outgoing messages and its addressee.
-func asked(outgoing []keeper.Outgoing) (keeper.Record, string) {
+// findRecord returns the record in outgoing messages and its addressee.
+func findRecord(outgoing []keeper.Outgoing) (keeper.Record, string) {
 	for _, sent := range outgoing {
 		if record, isRecord := sent.Message.(keeper.Record); isRecord {
 			return record, sent.To.Incarnation
@@ -33,26 +33,26 @@
 // second attempt with the same witness: the start would be granted without a copy, or lose its copy.
 func TestLateMessagesOfAnEarlierAttempt(t *testing.T) {
 	is := is.New(t)
-	group, owner, submission := trio()
-	self := group.members[0].Incarnation
-	_, outgoing := owner.Submit(submission, group.now)
-	first, witness := asked(outgoing)
+	cluster, owner, submission := newTrio()
+	self := cluster.members[0].Incarnation
+	_, outgoing := owner.Submit(submission, cluster.now)
+	first, witness := findRecord(outgoing)
 	var second keeper.Record
 	var to string
 	for to != witness {
-		group.now = group.now.Add(25 * time.Millisecond)
-		_, outgoing = owner.HandleDeadlines(group.now)
-		second, to = asked(outgoing)
+		cluster.now = cluster.now.Add(25 * time.Millisecond)
+		_, outgoing = owner.HandleDeadlines(cluster.now)
+		second, to = findRecord(outgoing)
 		is.True(to != "") // the first witness must be asked a second time
 	}
-	events, _ := owner.Receive(witness, keeper.RecordAck{Key: first.Key, View: first.View, Sequence: first.Sequence}, group.now)
+	events, _ := owner.Receive(witness, keeper.RecordAck{Key: first.Key, View: first.View, Sequence: first.Sequence}, cluster.now)
 	is.Equal(len(events), 0) // the acknowledged attempt has been withdrawn
-	_, acks := group.keepers[witness].Receive(self, second, group.now)
-	group.keepers[witness].Receive(self, keeper.Withdraw{Key: first.Key, View: first.View, Sequence: first.Sequence}, group.now)
-	is.Equal(group.keepers[witness].RecordCount(), 1) // a late withdrawal must not remove the second copy
-	events, _ = owner.Receive(witness, acks[0].Message, group.now)
+	_, acks := cluster.keepers[witness].Receive(self, second, cluster.now)
+	cluster.keepers[witness].Receive(self, keeper.Withdraw{Key: first.Key, View: first.View, Sequence: first.Sequence}, cluster.now)
+	is.Equal(cluster.keepers[witness].RecordCount(), 1) // a late withdrawal must not remove the second copy
+	events, _ = owner.Receive(witness, acks[0].Message, cluster.now)
 	is.Equal(len(events), 1)
-	_, acks = group.keepers[witness].Receive(self, first, group.now)
+	_, acks = cluster.keepers[witness].Receive(self, first, cluster.now)
 	_, refused := acks[0].Message.(keeper.RecordRefused)
 	is.True(refused) // the first record is older than the stored one
 }
@@ -61,14 +61,14 @@
 // at the witness would make a successor answer "not run" for a job that ran.
 func TestCancellationIsFinal(t *testing.T) {
 	is := is.New(t)
-	group, owner, submission := trio()
-	owner.Cancel(submission.Key, false, group.now)
+	cluster, owner, submission := newTrio()
+	owner.Cancel(submission.Key, false, cluster.now)
 	for range 10 {
-		group.now = group.now.Add(25 * time.Millisecond)
-		owner.HandleDeadlines(group.now)
+		cluster.now = cluster.now.Add(25 * time.Millisecond)
+		owner.HandleDeadlines(cluster.now)
 	}
-	decision, outgoing := owner.Submit(submission, group.now)
-	record, _ := asked(outgoing)
+	decision, outgoing := owner.Submit(submission, cluster.now)
+	record, _ := findRecord(outgoing)
 	is.Equal(record.State, keeper.StateCancelled)
 	_, waits := decision.(keeper.AwaitWitness)
 	is.True(waits) // an unconfirmed cancellation must not be told
@@ -77,19 +77,19 @@
 // TestFind guards against a question about a job that starts it, or that hides its state.
 func TestFind(t *testing.T) {
 	is := is.New(t)
-	group, owner, submission := trio()
+	cluster, owner, submission := newTrio()
 	find := func(at int) keeper.Decision {
-		decision, outgoing := group.keepers[group.members[at].Incarnation].Find(submission.Key, false, group.now)
+		decision, outgoing := cluster.keepers[cluster.members[at].Incarnation].Find(submission.Key, false, cluster.now)
 		is.Equal(len(outgoing), 0)
 		return decision
 	}
 	is.Equal(find(0), keeper.Absent{})
-	is.Equal(find(1), keeper.Forward{To: group.members[0]})
+	is.Equal(find(1), keeper.Forward{To: cluster.members[0]})
 	is.Equal(owner.RecordCount(), 0) // a question leaves no record
-	owner.Submit(submission, group.now)
+	owner.Submit(submission, cluster.now)
 	is.Equal(find(0), keeper.Running{})
-	group, owner, submission = trio()
-	group.runJob(owner, submission.Key)
+	cluster, owner, submission = newTrio()
+	cluster.runJob(owner, submission.Key)
 	is.Equal(find(0), keeper.Answer{Outcome: dispatcher.Complete{}})
 }
 
@@ -128,18 +128,18 @@
 // answers an owner that still counts on them.
 func TestLaterViewDoesNotAnswerSync(t *testing.T) {
 	is := is.New(t)
-	group, _, _ := trio()
-	member := group.keepers[group.members[1].Incarnation]
-	member.Adopt(1, keeper.View{Prev: 0, Members: group.members}, group.now)
+	cluster, _, _ := newTrio()
+	member := cluster.keepers[cluster.members[1].Incarnation]
+	member.Adopt(1, keeper.View{Prev: 0, Members: cluster.members}, cluster.now)
 	var every []int
 	for slice := range keeper.SliceCount {
 		every = append(every, slice)
 	}
-	_, outgoing := member.Receive(group.members[0].Incarnation, keeper.SyncRequest{View: 0, Slices: every, Sequence: 1}, group.now)
+	_, outgoing := member.Receive(cluster.members[0].Incarnation, keeper.SyncRequest{View: 0, Slices: every, Sequence: 1}, cluster.now)
 	is.Equal(len(outgoing), 0)
-	_, outgoing = member.Receive(group.members[0].Incarnation, keeper.SyncRequest{View: 2, Slices: every, Sequence: 2}, group.now)
+	_, outgoing = member.Receive(cluster.members[0].Incarnation, keeper.SyncRequest{View: 2, Slices: every, Sequence: 2}, cluster.now)
 	is.Equal(len(outgoing), 0) // not before the view is adopted
-	_, outgoing = member.Adopt(2, keeper.View{Prev: 1, Members: group.members}, group.now)
+	_, outgoing = member.Adopt(2, keeper.View{Prev: 1, Members: cluster.members}, cluster.now)
 	is.True(len(outgoing) > 0) // the kept request is answered
 }
 
@@ -199,12 +199,12 @@
 	}
 }
 
-// pump passes messages between the owner and the others until none is left, and counts messages and events.
-func (group *group) pump(owner *keeper.Keeper, outgoing []keeper.Outgoing) (messages, events int) {
+// exchange passes messages between the owner and the others until none is left, and counts messages and events.
+func (cluster *cluster) exchange(owner *keeper.Keeper, outgoing []keeper.Outgoing) (messages, events int) {
 	for ; len(outgoing) > 0; messages += 2 {
 		member := outgoing[0].To.Incarnation
-		_, replies := group.keepers[member].Receive(group.members[0].Incarnation, outgoing[0].Message, group.now)
-		emitted, more := owner.Receive(member, replies[0].Message, group.now)
+		_, replies := cluster.keepers[member].Receive(cluster.members[0].Incarnation, outgoing[0].Message, cluster.now)
+		emitted, more := owner.Receive(member, replies[0].Message, cluster.now)
 		outgoing, events = append(outgoing[1:], more...), events+len(emitted)
 	}
 	return messages, events
@@ -214,36 +214,36 @@
 // under overload: all that are decided while a batch is in flight share the next one.
 func TestMessages(t *testing.T) {
 	is := is.New(t)
-	group, owner, submission := trio()
-	_, outgoing := owner.Submit(submission, group.now)
-	messages, events := group.pump(owner, outgoing)
+	cluster, owner, submission := newTrio()
+	_, outgoing := owner.Submit(submission, cluster.now)
+	messages, events := cluster.exchange(owner, outgoing)
 	is.Equal([]int{messages, events}, []int{2, 1})
 	outgoing = nil
 	for number := range 100 {
-		submission.Key = fmt.Sprint(owner.KeyPrefix(group.now), number)
-		_, sent := owner.Refuse(submission, dispatcher.NewRefused(dispatcher.ReasonOverload, "full", "", time.Time{}), group.now)
+		submission.Key = fmt.Sprint(owner.KeyPrefix(cluster.now), number)
+		_, sent := owner.Refuse(submission, dispatcher.NewRefused(dispatcher.ReasonOverload, "full", "", time.Time{}), cluster.now)
 		outgoing = append(outgoing, sent...)
 	}
-	messages, events = group.pump(owner, outgoing)
+	messages, events = cluster.exchange(owner, outgoing)
 	is.Equal([]int{messages, events}, []int{4, 100})
 }
 
 // TestConcurrentUse guards against data races and deadlocks between requests, messages, views and deadlines.
 func TestConcurrentUse(t *testing.T) {
-	group, owner, _ := trio()
+	cluster, owner, _ := newTrio()
 	var jobs sync.WaitGroup
 	for worker := range 4 {
 		jobs.Go(func() {
 			for number := range 300 {
-				group.runJob(owner, fmt.Sprint(owner.KeyPrefix(group.now), worker, "-", number))
-				owner.Refuse(keeper.Submission{Key: fmt.Sprint(owner.KeyPrefix(group.now), number)}, dispatcher.Refused{}, group.now)
-				owner.HandleDeadlines(group.now)
+				cluster.runJob(owner, fmt.Sprint(owner.KeyPrefix(cluster.now), worker, "-", number))
+				owner.Refuse(keeper.Submission{Key: fmt.Sprint(owner.KeyPrefix(cluster.now), number)}, dispatcher.Refused{}, cluster.now)
+				owner.HandleDeadlines(cluster.now)
 			}
 		})
 	}
 	for offset := range int64(50) {
-		group.adopt(offset+1, keeper.View{Prev: offset, Members: group.members, ExpiryFloor: max(0, offset-1)})
-		owner.SetAdoptedByAll(offset+1, group.now)
+		cluster.adopt(offset+1, keeper.View{Prev: offset, Members: cluster.members, ExpiryFloor: max(0, offset-1)})
+		owner.SetAdoptedByAll(offset+1, cluster.now)
 	}
 	jobs.Wait()
 	is.New(t).True(owner.Synced())
@@ -259,24 +259,24 @@
 	}{{"accounted long ago", 21 * time.Minute, true}, {"accounted lately", 15 * time.Minute, false}} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			group, _, _ := trio()
+			cluster, _, _ := newTrio()
 			for offset := range int64(70) {
-				group.adopt(offset+1, keeper.View{Prev: offset, Members: group.members})
+				cluster.adopt(offset+1, keeper.View{Prev: offset, Members: cluster.members})
 			}
-			for _, member := range group.members {
-				group.keepers[member.Incarnation].SetAdoptedByAll(70, group.now)
+			for _, member := range cluster.members {
+				cluster.keepers[member.Incarnation].SetAdoptedByAll(70, cluster.now)
 			}
-			group.now = group.now.Add(test.wait)
-			delete(group.keepers, group.members[0].Incarnation)
-			group.members = group.members[1:]
-			group.adopt(71, keeper.View{Prev: 70, Members: group.members})
+			cluster.now = cluster.now.Add(test.wait)
+			delete(cluster.keepers, cluster.members[0].Incarnation)
+			cluster.members = cluster.members[1:]
+			cluster.adopt(71, keeper.View{Prev: 70, Members: cluster.members})
 			opened := true
 			for number := range 200 {
 				key := fmt.Sprint("plain-", number)
 				parsed, err := keeper.ParseKey(key)
 				is.NoErr(err)
-				owner, _ := group.keepers[group.members[0].Incarnation].Owner(parsed.Slice())
-				decision, _ := group.keepers[owner.Incarnation].Submit(keeper.Submission{Key: key}, group.now)
+				owner, _ := cluster.keepers[cluster.members[0].Incarnation].Owner(parsed.Slice())
+				decision, _ := cluster.keepers[owner.Incarnation].Submit(keeper.Submission{Key: key}, cluster.now)
 				_, waits := decision.(keeper.AwaitWitness)
 				opened = opened && waits
 			}
@@ -289,9 +289,9 @@
 // their common view: that instance could start what the owner has already started.
 func TestRecordOfANonOwner(t *testing.T) {
 	is := is.New(t)
-	group, _, submission := trio()
+	cluster, _, submission := newTrio()
 	record := keeper.Record{Key: submission.Key, Digest: submission.Digest, View: 0, State: keeper.StatePending, Sequence: 1}
-	_, replies := group.keepers[group.members[2].Incarnation].Receive(group.members[1].Incarnation, record, group.now)
+	_, replies := cluster.keepers[cluster.members[2].Incarnation].Receive(cluster.members[1].Incarnation, record, cluster.now)
 	is.Equal(len(replies), 1)
 	_, refused := replies[0].Message.(keeper.RecordRefused)
 	is.True(refused)
