--- a/checker/checker.go
+++ b/checker/checker.go
@@ -45,16 +45,16 @@
 
 // Violation is one broken promise.
 type Violation struct {
-	promise Guarantee
-	key     string
-	events  []Event
+	guarantee Guarantee
+	subject   string
+	events    []Event
 }
 
 // Guarantee returns the promise that was broken.
-func (violation Violation) Guarantee() Guarantee { return violation.promise }
+func (violation Violation) Guarantee() Guarantee { return violation.guarantee }
 
 // Subject returns the key of the job, target, instance or bundle concerned.
-func (violation Violation) Subject() string { return violation.key }
+func (violation Violation) Subject() string { return violation.subject }
 
 // Events returns the events that contradict the promise, in order.
 func (violation Violation) Events() []Event { return violation.events }
@@ -63,52 +63,52 @@
 func Check(history []Event, bounds Bounds) []Violation {
 	ordered := slices.Clone(history)
 	slices.SortStableFunc(ordered, func(a, b Event) int { return a.When().Compare(b.When()) })
-	judge := newJudge(ordered, bounds)
-	judge.starts()
-	judge.answers()
-	judge.refusals()
-	judge.targets()
-	judge.stops()
-	judge.bundles()
-	return judge.violations
+	checker := newChecker(ordered, bounds)
+	checker.checkStarts()
+	checker.checkAnswers()
+	checker.checkRefusals()
+	checker.checkTargets()
+	checker.checkStops()
+	checker.checkBundles()
+	return checker.violations
 }
 
-// judge indexes a history.
-type judge struct {
+// checker indexes a history.
+type checker struct {
 	history     []Event
 	bounds      Bounds
 	submissions map[int64]Submitted
 	byKey       map[string][]Submitted
 	started     map[string][]TaskStarted
-	// settled holds, for each key, when it was settled; more than once only for a plain key that was
+	// settledAt holds, for each key, when it was settled; more than once only for a plain key that was
 	// submitted again after its retention.
-	settled    map[string][]time.Time
+	settledAt  map[string][]time.Time
 	refusedAt  map[int64]Refused
 	violations []Violation
 }
 
-func newJudge(history []Event, bounds Bounds) *judge {
-	judge := &judge{
+func newChecker(history []Event, bounds Bounds) *checker {
+	checker := &checker{
 		history: history, bounds: bounds,
 		submissions: map[int64]Submitted{}, byKey: map[string][]Submitted{}, started: map[string][]TaskStarted{},
-		settled: map[string][]time.Time{}, refusedAt: map[int64]Refused{},
+		settledAt: map[string][]time.Time{}, refusedAt: map[int64]Refused{},
 	}
 	for _, event := range history {
 		switch event := event.(type) {
 		case Submitted:
-			judge.submissions[event.Submission] = event
-			judge.byKey[event.Key] = append(judge.byKey[event.Key], event)
+			checker.submissions[event.Submission] = event
+			checker.byKey[event.Key] = append(checker.byKey[event.Key], event)
 		case TaskStarted:
-			judge.started[event.Key] = append(judge.started[event.Key], event)
+			checker.started[event.Key] = append(checker.started[event.Key], event)
 		case JobEnded:
-			judge.settle(event.Key, event.Time)
+			checker.recordSettlement(event.Key, event.Time)
 		case Cancelled:
-			judge.settle(event.Key, decidedAt(event.Decided, event.Time))
+			checker.recordSettlement(event.Key, decidedAt(event.Decided, event.Time))
 		case Refused:
-			judge.refusedAt[event.Submission] = event
+			checker.refusedAt[event.Submission] = event
 		}
 	}
-	return judge
+	return checker
 }
 
 // decidedAt returns the time of a decision, or of its receipt if that is all that is known.
@@ -119,33 +119,33 @@
 	return decided
 }
 
-// settle notes the end or cancellation of a job. What follows within the retention is a replay of it.
-func (judge *judge) settle(key string, at time.Time) {
-	earlier := judge.settled[key]
-	if len(earlier) == 0 || at.After(earlier[len(earlier)-1].Add(judge.bounds.Retention)) {
-		judge.settled[key] = append(earlier, at)
+// recordSettlement notes the end or cancellation of a job. What follows within the retention is a replay of it.
+func (checker *checker) recordSettlement(key string, at time.Time) {
+	earlier := checker.settledAt[key]
+	if len(earlier) == 0 || at.After(earlier[len(earlier)-1].Add(checker.bounds.Retention)) {
+		checker.settledAt[key] = append(earlier, at)
 	}
 }
 
-func (judge *judge) violate(promise Guarantee, key string, events ...Event) {
-	judge.violations = append(judge.violations, Violation{promise: promise, key: key, events: events})
+func (checker *checker) report(guarantee Guarantee, subject string, events ...Event) {
+	checker.violations = append(checker.violations, Violation{guarantee: guarantee, subject: subject, events: events})
 }
 
 // expired says that a plain key's record at an earlier time no longer binds it at a later one: it was settled
 // in between, or before, and the retention has passed since.
-func (judge *judge) expired(key string, earlier, later time.Time) bool {
+func (checker *checker) expired(key string, earlier, later time.Time) bool {
 	if strings.HasPrefix(key, "~") {
 		return false
 	}
-	return slices.ContainsFunc(judge.settled[key], func(settled time.Time) bool {
-		return !settled.Before(earlier) && later.After(settled.Add(judge.bounds.Retention))
+	return slices.ContainsFunc(checker.settledAt[key], func(settledAt time.Time) bool {
+		return !settledAt.Before(earlier) && later.After(settledAt.Add(checker.bounds.Retention))
 	})
 }
 
-// starts judges single-start and at-most-once.
-func (judge *judge) starts() {
-	for _, key := range slices.Sorted(maps.Keys(judge.started)) {
-		starts := judge.started[key]
+// checkStarts judges single-start and at-most-once.
+func (checker *checker) checkStarts() {
+	for _, key := range slices.Sorted(maps.Keys(checker.started)) {
+		starts := checker.started[key]
 		first := map[string]TaskStarted{}
 		for _, start := range starts {
 			earlier, repeated := first[start.Task]
@@ -153,43 +153,43 @@
 				first[start.Task] = start
 				continue
 			}
-			if judge.unrepeatable(key) {
-				judge.violate(AtMostOnce, key, earlier, start)
+			if checker.isUnrepeatable(key) {
+				checker.report(AtMostOnce, key, earlier, start)
 			}
-			if judge.expired(key, earlier.Time, start.Time) {
+			if checker.expired(key, earlier.Time, start.Time) {
 				first[start.Task] = start
 			} else {
-				judge.violate(SingleStart, key, earlier, start)
+				checker.report(SingleStart, key, earlier, start)
 			}
 		}
 	}
 }
 
-func (judge *judge) unrepeatable(key string) bool {
-	return slices.ContainsFunc(judge.byKey[key], func(submitted Submitted) bool { return submitted.Unrepeatable })
+func (checker *checker) isUnrepeatable(key string) bool {
+	return slices.ContainsFunc(checker.byKey[key], func(submitted Submitted) bool { return submitted.Unrepeatable })
 }
 
-// answers judges whole-answer and own-answer.
-func (judge *judge) answers() {
+// checkAnswers judges whole-answer and own-answer.
+func (checker *checker) checkAnswers() {
 	answered := map[int64]Event{}
-	for _, event := range judge.history {
+	for _, event := range checker.history {
 		submission, isAnswer := answeredSubmission(event)
 		if !isAnswer {
 			continue
 		}
-		submitted, known := judge.submissions[submission]
+		submitted, known := checker.submissions[submission]
 		if earlier, twice := answered[submission]; twice {
-			judge.violate(OwnAnswer, submitted.Key, earlier, event)
+			checker.report(OwnAnswer, submitted.Key, earlier, event)
 		} else if !known {
-			judge.violate(OwnAnswer, "", event)
+			checker.report(OwnAnswer, "", event)
 		}
 		answered[submission] = event
 		switch event := event.(type) {
 		case CompleteAnswer:
-			judge.complete(submitted, event)
+			checker.checkCompleteAnswer(submitted, event)
 		case FailedAnswer:
 			if len(event.Results) > 0 {
-				judge.violate(WholeAnswer, submitted.Key, submitted, event)
+				checker.report(WholeAnswer, submitted.Key, submitted, event)
 			}
 		}
 	}
@@ -211,90 +211,90 @@
 	}
 }
 
-// complete judges an answer that claims to be complete.
-func (judge *judge) complete(submitted Submitted, answer CompleteAnswer) {
+// checkCompleteAnswer judges an answer that claims to be complete.
+func (checker *checker) checkCompleteAnswer(submitted Submitted, answer CompleteAnswer) {
 	if answer.Key != submitted.Key || answer.Digest != submitted.Digest {
-		judge.violate(OwnAnswer, submitted.Key, submitted, answer)
+		checker.report(OwnAnswer, submitted.Key, submitted, answer)
 		return
 	}
 	if !slices.Equal(slices.Sorted(slices.Values(answer.Tasks)), slices.Sorted(slices.Values(submitted.Tasks))) {
-		judge.violate(WholeAnswer, submitted.Key, submitted, answer)
+		checker.report(WholeAnswer, submitted.Key, submitted, answer)
 		return
 	}
 	for _, task := range submitted.Tasks {
-		ran := slices.ContainsFunc(judge.started[submitted.Key], func(start TaskStarted) bool {
+		ran := slices.ContainsFunc(checker.started[submitted.Key], func(start TaskStarted) bool {
 			return start.Task == task && start.Digest == submitted.Digest && !start.Time.After(answer.Time)
 		})
 		if !ran {
-			judge.violate(WholeAnswer, submitted.Key, submitted, answer)
+			checker.report(WholeAnswer, submitted.Key, submitted, answer)
 			return
 		}
 	}
 }
 
-// refusals judges true-refusal.
-func (judge *judge) refusals() {
-	for _, event := range judge.history {
+// checkRefusals judges true-refusal.
+func (checker *checker) checkRefusals() {
+	for _, event := range checker.history {
 		switch event := event.(type) {
 		case Refused:
-			judge.refusal(event)
+			checker.checkRefusal(event)
 		case Cancelled:
-			judge.cancelled(event)
+			checker.checkCancellation(event)
 		case FailedAnswer:
-			submitted := judge.submissions[event.Submission]
-			for _, start := range judge.started[submitted.Key] {
+			submitted := checker.submissions[event.Submission]
+			for _, start := range checker.started[submitted.Key] {
 				if start.Digest == submitted.Digest && slices.Contains(event.NotStarted, start.Task) && start.Time.Before(event.Time) {
-					judge.violate(TrueRefusal, submitted.Key, start, event)
+					checker.report(TrueRefusal, submitted.Key, start, event)
 				}
 			}
 		}
 	}
 }
 
-// cancelled judges one cancellation: it denies every start, before and after it.
-func (judge *judge) cancelled(event Cancelled) {
+// checkCancellation judges one cancellation: it denies every start, before and after it.
+func (checker *checker) checkCancellation(event Cancelled) {
 	decided := decidedAt(event.Decided, event.Time)
-	for _, start := range judge.started[event.Key] {
-		if start.Time.Before(decided) && judge.expired(event.Key, start.Time, decided) {
+	for _, start := range checker.started[event.Key] {
+		if start.Time.Before(decided) && checker.expired(event.Key, start.Time, decided) {
 			continue
 		}
-		if start.Time.After(decided) && judge.expired(event.Key, decided.Add(-judge.bounds.Retention), start.Time) {
+		if start.Time.After(decided) && checker.expired(event.Key, decided.Add(-checker.bounds.Retention), start.Time) {
 			continue
 		}
-		judge.violate(TrueRefusal, event.Key, event, start)
+		checker.report(TrueRefusal, event.Key, event, start)
 		return
 	}
 }
 
-// refusal judges one refusal against every start of the same job. A start before the decision contradicts
+// checkRefusal judges one refusal against every start of the same job. A start before the decision contradicts
 // it. A later start does so unless a submission that was not refused asked for it: a caller that resubmits
 // before it reads the refusal has asked for that start itself.
-func (judge *judge) refusal(refused Refused) {
-	submitted := judge.submissions[refused.Submission]
+func (checker *checker) checkRefusal(refused Refused) {
+	submitted := checker.submissions[refused.Submission]
 	decided := decidedAt(refused.Decided, refused.Time)
-	for _, start := range judge.started[submitted.Key] {
-		if start.Digest != submitted.Digest || judge.expired(submitted.Key, start.Time, decided) {
+	for _, start := range checker.started[submitted.Key] {
+		if start.Digest != submitted.Digest || checker.expired(submitted.Key, start.Time, decided) {
 			continue
 		}
-		if !start.Time.After(decided) || !judge.wanted(start) {
-			judge.violate(TrueRefusal, submitted.Key, submitted, start, refused)
+		if !start.Time.After(decided) || !checker.hasOpenSubmission(start) {
+			checker.report(TrueRefusal, submitted.Key, submitted, start, refused)
 			return
 		}
 	}
 }
 
-// wanted says that a submission made before the start had not been refused before it.
-func (judge *judge) wanted(start TaskStarted) bool {
-	return slices.ContainsFunc(judge.byKey[start.Key], func(submitted Submitted) bool {
-		refused, found := judge.refusedAt[submitted.Submission]
+// hasOpenSubmission says that a submission made before the start had not been refused before it.
+func (checker *checker) hasOpenSubmission(start TaskStarted) bool {
+	return slices.ContainsFunc(checker.byKey[start.Key], func(submitted Submitted) bool {
+		refused, found := checker.refusedAt[submitted.Submission]
 		return submitted.Digest == start.Digest && submitted.Time.Before(start.Time) && (!found || refused.Time.After(start.Time))
 	})
 }
 
-// targets judges leaving-drained.
-func (judge *judge) targets() {
+// checkTargets judges leaving-drained.
+func (checker *checker) checkTargets() {
 	leaving := map[string]TargetLeaving{}
-	for _, event := range judge.history {
+	for _, event := range checker.history {
 		switch event := event.(type) {
 		case TargetLeaving:
 			if _, found := leaving[event.Target]; !found {
@@ -303,35 +303,35 @@
 		case TargetReturned:
 			delete(leaving, event.Target)
 		case TaskStarted:
-			if sign, found := leaving[event.Target]; found && event.Time.After(sign.Time.Add(judge.bounds.Drain)) {
-				judge.violate(LeavingDrained, event.Target, sign, event)
+			if sign, found := leaving[event.Target]; found && event.Time.After(sign.Time.Add(checker.bounds.Drain)) {
+				checker.report(LeavingDrained, event.Target, sign, event)
 			}
 		}
 	}
 }
 
-// stops judges graceful-stop.
-func (judge *judge) stops() {
+// checkStops judges graceful-stop.
+func (checker *checker) checkStops() {
 	planned := map[string]StopPlanned{}
-	for _, event := range judge.history {
+	for _, event := range checker.history {
 		switch event := event.(type) {
 		case StopPlanned:
 			planned[event.Instance] = event
 		case RequestDropped:
 			if stop, found := planned[event.Instance]; found {
-				judge.violate(GracefulStop, event.Instance, stop, event)
+				checker.report(GracefulStop, event.Instance, stop, event)
 			}
 		}
 	}
 }
 
-// bundles judges bundle-in-force.
-func (judge *judge) bundles() {
+// checkBundles judges bundle-in-force.
+func (checker *checker) checkBundles() {
 	var accepted []BundleAccepted
 	served := map[string]BundleInForce{}
 	unreachable := map[string]bool{}
 	since := map[string]time.Time{}
-	for _, event := range judge.history {
+	for _, event := range checker.history {
 		switch event := event.(type) {
 		case BundleAccepted:
 			accepted = append(accepted, event)
@@ -341,30 +341,30 @@
 			unreachable[event.Instance], since[event.Instance] = false, event.Time
 		case BundleInForce:
 			if earlier := served[event.Instance]; earlier.Version > event.Version {
-				judge.violate(TimelyBundle, event.Instance, earlier, event)
+				checker.report(TimelyBundle, event.Instance, earlier, event)
 			}
 			served[event.Instance] = event
 			if !unreachable[event.Instance] {
-				judge.bundleDelay(accepted, since[event.Instance], event)
+				checker.checkBundleDelay(accepted, since[event.Instance], event)
 			}
 		}
 	}
 }
 
-// bundleDelay compares a served bundle with the newest that must be in force at a reachable instance.
-func (judge *judge) bundleDelay(accepted []BundleAccepted, since time.Time, served BundleInForce) {
+// checkBundleDelay compares a served bundle with the newest that must be in force at a reachable instance.
+func (checker *checker) checkBundleDelay(accepted []BundleAccepted, since time.Time, served BundleInForce) {
 	due := slices.DeleteFunc(slices.Clone(accepted), func(bundle BundleAccepted) bool {
 		from := bundle.Time
 		if since.After(from) {
 			from = since
 		}
-		return !served.Time.After(from.Add(judge.bounds.BundleDelay))
+		return !served.Time.After(from.Add(checker.bounds.BundleDelay))
 	})
 	if len(due) == 0 {
 		return
 	}
 	newest := slices.MaxFunc(due, func(a, b BundleAccepted) int { return cmp.Compare(a.Version, b.Version) })
 	if newest.Version > served.Version {
-		judge.violate(TimelyBundle, served.Instance, newest, served)
+		checker.report(TimelyBundle, served.Instance, newest, served)
 	}
 }
--- a/keeper/directed_test.go
+++ b/keeper/directed_test.go
@@ -168,7 +168,7 @@
 }
 
 func runDirected(run scenario, naive, full bool) *simulation {
-	simulation := newWorld(11, naive, 3)
+	simulation := newSimulation(11, naive, 3)
 	if full {
 		simulation.limits.MaxRecords = 5
 		for _, node := range simulation.slots {
@@ -188,11 +188,11 @@
 		t.Run(directed.name, func(t *testing.T) {
 			is := is.New(t)
 			full := directed.name == "full table"
-			is.True(len(runDirected(directed.run, true, full).violations()) > 0) // the naive version must break a promise
+			is.True(len(runDirected(directed.run, true, full).check()) > 0) // the naive version must break a promise
 			simulation := runDirected(directed.run, false, full)
-			for _, promise := range checker.Guarantees() {
-				if text := describe(simulation, promise); text != "" {
-					t.Errorf("%s:\n%s", promise, text)
+			for _, guarantee := range checker.Guarantees() {
+				if text := describe(simulation, guarantee); text != "" {
+					t.Errorf("%s:\n%s", guarantee, text)
 				}
 			}
 		})
@@ -203,7 +203,7 @@
 // submission, resubmission included, gets its complete answer.
 func TestUndisturbed(t *testing.T) {
 	is := is.New(t)
-	simulation := newWorld(11, false, 3)
+	simulation := newSimulation(11, false, 3)
 	simulation.noFalseSuspicions = true
 	simulation.run(8 * time.Second)
 	for _, key := range []string{simulation.slots[0].decider.KeyPrefix(simulation.now) + "job", "plain"} {
@@ -218,5 +218,5 @@
 		}
 	}
 	is.Equal(len(answered), 12) // each submission
-	is.Equal(len(simulation.violations()), 0)
+	is.Equal(len(simulation.check()), 0)
 }
--- a/keeper/schedule_test.go
+++ b/keeper/schedule_test.go
@@ -193,7 +193,7 @@
 // runSchedule runs one random schedule: both versions get the same jobs, resubmissions and faults at the same
 // times; delays of messages and faults at points of a request depend on what the version does.
 func runSchedule(seed uint64, naive bool) *simulation {
-	simulation := newWorld(seed, naive, 2+int(seed%4))
+	simulation := newSimulation(seed, naive, 2+int(seed%4))
 	simulation.lossy = simulation.scheduleRandom.chance(0.5)
 	if simulation.scheduleRandom.chance(0.15) {
 		simulation.limits.MaxRecords = 2 + simulation.scheduleRandom.IntN(6)
@@ -227,7 +227,7 @@
 	defer summary.mutex.Unlock()
 	summary.submitted += int(simulation.submissions)
 	summary.unknownAnswers += simulation.unknownAnswers
-	for _, violation := range simulation.violations() {
+	for _, violation := range simulation.check() {
 		summary.violations[violation.Guarantee()]++
 		seeds := summary.seeds[violation.Guarantee()]
 		if len(seeds) < 5 && !slices.Contains(seeds, seed) {
@@ -261,17 +261,17 @@
 		*schedules = min(*schedules, 50)
 	}
 	baseline, real := runSchedules(true), runSchedules(false)
-	for _, promise := range checker.Guarantees() {
-		t.Logf("%-16s naive %d (seeds %v), real %d (seeds %v)", promise, baseline.violations[promise], baseline.seeds[promise],
-			real.violations[promise], real.seeds[promise])
-		for _, seed := range real.seeds[promise][:min(1, len(real.seeds[promise]))] {
-			t.Logf("seed %d:\n%s", seed, describe(runSchedule(seed, false), promise))
+	for _, guarantee := range checker.Guarantees() {
+		t.Logf("%-16s naive %d (seeds %v), real %d (seeds %v)", guarantee, baseline.violations[guarantee], baseline.seeds[guarantee],
+			real.violations[guarantee], real.seeds[guarantee])
+		for _, seed := range real.seeds[guarantee][:min(1, len(real.seeds[guarantee]))] {
+			t.Logf("seed %d:\n%s", seed, describe(runSchedule(seed, false), guarantee))
 		}
-		is.Equal(real.violations[promise], 0) // a promise was broken; the first seeds are logged above
+		is.Equal(real.violations[guarantee], 0) // a promise was broken; the first seeds are logged above
 	}
 	t.Logf("submitted %d and %d, unknown %d and %d", baseline.submitted, real.submitted, baseline.unknownAnswers, real.unknownAnswers)
-	for _, promise := range []checker.Guarantee{checker.SingleStart, checker.AtMostOnce, checker.TrueRefusal, checker.OwnAnswer} {
-		is.True(baseline.violations[promise] > 0) // the naive version must break this promise
+	for _, guarantee := range []checker.Guarantee{checker.SingleStart, checker.AtMostOnce, checker.TrueRefusal, checker.OwnAnswer} {
+		is.True(baseline.violations[guarantee] > 0) // the naive version must break this promise
 	}
 }
 
@@ -286,14 +286,14 @@
 		88048, // a cancellation told again by a later owner expired with the first one
 		97034, // a request whose attempt was lost was given the answer to another body (a fault of the test's server)
 	} {
-		is.Equal(len(runSchedule(seed, false).violations()), 0)
+		is.Equal(len(runSchedule(seed, false).check()), 0)
 	}
 }
 
 // describe returns the first violation of a promise, or an empty string.
-func describe(simulation *simulation, promise checker.Guarantee) string {
-	for _, violation := range simulation.violations() {
-		if violation.Guarantee() == promise {
+func describe(simulation *simulation, guarantee checker.Guarantee) string {
+	for _, violation := range simulation.check() {
+		if violation.Guarantee() == guarantee {
 			return fmt.Sprintf("%s %+v", violation.Subject(), violation.Events())
 		}
 	}
--- a/keeper/simulation_test.go
+++ b/keeper/simulation_test.go
@@ -63,7 +63,7 @@
 	unknownAnswers int
 }
 
-func newWorld(seed uint64, naive bool, size int) *simulation {
+func newSimulation(seed uint64, naive bool, size int) *simulation {
 	simulation := &simulation{
 		scheduleRandom: newRandom(seed, 1), random: newRandom(seed, 2), naive: naive, now: time.Unix(1000, 0),
 		nodes: map[string]*node{}, renewal: map[int64]int64{}, appended: map[int64]time.Time{},
@@ -239,6 +239,6 @@
 	return keeper.View{Prev: number, Members: slices.Clone(view.Members), ExpiryFloor: max(last, view.ExpiryFloor)}, true
 }
 
-func (simulation *simulation) violations() []checker.Violation {
+func (simulation *simulation) check() []checker.Violation {
 	return checker.Check(simulation.history, checker.Bounds{Retention: retention, Drain: 5 * time.Second, BundleDelay: 10 * time.Second})
 }
--- a/watcher/member.go
+++ b/watcher/member.go
@@ -62,20 +62,20 @@
 	HeartbeatInterval = time.Second
 	// SuspicionTimeout is the silence after which a peer is suspected: two heartbeats may be lost.
 	SuspicionTimeout = 3 * HeartbeatInterval
-	// aloneSuspicionPeriods is how much longer an instance waits that hears nobody: more often than not it is the one
+	// isolatedTimeoutFactor is how much longer an instance waits that hears nobody: more often than not it is the one
 	// that is cut off.
-	aloneSuspicionPeriods = 3
-	// settleTime lets further joining and leaving instances come into the same view: each view makes its new owners
+	isolatedTimeoutFactor = 3
+	// batchingDelay lets further joining and leaving instances come into the same view: each view makes its new owners
 	// sync.
-	settleTime = 2 * time.Second
-	// turnTime spaces the proposers, so that the first one's view is read before the next one proposes. An append and
+	batchingDelay = 2 * time.Second
+	// proposerInterval spaces the proposers, so that the first one's view is read before the next one proposes. An append and
 	// its reading take a few hundred ms on a slow log.
-	turnTime = 500 * time.Millisecond
-	// retryTime is the time after which a proposal that no view answered is made again.
-	retryTime = 2 * time.Second
-	// excludedMemory is how long an excluded incarnation that fell silent is remembered; it exceeds the list's lag of
+	proposerInterval = 500 * time.Millisecond
+	// retryDelay is the time after which a proposal that no view answered is made again.
+	retryDelay = 2 * time.Second
+	// excludedRetention is how long an excluded incarnation that fell silent is remembered; it exceeds the list's lag of
 	// tens of seconds, after which the list could offer it as a candidate again.
-	excludedMemory = 10 * time.Minute
+	excludedRetention = 10 * time.Minute
 	// maxPeers bounds the incarnations that are remembered, above the members and the instance list of a failure domain.
 	maxPeers = 4096
 )
--- a/watcher/propose.go
+++ b/watcher/propose.go
@@ -14,7 +14,7 @@
 func (watcher *Watcher) Propose(now time.Time) (Proposal, bool) {
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
-	proposal := watcher.plan(now)
+	proposal := watcher.desiredView(now)
 	if proposal.empty() {
 		watcher.wantedSince = time.Time{}
 		return Proposal{}, false
@@ -22,7 +22,7 @@
 	if watcher.wantedSince.IsZero() {
 		watcher.wantedSince = now
 	}
-	if now.Before(watcher.wantedSince.Add(watcher.delay(proposal, now))) || now.Before(watcher.proposedAt.Add(retryTime)) {
+	if now.Before(watcher.wantedSince.Add(watcher.delay(proposal, now))) || now.Before(watcher.proposedAt.Add(retryDelay)) {
 		return Proposal{}, false
 	}
 	watcher.proposedAt = now
@@ -50,13 +50,13 @@
 	slices.SortFunc(candidates, func(a, b Incarnation) int {
 		return cmp.Compare(watcher.rank(a), watcher.rank(b))
 	})
-	delay := time.Duration(slices.Index(candidates, watcher.self.Incarnation)) * turnTime
+	delay := time.Duration(slices.Index(candidates, watcher.self.Incarnation)) * proposerInterval
 	if watcher.leaving {
 		// A leaving instance proposes last, but does propose: it may be the only one that can.
-		delay = time.Duration(len(candidates)) * turnTime
+		delay = time.Duration(len(candidates)) * proposerInterval
 	}
 	if len(proposal.Exclude) == 0 {
-		delay += settleTime
+		delay += batchingDelay
 	}
 	return delay
 }
@@ -66,10 +66,10 @@
 	return string(sum[:])
 }
 
-// plan returns the view that is wanted now, whoever proposes it.
-func (watcher *Watcher) plan(now time.Time) Proposal {
+// desiredView returns the view that is wanted now, whoever proposes it.
+func (watcher *Watcher) desiredView(now time.Time) Proposal {
 	if watcher.view.Number == NoView {
-		return watcher.planFirst(now)
+		return watcher.desiredFirstView(now)
 	}
 	if !contains(watcher.view.Members, watcher.self.Incarnation) {
 		// A member adds candidates, and never a candidate itself, because only members know each other's suspicions.
@@ -79,7 +79,7 @@
 	for _, member := range watcher.view.Members {
 		switch {
 		case contains(proposal.Exclude, member.Incarnation):
-		case watcher.departs(member.Incarnation):
+		case watcher.isLeaving(member.Incarnation):
 			proposal.Depart = append(proposal.Depart, member)
 		default:
 			proposal.Keep = append(proposal.Keep, member)
@@ -93,15 +93,15 @@
 	return proposal
 }
 
-// planFirst waits for the list and one suspicion period, so that the first view holds everybody who is there.
-func (watcher *Watcher) planFirst(now time.Time) Proposal {
-	if !watcher.listRead || watcher.leaving || now.Sub(watcher.started) < SuspicionTimeout {
+// desiredFirstView waits for the list and one suspicion period, so that the first view holds everybody who is there.
+func (watcher *Watcher) desiredFirstView(now time.Time) Proposal {
+	if !watcher.listReceived || watcher.leaving || now.Sub(watcher.started) < SuspicionTimeout {
 		return Proposal{}
 	}
-	return Proposal{Previous: NoView, Add: sorted(append(watcher.additions(now), watcher.self))}
+	return Proposal{Previous: NoView, Add: sortMembers(append(watcher.additions(now), watcher.self))}
 }
 
-func (watcher *Watcher) departs(incarnation Incarnation) bool {
+func (watcher *Watcher) isLeaving(incarnation Incarnation) bool {
 	if incarnation == watcher.self.Incarnation {
 		return watcher.leaving
 	}
@@ -115,10 +115,10 @@
 	var added []Member
 	for incarnation, peer := range watcher.peers {
 		member := contains(watcher.view.Members, incarnation)
-		if member || !peer.listed || peer.leaving || peer.excluded || peer.heard.IsZero() || peer.suspected(now) {
+		if member || !peer.listed || peer.leaving || peer.excluded || peer.lastHeard.IsZero() || peer.suspected(now) {
 			continue
 		}
-		if now.Sub(peer.since) < SuspicionTimeout {
+		if now.Sub(peer.reachableSince) < SuspicionTimeout {
 			// The other members need this long to notice that they cannot hear it.
 			continue
 		}
@@ -126,7 +126,7 @@
 			added = append(added, peer.member)
 		}
 	}
-	return sorted(added)
+	return sortMembers(added)
 }
 
 // votes returns how many of the other members that can be heard suspect the incarnation.
@@ -151,31 +151,31 @@
 	present := 0
 	for _, member := range watcher.view.Members {
 		peer := watcher.peers[member.Incarnation]
-		if peer == nil || !peer.suspected(now) || !watcher.confirmed(peer, now) {
+		if peer == nil || !peer.suspected(now) || !watcher.majoritySuspects(peer, now) {
 			continue
 		}
 		excluded = append(excluded, member)
-		if peer.listed || !watcher.listRead {
+		if peer.listed || !watcher.listReceived {
 			present++
 		}
 	}
 	if 2*present > len(watcher.view.Members) {
-		excluded = slices.DeleteFunc(excluded, func(member Member) bool { return watcher.peers[member.Incarnation].listed || !watcher.listRead })
+		excluded = slices.DeleteFunc(excluded, func(member Member) bool { return watcher.peers[member.Incarnation].listed || !watcher.listReceived })
 	}
 	return excluded
 }
 
-// confirmed reports whether the suspicion of peer suffices to leave it out.
-func (watcher *Watcher) confirmed(suspect *peer, now time.Time) bool {
+// majoritySuspects reports whether the suspicion of peer suffices to leave it out.
+func (watcher *Watcher) majoritySuspects(suspect *peer, now time.Time) bool {
 	votes, voters := watcher.votes(suspect.member.Incarnation, now)
 	if voters == 0 {
-		alone := aloneSuspicionPeriods * SuspicionTimeout
-		return suspect.silentFor(now) >= alone || !suspect.syncSilent.IsZero() && now.Sub(suspect.syncSilent) >= alone
+		alone := isolatedTimeoutFactor * SuspicionTimeout
+		return suspect.silence(now) >= alone || !suspect.syncOverdueSince.IsZero() && now.Sub(suspect.syncOverdueSince) >= alone
 	}
 	return 2*votes > voters
 }
 
-func sorted(members []Member) []Member {
+func sortMembers(members []Member) []Member {
 	slices.SortFunc(members, func(a, b Member) int {
 		return cmp.Or(strings.Compare(a.Name, b.Name), strings.Compare(string(a.Incarnation), string(b.Incarnation)))
 	})
--- a/watcher/watcher.go
+++ b/watcher/watcher.go
@@ -10,29 +10,29 @@
 // peer is what the watcher knows about another incarnation.
 type peer struct {
 	member Member
-	// since is when the peer could first be heard, as a member or as a listed instance.
-	since time.Time
-	heard time.Time
+	// reachableSince is when the peer could first be heard, as a member or as a listed instance.
+	reachableSince time.Time
+	lastHeard      time.Time
 	// suspects is the list of the last heartbeat.
 	suspects map[Incarnation]bool
-	// syncSilent is since when the peer owes the answer to a sync request of this view, heartbeats or not.
-	syncSilent time.Time
-	listed     bool
-	leaving    bool
+	// syncOverdueSince is since when the peer owes the answer to a sync request of this view, heartbeats or not.
+	syncOverdueSince time.Time
+	listed           bool
+	leaving          bool
 	// excluded is set for good once a view has left the peer out: whoever excluded it no longer counts on its state.
 	excluded bool
 }
 
-func (peer *peer) silentFor(now time.Time) time.Duration {
-	last := peer.heard
-	if last.Before(peer.since) {
-		last = peer.since
+func (peer *peer) silence(now time.Time) time.Duration {
+	last := peer.lastHeard
+	if last.Before(peer.reachableSince) {
+		last = peer.reachableSince
 	}
 	return now.Sub(last)
 }
 
 func (peer *peer) suspected(now time.Time) bool {
-	return !peer.syncSilent.IsZero() || peer.silentFor(now) >= SuspicionTimeout
+	return !peer.syncOverdueSince.IsZero() || peer.silence(now) >= SuspicionTimeout
 }
 
 // Watcher follows one failure domain from the point of view of one instance.
@@ -43,10 +43,10 @@
 	mu    sync.Mutex
 	view  View
 	peers map[Incarnation]*peer
-	// listRead is set once the platform has given a list.
-	listRead bool
-	leaving  bool
-	excluded bool
+	// listReceived is set once the platform has given a list.
+	listReceived bool
+	leaving      bool
+	excluded     bool
 	// wantedSince is when a change was first wanted in the present view, or zero.
 	wantedSince time.Time
 	// proposedAt is when Propose last returned a proposal for the present view, or zero.
@@ -70,7 +70,7 @@
 func (watcher *Watcher) SetInstanceList(list []ListedInstance, now time.Time) {
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
-	watcher.listRead = true
+	watcher.listReceived = true
 	for _, peer := range watcher.peers {
 		peer.listed = false
 	}
@@ -84,7 +84,7 @@
 			peer.leaving = peer.leaving || listed.Leaving
 		}
 	}
-	watcher.forget(now)
+	watcher.removeStalePeers(now)
 }
 
 // SetView takes a view that was read from the log; a lower number than the present one is ignored.
@@ -95,7 +95,7 @@
 		return
 	}
 	for _, peer := range watcher.peers {
-		peer.syncSilent = time.Time{}
+		peer.syncOverdueSince = time.Time{}
 	}
 	for _, member := range watcher.view.Members {
 		if peer := watcher.peers[member.Incarnation]; peer != nil && !contains(view.Members, member.Incarnation) {
@@ -122,7 +122,7 @@
 	if peer == nil {
 		return
 	}
-	peer.heard = now
+	peer.lastHeard = now
 	peer.leaving = peer.leaving || heartbeat.Leaving
 	if !sameKeys(peer.suspects, heartbeat.Suspects) {
 		peer.suspects = make(map[Incarnation]bool, len(heartbeat.Suspects))
@@ -140,9 +140,9 @@
 	switch {
 	case peer == nil:
 	case answered:
-		peer.syncSilent = time.Time{}
-	case peer.syncSilent.IsZero():
-		peer.syncSilent = now
+		peer.syncOverdueSince = time.Time{}
+	case peer.syncOverdueSince.IsZero():
+		peer.syncOverdueSince = now
 	}
 }
 
@@ -177,7 +177,7 @@
 			members = append(members, peer.member)
 		}
 	}
-	return sorted(members)
+	return sortMembers(members)
 }
 
 func (watcher *Watcher) suspects(now time.Time) []Incarnation {
@@ -199,20 +199,20 @@
 	}
 	found := watcher.peers[member.Incarnation]
 	if found == nil && len(watcher.peers) < maxPeers {
-		found = &peer{member: member, since: now}
+		found = &peer{member: member, reachableSince: now}
 		watcher.peers[member.Incarnation] = found
 	}
 	return found
 }
 
-// forget drops the incarnations that are gone: neither member, nor listed, nor heard.
-func (watcher *Watcher) forget(now time.Time) {
+// removeStalePeers drops the incarnations that are gone: neither member, nor listed, nor heard.
+func (watcher *Watcher) removeStalePeers(now time.Time) {
 	maps.DeleteFunc(watcher.peers, func(incarnation Incarnation, peer *peer) bool {
 		memory := SuspicionTimeout
 		if peer.excluded {
-			memory = excludedMemory
+			memory = excludedRetention
 		}
-		return !peer.listed && peer.silentFor(now) >= memory && !contains(watcher.view.Members, incarnation)
+		return !peer.listed && peer.silence(now) >= memory && !contains(watcher.view.Members, incarnation)
 	})
 }
 
--- a/watcher/watcher_test.go
+++ b/watcher/watcher_test.go
@@ -13,109 +13,109 @@
 	name    string
 	names   string
 	listLag time.Duration
-	run     func(world *world)
+	run     func(simulation *simulation)
 	members string
 	// views is the number of views that the case needs, wrongful that of live members that they may leave out.
-	views, wrongful int
+	views, wronglyExcluded int
 	// naivePasses marks cases in which the naive version needs no more views.
 	naivePasses bool
 	// appends is the number of appends, if proposers must lose races.
 	appends int
 }{
-	{"quiet", "abc", 0, func(world *world) { world.run(time.Minute) }, "a-0 b-0 c-0", 0, 0, true, 0},
-	{"two of three cannot hear each other", "abc", 0, func(world *world) {
-		world.link("a", "c", false)
-		world.run(time.Minute)
+	{"quiet", "abc", 0, func(simulation *simulation) { simulation.run(time.Minute) }, "a-0 b-0 c-0", 0, 0, true, 0},
+	{"two of three cannot hear each other", "abc", 0, func(simulation *simulation) {
+		simulation.setLink("a", "c", false)
+		simulation.run(time.Minute)
 	}, "a-0 b-0 c-0", 0, 0, false, 0},
-	{"two of five cannot hear each other, on and off", "abcde", 0, func(world *world) {
+	{"two of five cannot hear each other, on and off", "abcde", 0, func(simulation *simulation) {
 		for range 10 {
-			world.link("a", "c", false)
-			world.run(5 * time.Second)
-			world.link("a", "c", true)
-			world.run(5 * time.Second)
+			simulation.setLink("a", "c", false)
+			simulation.run(5 * time.Second)
+			simulation.setLink("a", "c", true)
+			simulation.run(5 * time.Second)
 		}
 	}, "a-0 b-0 c-0 d-0 e-0", 0, 0, false, 0},
-	{"instance silent, list lagging by 40 s", "abcd", 40 * time.Second, func(world *world) {
-		world.get("d").alive = false
-		world.run(time.Minute)
+	{"instance silent, list lagging by 40 s", "abcd", 40 * time.Second, func(simulation *simulation) {
+		simulation.current("d").alive = false
+		simulation.run(time.Minute)
 	}, "a-0 b-0 c-0", 1, 0, true, 0},
-	{"silent for less than the suspicion period", "abc", 0, func(world *world) {
+	{"silent for less than the suspicion period", "abc", 0, func(simulation *simulation) {
 		for range 10 {
-			world.link("a", "c", false)
-			world.link("b", "c", false)
-			world.run(1900 * time.Millisecond)
-			world.link("a", "c", true)
-			world.link("b", "c", true)
-			world.run(5 * time.Second)
+			simulation.setLink("a", "c", false)
+			simulation.setLink("b", "c", false)
+			simulation.run(1900 * time.Millisecond)
+			simulation.setLink("a", "c", true)
+			simulation.setLink("b", "c", true)
+			simulation.run(5 * time.Second)
 		}
 	}, "a-0 b-0 c-0", 0, 0, false, 0},
-	{"one cut off from all peers but not from the log", "abcd", 0, func(world *world) {
+	{"one cut off from all peers but not from the log", "abcd", 0, func(simulation *simulation) {
 		for _, peer := range []string{"b", "c", "d"} {
-			world.link("a", peer, false)
+			simulation.setLink("a", peer, false)
 		}
-		world.run(time.Minute)
+		simulation.run(time.Minute)
 	}, "b-0 c-0 d-0", 1, 1, false, 0},
-	{"failure domain cut off from the log", "abcd", 0, func(world *world) {
+	{"failure domain cut off from the log", "abcd", 0, func(simulation *simulation) {
 		for _, name := range []string{"a", "b", "c", "d"} {
-			world.get(name).logCut = true
+			simulation.current(name).logCut = true
 		}
-		world.get("d").alive = false
-		world.run(5 * time.Minute)
+		simulation.current("d").alive = false
+		simulation.run(5 * time.Minute)
 		for _, name := range []string{"a", "b", "c"} {
-			world.get(name).logCut = false
+			simulation.current(name).logCut = false
 		}
-		world.run(time.Minute)
+		simulation.run(time.Minute)
 	}, "a-0 b-0 c-0", 1, 0, true, 0},
-	{"rolling replacement of all, list lagging by 20 s", "abcdef", 20 * time.Second, func(world *world) {
+	{"rolling replacement of all, list lagging by 20 s", "abcdef", 20 * time.Second, func(simulation *simulation) {
 		for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
-			old := world.get(name)
+			old := simulation.current(name)
 			old.leaving = true
 			old.watcher.SetLeaving()
-			world.start(name)
-			world.run(20 * time.Second)
+			simulation.start(name)
+			simulation.run(20 * time.Second)
 			old.alive = false
-			world.run(25 * time.Second)
+			simulation.run(25 * time.Second)
 		}
 	}, "a-1 b-1 c-1 d-1 e-1 f-1", 12, 0, false, 0},
-	{"restart of all within a second, list lagging by 20 s", "abcdef", 20 * time.Second, func(world *world) {
+	{"restart of all within a second, list lagging by 20 s", "abcdef", 20 * time.Second, func(simulation *simulation) {
 		for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
-			world.get(name).alive = false
-			world.start(name)
-			world.run(45 * time.Second)
+			simulation.current(name).alive = false
+			simulation.start(name)
+			simulation.run(45 * time.Second)
 		}
 	}, "a-1 b-1 c-1 d-1 e-1 f-1", 12, 0, false, 0},
-	{"six join within two seconds", "ab", 0, func(world *world) {
+	{"six join within two seconds", "ab", 0, func(simulation *simulation) {
 		for _, name := range []string{"c", "d", "e", "f", "g", "h"} {
-			world.start(name)
-			world.run(300 * time.Millisecond)
+			simulation.start(name)
+			simulation.run(300 * time.Millisecond)
 		}
-		world.run(time.Minute)
+		simulation.run(time.Minute)
 	}, "a-0 b-0 c-0 d-0 e-0 f-0 g-0 h-0", 1, 0, false, 0},
-	{"candidate that only one member hears", "abcd", 0, func(world *world) {
+	{"candidate that only one member hears", "abcd", 0, func(simulation *simulation) {
 		for _, member := range []string{"b", "c", "d"} {
-			world.link("e", member, false)
+			simulation.setLink("e", member, false)
 		}
-		world.start("e")
-		world.run(time.Minute)
+		simulation.start("e")
+		simulation.run(time.Minute)
 	}, "a-0 b-0 c-0 d-0", 0, 0, false, 0},
-	{"majority silent, until the list drops them after 40 s", "abcde", 40 * time.Second, func(world *world) {
+	{"majority silent, until the list drops them after 40 s", "abcde", 40 * time.Second, func(simulation *simulation) {
 		for _, name := range []string{"c", "d", "e"} {
-			world.get(name).alive = false
+			simulation.current(name).alive = false
 		}
-		world.run(30 * time.Second)
-		if world.members() != "a-0 b-0 c-0 d-0 e-0" {
-			world.wrongful += 100
+		simulation.run(30 * time.Second)
+		if simulation.members() != "a-0 b-0 c-0 d-0 e-0" {
+			simulation.wronglyExcluded += 100
 		}
-		world.run(time.Minute)
+		simulation.run(time.Minute)
 	}, "a-0 b-0", 1, 0, false, 0},
-	{"two proposers on a log that takes 1.2 s", "abcd", 0, func(world *world) {
-		world.readDelay = 1200 * time.Millisecond
-		world.get("d").alive = false
-		world.run(time.Minute)
+	{"two proposers on a log that takes 1.2 s", "abcd", 0, func(simulation *simulation) {
+		simulation.readDelay = 1200 * time.Millisecond
+		simulation.current("d").alive = false
+		simulation.run(time.Minute)
 	}, "a-0 b-0 c-0", 1, 0, true, 3},
-	{"last but one dies", "ab", 0, func(world *world) {
-		world.get("b").alive = false
-		world.run(time.Minute)
+	{"last but one dies", "ab", 0, func(simulation *simulation) {
+		simulation.current("b").alive = false
+		simulation.run(time.Minute)
 	}, "a-0", 1, 0, true, 0},
 }
 
@@ -124,22 +124,22 @@
 func TestViews(t *testing.T) {
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			count := func(make_ func(Member, time.Time) proposer) (views, appends, wrongful int, members string) {
-				world := newWorld(make_, test.names, test.listLag)
-				views, appends = len(world.views), world.appends
-				test.run(world)
-				return len(world.views) - views, world.appends - appends, world.wrongful, world.members()
+			count := func(newProposer func(Member, time.Time) viewProposer) (views, appends, wronglyExcluded int, members string) {
+				simulation := newSimulation(newProposer, test.names, test.listLag)
+				views, appends = len(simulation.views), simulation.appends
+				test.run(simulation)
+				return len(simulation.views) - views, simulation.appends - appends, simulation.wronglyExcluded, simulation.members()
 			}
-			views, appends, wrongful, members := count(func(self Member, now time.Time) proposer { return New(self, now) })
+			views, appends, wronglyExcluded, members := count(func(self Member, now time.Time) viewProposer { return New(self, now) })
 			naiveViews, naiveAppends, naiveWrongful, _ := count(newNaive)
-			t.Logf("views %d (naive %d), appends %d (naive %d), live members left out %d (naive %d)", views, naiveViews, appends, naiveAppends, wrongful, naiveWrongful)
-			if views != test.views || wrongful != test.wrongful || members != test.members {
-				t.Errorf("got %d views, %d live members left out and members %s; want %d, %d and %s", views, wrongful, members, test.views, test.wrongful, test.members)
+			t.Logf("views %d (naive %d), appends %d (naive %d), live members left out %d (naive %d)", views, naiveViews, appends, naiveAppends, wronglyExcluded, naiveWrongful)
+			if views != test.views || wronglyExcluded != test.wronglyExcluded || members != test.members {
+				t.Errorf("got %d views, %d live members left out and members %s; want %d, %d and %s", views, wronglyExcluded, members, test.views, test.wronglyExcluded, test.members)
 			}
 			if appends != max(views, test.appends) {
 				t.Errorf("got %d appends for %d views, want %d", appends, views, max(views, test.appends))
 			}
-			if passes := naiveViews <= views && naiveWrongful <= wrongful; passes != test.naivePasses {
+			if passes := naiveViews <= views && naiveWrongful <= wronglyExcluded; passes != test.naivePasses {
 				t.Errorf("the naive version passes: got %t, want %t", passes, test.naivePasses)
 			}
 		})
