--- a/watcher/bench_test.go
+++ b/watcher/bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// BenchmarkSecond is one second of an instance: its own heartbeat, those of all peers, and the question for a view.
-// The bytes are JSON; the links between instances use CBOR, which needs no quotes around names of fixed fields.
+// BenchmarkSecond measures the work of one second: an instance's own heartbeat, those of all peers, and Propose. The
+// heartbeat is measured as JSON; the links between instances use CBOR, which needs no quotes around field names.
 func BenchmarkSecond(b *testing.B) {
 	for _, peers := range []int{3, 9, 27} {
 		for _, suspects := range []int{0, peers} {
--- a/watcher/member.go
+++ b/watcher/member.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Incarnation names one run of an instance, unique over all instances.
+// Incarnation identifies one run of an instance; it is unique among all instances.
 type Incarnation string
 
 // Member is one incarnation of an instance of the failure domain.
@@ -24,25 +24,26 @@
 	From Member `json:"from"`
 	// View is the number of the sender's view.
 	View int64 `json:"view"`
-	// Suspects are the incarnations that the sender cannot hear.
+	// Suspects are the incarnations that the sender suspects.
 	Suspects []Incarnation `json:"suspects,omitempty"`
 	// Leaving is set if the sender has begun a planned stop.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// View is the membership that the log has put in force.
+// View is a membership of the failure domain that was read from the log.
 type View struct {
 	// Number is the log offset of the view's record, or NoView.
 	Number  int64
 	Members []Member
-	// Departing are incarnations of the view before that leave by plan.
+	// Departing are the members of the previous view that leave in a planned stop.
 	Departing []Incarnation
 }
 
-// NoView is the number before the first view.
+// NoView is the view number before the first view.
 const NoView = -1
 
-// Proposal is the next view that an instance wants; the log decides whether it comes into force.
+// Proposal is the next view that an instance wants. It comes into force if its record is the first in the log that
+// follows Previous.
 type Proposal struct {
 	// Previous is the number of the view that the proposal replaces.
 	Previous int64
@@ -50,9 +51,9 @@
 	Keep []Member
 	// Add are the members that join.
 	Add []Member
-	// Depart are the members that leave by plan and still answer sync requests.
+	// Depart are the members that leave in a planned stop and still answer sync requests.
 	Depart []Member
-	// Exclude are the members that are suspected.
+	// Exclude are the members left out because they are suspected.
 	Exclude []Member
 }
 
@@ -60,22 +61,23 @@
 const (
 	// HeartbeatInterval is the time between two heartbeats of one sender.
 	HeartbeatInterval = time.Second
-	// SuspicionTimeout is the silence after which a peer is suspected: two heartbeats may be lost.
+	// SuspicionTimeout is the silence after which a peer is suspected; two heartbeats may be lost.
 	SuspicionTimeout = 3 * HeartbeatInterval
-	// isolatedTimeoutFactor is how much longer an instance waits that hears nobody: more often than not it is the one
-	// that is cut off.
+	// isolatedTimeoutFactor multiplies SuspicionTimeout for an instance that hears no other member, because in most
+	// cases it is the one that is cut off.
 	isolatedTimeoutFactor = 3
-	// batchingDelay lets further joining and leaving instances come into the same view: each view makes its new owners
-	// sync.
+	// batchingDelay is how long a proposal without exclusions waits, so that further joining and leaving instances enter
+	// the same view. Each view makes new owners of slices sync.
 	batchingDelay = 2 * time.Second
-	// proposerInterval spaces the proposers, so that the first one's view is read before the next one proposes. An append and
-	// its reading take a few hundred ms on a slow log.
+	// proposerInterval is the delay between the turns of proposers, so that the first one's view is read before the next
+	// one proposes. To append and read a record takes a few hundred ms on a slow log.
 	proposerInterval = 500 * time.Millisecond
-	// retryDelay is the time after which a proposal that no view answered is made again.
+	// retryDelay is the time after which a proposal is repeated if no new view has been read.
 	retryDelay = 2 * time.Second
-	// excludedRetention is how long an excluded incarnation that fell silent is remembered; it exceeds the list's lag of
-	// tens of seconds, after which the list could offer it as a candidate again.
+	// excludedRetention is how long a silent excluded incarnation is remembered. It exceeds the lag of the instance list,
+	// which is tens of seconds: the list could otherwise offer the incarnation as a candidate again.
 	excludedRetention = 10 * time.Minute
-	// maxPeers bounds the incarnations that are remembered, above the members and the instance list of a failure domain.
+	// maxPeers bounds the incarnations that are remembered; it exceeds the members and the instance list of a failure
+	// domain.
 	maxPeers = 4096
 )
--- a/watcher/propose.go
+++ b/watcher/propose.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Propose returns the next view that this instance should append to the log at now, and false if none is due. It must
-// be asked again for each append: a view that was read meanwhile makes the earlier answer void.
+// Propose returns the next view that this instance should append to the log at now, and whether one is due. Call it
+// again for each append, because a view that was read meanwhile invalidates the earlier proposal.
 func (watcher *Watcher) Propose(now time.Time) (Proposal, bool) {
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
@@ -34,8 +34,9 @@
 	return len(proposal.Add)+len(proposal.Depart)+len(proposal.Exclude) == 0
 }
 
-// delay is how long a change must be wanted before this instance proposes it: a turn by rendezvous hashing over the
-// members that can be heard and, for planned changes, time for others to join in. An exclusion has waited already.
+// delay returns how long a change must be wanted before this instance proposes it: its turn, in a hashed order of the
+// members that are neither suspected nor leaving, and batchingDelay for a proposal without exclusions. An exclusion has
+// already waited for SuspicionTimeout.
 func (watcher *Watcher) delay(proposal Proposal, now time.Time) time.Duration {
 	candidates := []Incarnation{watcher.self.Incarnation}
 	others := watcher.view.Members
@@ -52,7 +53,7 @@
 	})
 	delay := time.Duration(slices.Index(candidates, watcher.self.Incarnation)) * proposerInterval
 	if watcher.leaving {
-		// A leaving instance proposes last, but does propose: it may be the only one that can.
+		// A leaving instance proposes last. It does propose, because it may be the only one that can.
 		delay = time.Duration(len(candidates)) * proposerInterval
 	}
 	if len(proposal.Exclude) == 0 {
@@ -61,18 +62,20 @@
 	return delay
 }
 
+// rank returns the sort key of a proposer; it differs from view to view.
 func (watcher *Watcher) rank(incarnation Incarnation) string {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%d\x00%s", watcher.view.Number, incarnation))
 	return string(sum[:])
 }
 
-// desiredView returns the view that is wanted now, whoever proposes it.
+// desiredView returns the view that is wanted now, whichever instance proposes it; it may change nothing.
 func (watcher *Watcher) desiredView(now time.Time) Proposal {
 	if watcher.view.Number == NoView {
 		return watcher.desiredFirstView(now)
 	}
 	if !contains(watcher.view.Members, watcher.self.Incarnation) {
-		// A member adds candidates, and never a candidate itself, because only members know each other's suspicions.
+		// Only members add candidates; a candidate does not propose itself, because only members know each other's
+		// suspicions.
 		return Proposal{}
 	}
 	proposal := Proposal{Previous: watcher.view.Number, Exclude: watcher.exclusions(now)}
@@ -87,13 +90,14 @@
 	}
 	proposal.Add = watcher.additions(now)
 	if len(proposal.Keep)+len(proposal.Add) == 0 {
-		// The last member stays in the view until it stops: an empty view could never be replaced.
+		// The last member stays in the view until it stops, because an empty view could never be replaced.
 		return Proposal{}
 	}
 	return proposal
 }
 
-// desiredFirstView waits for the list and one suspicion period, so that the first view holds everybody who is there.
+// desiredFirstView returns the first view. It waits for the instance list and SuspicionTimeout, so that the view holds
+// every running instance.
 func (watcher *Watcher) desiredFirstView(now time.Time) Proposal {
 	if !watcher.listReceived || watcher.leaving || now.Sub(watcher.started) < SuspicionTimeout {
 		return Proposal{}
@@ -101,6 +105,7 @@
 	return Proposal{Previous: NoView, Add: sortMembers(append(watcher.additions(now), watcher.self))}
 }
 
+// isLeaving reports whether the incarnation, this one or a peer, has begun a planned stop.
 func (watcher *Watcher) isLeaving(incarnation Incarnation) bool {
 	if incarnation == watcher.self.Incarnation {
 		return watcher.leaving
@@ -109,8 +114,8 @@
 	return peer != nil && peer.leaving
 }
 
-// additions returns the listed instances that this one hears, unless most members that it hears do not: they could not
-// sync with it.
+// additions returns the listed instances that this one hears, except those that a majority of the members that it hears
+// suspect: these members could not sync with them.
 func (watcher *Watcher) additions(now time.Time) []Member {
 	var added []Member
 	for incarnation, peer := range watcher.peers {
@@ -119,7 +124,7 @@
 			continue
 		}
 		if now.Sub(peer.reachableSince) < SuspicionTimeout {
-			// The other members need this long to notice that they cannot hear it.
+			// The other members need this long to suspect an instance that they cannot hear.
 			continue
 		}
 		if votes, voters := watcher.votes(incarnation, now); 2*votes <= voters {
@@ -129,7 +134,8 @@
 	return sortMembers(added)
 }
 
-// votes returns how many of the other members that can be heard suspect the incarnation.
+// votes counts the other members that this instance does not suspect (voters), and those of them that suspect the
+// incarnation (votes).
 func (watcher *Watcher) votes(incarnation Incarnation, now time.Time) (votes, voters int) {
 	for _, member := range watcher.view.Members {
 		peer := watcher.peers[member.Incarnation]
@@ -144,8 +150,8 @@
 	return votes, voters
 }
 
-// exclusions returns the members to leave out: those whose suspicion a majority shares, but never a majority of the
-// view, unless the list no longer has them.
+// exclusions returns the members to leave out: the suspected ones that a majority of the heard members suspects as well.
+// If those of them that the instance list still has are more than half of the view, only the others are left out.
 func (watcher *Watcher) exclusions(now time.Time) []Member {
 	var excluded []Member
 	present := 0
@@ -165,7 +171,8 @@
 	return excluded
 }
 
-// majoritySuspects reports whether the suspicion of peer suffices to leave it out.
+// majoritySuspects reports whether a majority of the heard members suspects the peer. Without other members to ask, it
+// reports whether the peer has been silent for isolatedTimeoutFactor times SuspicionTimeout.
 func (watcher *Watcher) majoritySuspects(suspect *peer, now time.Time) bool {
 	votes, voters := watcher.votes(suspect.member.Incarnation, now)
 	if voters == 0 {
--- a/watcher/simulation_test.go
+++ b/watcher/simulation_test.go
@@ -9,7 +9,7 @@
 
 const tick = 100 * time.Millisecond
 
-// viewProposer is what the cases run: the watcher, or the naive version that they must expose.
+// viewProposer is implemented by the watcher and by the naive version, which the cases must tell apart.
 type viewProposer interface {
 	SetInstanceList([]ListedInstance, time.Time)
 	SetView(View, time.Time)
@@ -19,7 +19,7 @@
 	SetLeaving()
 }
 
-// naive excludes whom it cannot hear and adds whom it can, at once.
+// naive excludes members that it suspects and adds instances that it hears, at once and alone.
 type naive struct{ Watcher }
 
 func newNaive(self Member, now time.Time) viewProposer { return &naive{Watcher: *New(self, now)} }
@@ -63,7 +63,7 @@
 	at   time.Time
 }
 
-// simulation is one failure domain with its log, its list, and links that can be cut.
+// simulation is one failure domain in virtual time, with its log, its instance list, and links that can be cut.
 type simulation struct {
 	now         time.Time
 	newProposer func(Member, time.Time) viewProposer
@@ -75,7 +75,7 @@
 	wronglyExcluded int
 	lists           [][]ListedInstance
 	listLag         time.Duration
-	// readDelay is the time from an append to its reading.
+	// readDelay is the time from an append until the record can be read.
 	readDelay time.Duration
 }
 
@@ -84,7 +84,7 @@
 	for _, name := range strings.Split(names, "") {
 		simulation.start(name)
 	}
-	// The list knows the first instances from the beginning.
+	// The instance list holds the first instances from the beginning.
 	for range int(listLag/tick) + 1 {
 		simulation.lists = append(simulation.lists, simulation.list())
 	}
@@ -105,7 +105,7 @@
 	})
 }
 
-// current returns the present incarnation of an instance.
+// current returns the latest incarnation of an instance.
 func (simulation *simulation) current(name string) *instance {
 	var found *instance
 	for _, instance := range simulation.instances {
@@ -177,7 +177,7 @@
 	}
 }
 
-// append applies the log's rule: the first record that names the present view as its previous one is the next view.
+// append applies the rule of the log: the first record that names the current view as its previous one is the next view.
 func (simulation *simulation) append(proposal Proposal) {
 	simulation.appends++
 	present := int64(NoView)
--- a/watcher/watcher.go
+++ b/watcher/watcher.go
@@ -10,16 +10,18 @@
 // peer is what the watcher knows about another incarnation.
 type peer struct {
 	member Member
-	// reachableSince is when the peer could first be heard, as a member or as a listed instance.
+	// reachableSince is when the peer became known as a member, as a listed instance or by a heartbeat.
 	reachableSince time.Time
 	lastHeard      time.Time
-	// suspects is the list of the last heartbeat.
+	// suspects are the incarnations that the peer's last heartbeat named.
 	suspects map[Incarnation]bool
-	// syncOverdueSince is since when the peer owes the answer to a sync request of this view, heartbeats or not.
+	// syncOverdueSince is since when the answer to a sync request of this view is overdue, whether or not heartbeats
+	// arrive, or zero.
 	syncOverdueSince time.Time
 	listed           bool
 	leaving          bool
-	// excluded is set for good once a view has left the peer out: whoever excluded it no longer counts on its state.
+	// excluded is set for good once a view has left the peer out, because the members of that view no longer rely on its
+	// state.
 	excluded bool
 }
 
@@ -35,7 +37,7 @@
 	return !peer.syncOverdueSince.IsZero() || peer.silence(now) >= SuspicionTimeout
 }
 
-// Watcher follows one failure domain from the point of view of one instance.
+// Watcher tracks the membership of one failure domain as one instance sees it.
 type Watcher struct {
 	self    Member
 	started time.Time
@@ -43,30 +45,30 @@
 	mu    sync.Mutex
 	view  View
 	peers map[Incarnation]*peer
-	// listReceived is set once the platform has given a list.
+	// listReceived is set once an instance list has been received.
 	listReceived bool
 	leaving      bool
 	excluded     bool
-	// wantedSince is when a change was first wanted in the present view, or zero.
+	// wantedSince is when a change was first wanted in the current view, or zero.
 	wantedSince time.Time
-	// proposedAt is when Propose last returned a proposal for the present view, or zero.
+	// proposedAt is when Propose last returned a proposal for the current view, or zero.
 	proposedAt time.Time
 }
 
-// New returns a watcher for the instance self without a view.
+// New returns a watcher without a view for the instance self.
 func New(self Member, now time.Time) *Watcher {
 	return &Watcher{self: self, started: now, view: View{Number: NoView}, peers: make(map[Incarnation]*peer)}
 }
 
-// SetLeaving notes that this instance has begun a planned stop.
+// SetLeaving records that this instance has begun a planned stop.
 func (watcher *Watcher) SetLeaving() {
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
 	watcher.leaving = true
 }
 
-// SetInstanceList takes the platform's list of the failure domain. The list lags, so that it neither clears nor raises a
-// suspicion.
+// SetInstanceList records the platform's instance list of the failure domain. The list lags, so it neither raises nor
+// clears a suspicion.
 func (watcher *Watcher) SetInstanceList(list []ListedInstance, now time.Time) {
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
@@ -87,7 +89,7 @@
 	watcher.removeStalePeers(now)
 }
 
-// SetView takes a view that was read from the log; a lower number than the present one is ignored.
+// SetView records a view that was read from the log. A view with a number that is not above the current one is ignored.
 func (watcher *Watcher) SetView(view View, now time.Time) {
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
@@ -111,7 +113,7 @@
 	watcher.wantedSince, watcher.proposedAt = time.Time{}, time.Time{}
 }
 
-// ReceiveHeartbeat takes a heartbeat that arrived at now.
+// ReceiveHeartbeat records a heartbeat that arrived at now.
 func (watcher *Watcher) ReceiveHeartbeat(heartbeat Heartbeat, now time.Time) {
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
@@ -132,7 +134,8 @@
 	}
 }
 
-// SetSyncAnswered notes at now whether a member has answered the sync requests of the present view in time.
+// SetSyncAnswered records whether a member has answered the sync requests of the current view in time. A member that has
+// not is suspected until it has, or until the next view.
 func (watcher *Watcher) SetSyncAnswered(incarnation Incarnation, answered bool, now time.Time) {
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
@@ -146,7 +149,7 @@
 	}
 }
 
-// Excluded reports whether a view has left this incarnation out; it can join again only as a new incarnation.
+// Excluded reports whether a view has left this incarnation out. The instance can join again only as a new incarnation.
 func (watcher *Watcher) Excluded() bool {
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
@@ -160,14 +163,14 @@
 	return Heartbeat{From: watcher.self, View: watcher.view.Number, Suspects: watcher.suspects(now), Leaving: watcher.leaving}
 }
 
-// Suspects returns the members and candidates that this instance cannot hear, sorted.
+// Suspects returns the members and candidates that this instance suspects, sorted.
 func (watcher *Watcher) Suspects(now time.Time) []Incarnation {
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
 	return watcher.suspects(now)
 }
 
-// Peers returns the incarnations to keep a link with, sorted by name: members and listed candidates.
+// Peers returns the incarnations to keep a link with, members and listed instances, sorted by name.
 func (watcher *Watcher) Peers() []Member {
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
@@ -192,7 +195,8 @@
 	return suspects
 }
 
-// peer returns the entry of member, made if there is room.
+// peer returns the entry of a member, which it adds if there is room. It returns nil for this instance or if there is no
+// room.
 func (watcher *Watcher) peer(member Member, now time.Time) *peer {
 	if member.Incarnation == watcher.self.Incarnation {
 		return nil
@@ -205,7 +209,7 @@
 	return found
 }
 
-// removeStalePeers drops the incarnations that are gone: neither member, nor listed, nor heard.
+// removeStalePeers drops the incarnations that are neither members, nor listed, nor recently heard.
 func (watcher *Watcher) removeStalePeers(now time.Time) {
 	maps.DeleteFunc(watcher.peers, func(incarnation Incarnation, peer *peer) bool {
 		memory := SuspicionTimeout
--- a/watcher/watcher_test.go
+++ b/watcher/watcher_test.go
@@ -8,18 +8,18 @@
 	"github.com/matryer/is"
 )
 
-// cases run after a first view of all named instances; views and appends count what comes after it.
+// cases start after a first view of all named instances; views and appends count only what follows that view.
 var cases = []struct {
 	name    string
 	names   string
 	listLag time.Duration
 	run     func(simulation *simulation)
 	members string
-	// views is the number of views that the case needs, wrongful that of live members that they may leave out.
+	// views is the number of views that the case needs, wronglyExcluded that of live members that they may leave out.
 	views, wronglyExcluded int
-	// naivePasses marks cases in which the naive version needs no more views.
+	// naivePasses marks cases in which the naive version needs no more views and leaves out no more live members.
 	naivePasses bool
-	// appends is the number of appends, if proposers must lose races.
+	// appends is the number of appends if it exceeds that of views, because some proposals must lose a race.
 	appends int
 }{
 	{"quiet", "abc", 0, func(simulation *simulation) { simulation.run(time.Minute) }, "a-0 b-0 c-0", 0, 0, true, 0},
@@ -119,8 +119,8 @@
 	}, "a-0", 1, 0, true, 0},
 }
 
-// Guards against needless views, each of which makes owners sync, and against views that leave out live members or keep
-// dead ones.
+// TestViews guards against needless views, each of which makes owners sync, and against views that leave out live members
+// or keep dead ones. In each case the naive version must pass or fail as stated.
 func TestViews(t *testing.T) {
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -146,7 +146,7 @@
 	}
 }
 
-// Guards against a suspicion that outlives the silence, or an exclusion that does not last.
+// TestSuspicion guards against a suspicion that outlives the silence, and against an exclusion that does not last.
 func TestSuspicion(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
@@ -157,10 +157,10 @@
 	now = now.Add(SuspicionTimeout)
 	is.Equal(watcher.Suspects(now), []Incarnation{"b-0", "c-0"})
 	watcher.ReceiveHeartbeat(Heartbeat{From: b, Suspects: []Incarnation{"c-0"}}, now)
-	is.Equal(watcher.Suspects(now), []Incarnation{"c-0"}) // the next heartbeat revokes a suspicion
+	is.Equal(watcher.Suspects(now), []Incarnation{"c-0"}) // the next heartbeat ends a suspicion
 	watcher.SetSyncAnswered("b-0", false, now)
 	watcher.ReceiveHeartbeat(Heartbeat{From: b}, now)
-	is.Equal(watcher.Suspects(now), []Incarnation{"b-0", "c-0"}) // a heartbeat does not stand for an answer
+	is.Equal(watcher.Suspects(now), []Incarnation{"b-0", "c-0"}) // a heartbeat does not replace the answer to a sync request
 	watcher.SetSyncAnswered("b-0", true, now)
 	is.Equal(watcher.Suspects(now), []Incarnation{"c-0"})
 	watcher.SetView(View{Number: 9, Members: []Member{a, b}}, now)
@@ -178,7 +178,8 @@
 	is.True(watcher.Excluded())
 }
 
-// Guards against a table of peers that grows without bound under forged or endless incarnations.
+// TestPeersAreBounded guards against a table of peers that grows without bound if ever more incarnations appear, forged or
+// real.
 func TestPeersAreBounded(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
