--- a/checker/checker.go
+++ b/checker/checker.go
@@ -8,33 +8,43 @@
 	"time"
 )
 
-// Guarantee is the name of a promise in the table of the design page.
+// Guarantee is the name of a guarantee in the table of promises on the design page.
 type Guarantee string
 
-// Promises, in the order of the table.
+// Guarantees, in the order of the table.
 const (
-	SingleStart    Guarantee = "single-start"
-	WholeAnswer    Guarantee = "whole-answer"
-	OwnAnswer      Guarantee = "own-answer"
-	TrueRefusal    Guarantee = "true-refusal"
-	AtMostOnce     Guarantee = "at-most-once"
+	// SingleStart means that each task of a job starts once, as long as the key is protected.
+	SingleStart Guarantee = "single-start"
+	// WholeAnswer means that a complete answer carries the results of all tasks of the job, each of which has run, and
+	// that a failed answer carries none.
+	WholeAnswer Guarantee = "whole-answer"
+	// OwnAnswer means that each submission gets one answer, and that of its own job.
+	OwnAnswer Guarantee = "own-answer"
+	// TrueRefusal means that what an answer says not to run has not run and does not run.
+	TrueRefusal Guarantee = "true-refusal"
+	// AtMostOnce means that a task of an unrepeatable job never starts twice.
+	AtMostOnce Guarantee = "at-most-once"
+	// LeavingDrained means that a leaving target gets no new work after Bounds.Drain.
 	LeavingDrained Guarantee = "leaving-drained"
-	GracefulStop   Guarantee = "graceful-stop"
-	TimelyBundle   Guarantee = "bundle-in-force"
+	// GracefulStop means that a planned stop of an instance drops no accepted request.
+	GracefulStop Guarantee = "graceful-stop"
+	// TimelyBundle means that an accepted bundle is in force at every reachable instance after Bounds.BundleDelay, and
+	// that no instance goes back to an earlier one.
+	TimelyBundle Guarantee = "bundle-in-force"
 )
 
-// Guarantees returns every promise, in the order of the table.
+// Guarantees returns every guarantee, in the order of the table.
 func Guarantees() []Guarantee {
 	return []Guarantee{SingleStart, WholeAnswer, OwnAnswer, TrueRefusal, AtMostOnce, LeavingDrained, GracefulStop, TimelyBundle}
 }
 
-// Bounds are the times that the promises name.
+// Bounds are the time limits of the guarantees.
 type Bounds struct {
-	// Retention is how long after a job's end its plain key is still protected.
+	// Retention is how long a plain key is protected after its job has ended.
 	Retention time.Duration
-	// Drain is how long after the first sign of leaving a target may still receive new work.
+	// Drain is how long a target may still receive new work after the first sign that it leaves.
 	Drain time.Duration
-	// BundleDelay is how long after its acceptance a bundle may not yet be in force at a reachable instance.
+	// BundleDelay is how long after its acceptance a bundle need not yet be in force at a reachable instance.
 	BundleDelay time.Duration
 }
 
@@ -43,23 +53,23 @@
 	return Bounds{Retention: 10 * time.Minute, Drain: 5 * time.Second, BundleDelay: 10 * time.Second}
 }
 
-// Violation is one broken promise.
+// Violation is one violation of a guarantee.
 type Violation struct {
 	guarantee Guarantee
 	subject   string
 	events    []Event
 }
 
-// Guarantee returns the promise that was broken.
+// Guarantee returns the guarantee that was violated.
 func (violation Violation) Guarantee() Guarantee { return violation.guarantee }
 
-// Subject returns the key of the job, target, instance or bundle concerned.
+// Subject returns the key of the job, or the name of the target or instance, that the violation concerns.
 func (violation Violation) Subject() string { return violation.subject }
 
-// Events returns the events that contradict the promise, in order.
+// Events returns the events that contradict the guarantee, in order.
 func (violation Violation) Events() []Event { return violation.events }
 
-// Check returns every violation in a history; events are ordered by time, and those of one time by position.
+// Check returns every violation in a history. Events are ordered by time; those of the same time keep their order.
 func Check(history []Event, bounds Bounds) []Violation {
 	ordered := slices.Clone(history)
 	slices.SortStableFunc(ordered, func(a, b Event) int { return a.When().Compare(b.When()) })
@@ -73,15 +83,15 @@
 	return checker.violations
 }
 
-// checker indexes a history.
+// checker indexes a history and collects the violations in it.
 type checker struct {
 	history     []Event
 	bounds      Bounds
 	submissions map[int64]Submitted
 	byKey       map[string][]Submitted
 	started     map[string][]TaskStarted
-	// settledAt holds, for each key, when it was settled; more than once only for a plain key that was
-	// submitted again after its retention.
+	// settledAt holds, for each key, when its job ended or was cancelled. A plain key that was submitted again after
+	// its retention has several times.
 	settledAt  map[string][]time.Time
 	refusedAt  map[int64]Refused
 	violations []Violation
@@ -111,7 +121,7 @@
 	return checker
 }
 
-// decidedAt returns the time of a decision, or of its receipt if that is all that is known.
+// decidedAt returns the time of a decision, or of its receipt if the time of the decision is unknown.
 func decidedAt(decided, received time.Time) time.Time {
 	if decided.IsZero() {
 		return received
@@ -119,7 +129,8 @@
 	return decided
 }
 
-// recordSettlement notes the end or cancellation of a job. What follows within the retention is a replay of it.
+// recordSettlement records the end or cancellation of a job. One that follows within the retention repeats the same
+// answer and does not extend the protection.
 func (checker *checker) recordSettlement(key string, at time.Time) {
 	earlier := checker.settledAt[key]
 	if len(earlier) == 0 || at.After(earlier[len(earlier)-1].Add(checker.bounds.Retention)) {
@@ -131,8 +142,9 @@
 	checker.violations = append(checker.violations, Violation{guarantee: guarantee, subject: subject, events: events})
 }
 
-// expired says that a plain key's record at an earlier time no longer binds it at a later one: it was settled
-// in between, or before, and the retention has passed since.
+// expired reports whether the protection of a plain key from an earlier time has ended at a later one: its job was settled
+// at or after the earlier time, and the retention has passed since then. Keys that begin with ~ are protected
+// for good.
 func (checker *checker) expired(key string, earlier, later time.Time) bool {
 	if strings.HasPrefix(key, "~") {
 		return false
@@ -142,7 +154,7 @@
 	})
 }
 
-// checkStarts judges single-start and at-most-once.
+// checkStarts checks SingleStart and AtMostOnce.
 func (checker *checker) checkStarts() {
 	for _, key := range slices.Sorted(maps.Keys(checker.started)) {
 		starts := checker.started[key]
@@ -169,7 +181,7 @@
 	return slices.ContainsFunc(checker.byKey[key], func(submitted Submitted) bool { return submitted.Unrepeatable })
 }
 
-// checkAnswers judges whole-answer and own-answer.
+// checkAnswers checks WholeAnswer and OwnAnswer.
 func (checker *checker) checkAnswers() {
 	answered := map[int64]Event{}
 	for _, event := range checker.history {
@@ -195,7 +207,7 @@
 	}
 }
 
-// answeredSubmission returns the submission that the event answers, if it is an answer.
+// answeredSubmission returns the submission that the event answers, and whether the event is an answer.
 func answeredSubmission(event Event) (int64, bool) {
 	switch event := event.(type) {
 	case CompleteAnswer:
@@ -211,7 +223,7 @@
 	}
 }
 
-// checkCompleteAnswer judges an answer that claims to be complete.
+// checkCompleteAnswer checks that a complete answer belongs to the submission and covers all tasks, each of which ran.
 func (checker *checker) checkCompleteAnswer(submitted Submitted, answer CompleteAnswer) {
 	if answer.Key != submitted.Key || answer.Digest != submitted.Digest {
 		checker.report(OwnAnswer, submitted.Key, submitted, answer)
@@ -232,7 +244,7 @@
 	}
 }
 
-// checkRefusals judges true-refusal.
+// checkRefusals checks TrueRefusal.
 func (checker *checker) checkRefusals() {
 	for _, event := range checker.history {
 		switch event := event.(type) {
@@ -251,7 +263,8 @@
 	}
 }
 
-// checkCancellation judges one cancellation: it denies every start, before and after it.
+// checkCancellation checks one cancellation: it contradicts every start of the job before or after it for which the key is
+// still protected.
 func (checker *checker) checkCancellation(event Cancelled) {
 	decided := decidedAt(event.Decided, event.Time)
 	for _, start := range checker.started[event.Key] {
@@ -266,9 +279,9 @@
 	}
 }
 
-// checkRefusal judges one refusal against every start of the same job. A start before the decision contradicts
-// it. A later start does so unless a submission that was not refused asked for it: a caller that resubmits
-// before it reads the refusal has asked for that start itself.
+// checkRefusal checks one refusal against every start of the same job. A start before the decision contradicts it. A
+// later start does so unless a submission that had not been refused asked for it, because a caller that resubmits before
+// it receives the refusal asks for that start itself.
 func (checker *checker) checkRefusal(refused Refused) {
 	submitted := checker.submissions[refused.Submission]
 	decided := decidedAt(refused.Decided, refused.Time)
@@ -283,7 +296,7 @@
 	}
 }
 
-// hasOpenSubmission says that a submission made before the start had not been refused before it.
+// hasOpenSubmission reports whether some submission made before the start had not been refused before it.
 func (checker *checker) hasOpenSubmission(start TaskStarted) bool {
 	return slices.ContainsFunc(checker.byKey[start.Key], func(submitted Submitted) bool {
 		refused, found := checker.refusedAt[submitted.Submission]
@@ -291,7 +304,7 @@
 	})
 }
 
-// checkTargets judges leaving-drained.
+// checkTargets checks LeavingDrained.
 func (checker *checker) checkTargets() {
 	leaving := map[string]TargetLeaving{}
 	for _, event := range checker.history {
@@ -310,7 +323,7 @@
 	}
 }
 
-// checkStops judges graceful-stop.
+// checkStops checks GracefulStop.
 func (checker *checker) checkStops() {
 	planned := map[string]StopPlanned{}
 	for _, event := range checker.history {
@@ -325,7 +338,7 @@
 	}
 }
 
-// checkBundles judges bundle-in-force.
+// checkBundles checks TimelyBundle.
 func (checker *checker) checkBundles() {
 	var accepted []BundleAccepted
 	served := map[string]BundleInForce{}
@@ -351,7 +364,7 @@
 	}
 }
 
-// checkBundleDelay compares a served bundle with the newest that must be in force at a reachable instance.
+// checkBundleDelay compares a served bundle with the newest one that must be in force by then at a reachable instance.
 func (checker *checker) checkBundleDelay(accepted []BundleAccepted, since time.Time, served BundleInForce) {
 	due := slices.DeleteFunc(slices.Clone(accepted), func(bundle BundleAccepted) bool {
 		from := bundle.Time
--- a/checker/checker_test.go
+++ b/checker/checker_test.go
@@ -21,10 +21,10 @@
 	return checker.TaskStarted{At: at(seconds), Key: key, Digest: "x", Task: task, Instance: "i", Target: "t"}
 }
 
-// TestJudge guards against a checker that overlooks a broken promise, or reports a kept one.
-func TestJudge(t *testing.T) {
-	order := submitted(0, 1, "~k")
-	order.Unrepeatable = true
+// TestCheck guards against a checker that misses a violation or reports one where there is none.
+func TestCheck(t *testing.T) {
+	unrepeatable := submitted(0, 1, "~k")
+	unrepeatable.Unrepeatable = true
 	day := float64(24 * 3600)
 	for _, test := range []struct {
 		name    string
@@ -33,7 +33,7 @@
 	}{
 		{"one start", []checker.Event{submitted(0, 1, "k"), started(1, "k", "a"), started(1, "k", "b")}, nil},
 		{"two starts", []checker.Event{submitted(0, 1, "k"), started(1, "k", "a"), started(2, "k", "a")}, []checker.Guarantee{checker.SingleStart}},
-		{"two starts of an order", []checker.Event{order, started(1, "~k", "a"), started(day, "~k", "a")}, []checker.Guarantee{checker.AtMostOnce, checker.SingleStart}},
+		{"two starts of an unrepeatable job", []checker.Event{unrepeatable, started(1, "~k", "a"), started(day, "~k", "a")}, []checker.Guarantee{checker.AtMostOnce, checker.SingleStart}},
 		{"plain key after its retention", []checker.Event{submitted(0, 1, "k"), started(1, "k", "a"), checker.JobEnded{At: at(2), Key: "k"}, started(700, "k", "a")}, nil},
 		{"plain key within its retention", []checker.Event{submitted(0, 1, "k"), started(1, "k", "a"), checker.JobEnded{At: at(2), Key: "k"}, started(500, "k", "a")}, []checker.Guarantee{checker.SingleStart}},
 		{"partial answer", []checker.Event{submitted(0, 1, "k"), started(1, "k", "a"), checker.CompleteAnswer{At: at(2), Submission: 1, Key: "k", Digest: "x", Tasks: []string{"a"}}}, []checker.Guarantee{checker.WholeAnswer}},
--- a/checker/doc.go
+++ b/checker/doc.go
@@ -1,3 +1,4 @@
-// Package checker reads a history of submissions, starts, answers and bundles
-// and judges each promise of the design page by its name.
+// Package checker verifies the guarantees that the design page promises. It reads
+// a history of submissions, starts, answers, stops and bundles and reports each
+// violation under the name of the guarantee.
 package checker
--- a/checker/event.go
+++ b/checker/event.go
@@ -14,10 +14,10 @@
 // When returns the time of the event.
 func (at At) When() time.Time { return at.Time }
 
-// Submitted is a request by a caller.
+// Submitted is a submission of a job by a caller.
 type Submitted struct {
 	At
-	// Submission is unique in the history; a resubmission of a job has its own.
+	// Submission is unique in the history; a resubmission of the same job has another one.
 	Submission   int64
 	Key          string
 	Digest       string
@@ -35,7 +35,7 @@
 	Target   string
 }
 
-// CompleteAnswer is the receipt by the caller of a complete answer with the results of Tasks.
+// CompleteAnswer is the receipt of a complete answer, with the results of Tasks, by the caller.
 type CompleteAnswer struct {
 	At
 	Submission int64
@@ -45,8 +45,8 @@
 	Tasks  []string
 }
 
-// FailedAnswer is the receipt by the caller of a failed answer; NotStarted holds the tasks whose fate is
-// said to be not-started, Results the tasks for which it carries results.
+// FailedAnswer is the receipt of a failed answer by the caller. NotStarted holds the tasks that the answer says have not
+// started, Results those for which it carries results.
 type FailedAnswer struct {
 	At
 	Submission int64
@@ -54,41 +54,41 @@
 	Results    []string
 }
 
-// Refused is the receipt by the caller of an answer that says "not run".
+// Refused is the receipt of a refusal by the caller: the answer says that the job has not run.
 type Refused struct {
 	At
 	Submission int64
-	// Decided is the time at which the instance decided to refuse; a zero time stands for the receipt.
+	// Decided is the time at which the instance decided to refuse; if zero, the time of the receipt is used.
 	Decided time.Time
 }
 
-// Cancelled is the receipt of an answer that says that the job was cancelled and never runs.
+// Cancelled is the receipt of an answer which says that the job was cancelled and never runs.
 type Cancelled struct {
 	At
 	Key string
-	// Decided is the time at which the instance knew it; a zero time stands for the receipt.
+	// Decided is the time at which the instance decided the cancellation; if zero, the time of the receipt is used.
 	Decided time.Time
 }
 
-// JobEnded is the end of a job's last task at its target; the retention of a plain key counts from here.
+// JobEnded is the end of a job's last task at its target; the retention of a plain key counts from it.
 type JobEnded struct {
 	At
 	Key string
 }
 
-// UnknownAnswer is the receipt by the caller of an answer that makes no claim, or the loss of its request.
+// UnknownAnswer is the receipt of an answer that does not say whether the job ran, or the loss of the caller's request.
 type UnknownAnswer struct {
 	At
 	Submission int64
 }
 
-// TargetLeaving is the first sign, from any source, that a target leaves; TargetBack is its return.
+// TargetLeaving is the first sign, from any source, that a target leaves.
 type TargetLeaving struct {
 	At
 	Target string
 }
 
-// TargetReturned is the end of a target's leaving.
+// TargetReturned means that a leaving target has returned to normal operation.
 type TargetReturned struct {
 	At
 	Target string
@@ -100,33 +100,33 @@
 	Instance string
 }
 
-// RequestDropped is a request that an instance had accepted and whose connection ended without an answer.
+// RequestDropped is an accepted request whose connection ended without an answer.
 type RequestDropped struct {
 	At
 	Instance   string
 	Submission int64
 }
 
-// BundleAccepted is the publication of a bundle that won its place in the log.
+// BundleAccepted is the publication of a bundle that the log has accepted as the next one.
 type BundleAccepted struct {
 	At
 	Version int64
 }
 
-// BundleInForce is an observation of the bundle that an instance serves with.
+// BundleInForce is an observation of the bundle that an instance uses.
 type BundleInForce struct {
 	At
 	Instance string
 	Version  int64
 }
 
-// InstanceUnreachable says that an instance can reach neither the log nor peers, until Reachable.
+// InstanceUnreachable means that an instance can reach neither the log nor peers until InstanceReachable.
 type InstanceUnreachable struct {
 	At
 	Instance string
 }
 
-// InstanceReachable is the end of Unreachable; an instance's first event may be a Reachable.
+// InstanceReachable is the end of InstanceUnreachable; it may also be an instance's first event.
 type InstanceReachable struct {
 	At
 	Instance string
