--- a/keeper/adopt.go
+++ b/keeper/adopt.go
@@ -155,8 +155,8 @@
 }
 
 // expireRecord drops the settled record of an issued key below the expiry floor, and sets the expiry time of that of a
-// plain key. A record that has not ended stays while its holder may still start the job, however long the holder has
-// been silent: its expiry time is set only once every live incarnation has adopted the current view (see
+// plain key. The record of a job that has not ended stays while its holder may still start the job, however long the
+// holder has been silent: its expiry time is set only once every live incarnation has adopted the current view (see
 // SetAdoptedByAll).
 func (shard *shard) expireRecord(text string, stored *record, now time.Time) {
 	if !shard.isSettled(stored) {
--- a/keeper/finish.go
+++ b/keeper/finish.go
@@ -66,9 +66,8 @@
 	}
 }
 
-// outbox batches the outcomes of jobs for the members that hold copies of their records. A copy whose job has not ended,
-// as far as its holder knows, would never be dropped, so each batch is repeated until it is acknowledged or its receiver
-// leaves the view.
+// outbox batches the outcomes of jobs for the members that hold copies of their records. A copy that never receives the
+// outcome would never be dropped, so each batch is repeated until it is acknowledged or its receiver leaves the view.
 type outbox struct {
 	keeper *Keeper
 
--- a/keeper/submit.go
+++ b/keeper/submit.go
@@ -69,7 +69,7 @@
 		return result.decision, nil
 	}
 	if result.refusal == nil {
-		result.refusal = shard.refusalReason(key, submission, now)
+		result.refusal = shard.freshJobRefusal(key, submission, now)
 	}
 	if result.refusal != nil {
 		return nil, shard.refusal(key, submission, *result.refusal, nil, now)
@@ -77,8 +77,8 @@
 	return shard.start(key, submission, now, effects), nil
 }
 
-// refusalReason returns the refusal of a fresh job that may not start, or nil.
-func (shard *shard) refusalReason(key Key, submission Submission, now time.Time) *dispatcher.Refused {
+// freshJobRefusal returns the refusal of a fresh job that may not start, or nil.
+func (shard *shard) freshJobRefusal(key Key, submission Submission, now time.Time) *dispatcher.Refused {
 	var refusal dispatcher.Refused
 	switch {
 	case !submission.Deadline.IsZero() && now.After(submission.Deadline):
@@ -214,7 +214,7 @@
 		// Without an acknowledgement, a later owner may have started the job, and its record may be lost.
 		return unknownAnswer(shard.uncertaintyReason(key, now))
 	case known.state == StateCancelled:
-		// The answer to come counts from now on, so the record must be kept for a whole retention period from now.
+		// The answer to come protects the key from now on, so the record must be kept for another retention period.
 		shard.expireLater(key, now.Add(shard.keeper.limits.Retention))
 		return shard.replicate(key, submission, known, now, effects)
 	case known.outcome != nil:
