--- a/watcher/propose.go
+++ b/watcher/propose.go
@@ -34,8 +34,8 @@
 	return len(proposal.Add)+len(proposal.Depart)+len(proposal.Exclude) == 0
 }
 
-// delay returns how long a change must be wanted before this instance proposes it: its turn, in a hashed order of the
-// members that are neither suspected nor leaving, and batchingDelay for a proposal without exclusions. An exclusion has
+// delay returns how long a change must be wanted before this instance proposes it: its turn, in the rendezvous
+// order of the members that are neither suspected nor leaving, and batchingDelay for a proposal without exclusions. An exclusion has
 // already waited for SuspicionTimeout.
 func (watcher *Watcher) delay(proposal Proposal, now time.Time) time.Duration {
 	candidates := []Incarnation{watcher.self.Incarnation}
@@ -62,7 +62,7 @@
 	return delay
 }
 
-// rank returns the sort key of a proposer; it differs from view to view.
+// rank returns the hash by which proposers are ordered; the order differs from view to view.
 func (watcher *Watcher) rank(incarnation Incarnation) string {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%d\x00%s", watcher.view.Number, incarnation))
 	return string(sum[:])
@@ -172,7 +172,8 @@
 }
 
 // majoritySuspects reports whether a majority of the heard members suspects the peer. Without other members to ask, it
-// reports whether the peer has been silent for isolatedTimeoutFactor times SuspicionTimeout.
+// reports whether the peer has been silent, or its answer to a sync request overdue, for isolatedTimeoutFactor times
+// SuspicionTimeout.
 func (watcher *Watcher) majoritySuspects(suspect *peer, now time.Time) bool {
 	votes, voters := watcher.votes(suspect.member.Incarnation, now)
 	if voters == 0 {
