--- a/watcher/propose.go
+++ b/watcher/propose.go
@@ -35,8 +35,8 @@
 }
 
 // delay returns how long a change must be wanted before this instance proposes it: its turn, in the rendezvous
-// order of the members that are neither suspected nor leaving, and batchingDelay for a proposal without exclusions. An exclusion has
-// already waited for SuspicionTimeout.
+// order of the members that are neither suspected nor leaving, and batchingDelay for a proposal without exclusions.
+// An exclusion has already waited for SuspicionTimeout.
 func (watcher *Watcher) delay(proposal Proposal, now time.Time) time.Duration {
 	candidates := []Incarnation{watcher.self.Incarnation}
 	others := watcher.view.Members
