--- a/keeper/protocol_test.go
+++ b/keeper/protocol_test.go
@@ -112,9 +112,9 @@
 		owner.Finish(submission.Key, outcome, now)
 	}
 	want := []keeper.Decision{
-		keeper.AnswerLost{Fate: dispatcher.Finished},
-		keeper.AnswerLost{Fate: dispatcher.Finished},
-		keeper.AnswerLost{Fate: dispatcher.Finished},
+		keeper.AnswerLost{Fate: dispatcher.FateFinished},
+		keeper.AnswerLost{Fate: dispatcher.FateFinished},
+		keeper.AnswerLost{Fate: dispatcher.FateFinished},
 		keeper.Answer{Outcome: outcome},
 		keeper.Answer{Outcome: outcome},
 	}
--- a/keeper/submit.go
+++ b/keeper/submit.go
@@ -220,7 +220,7 @@
 	case known.outcome != nil:
 		return Answer{Outcome: known.outcome}
 	case known.holder == shard.self() && known.state == StateFinished:
-		return AnswerLost{Fate: dispatcher.Finished}
+		return AnswerLost{Fate: dispatcher.FateFinished}
 	case known.holder == shard.self():
 		return Joined{}
 	}
@@ -228,9 +228,9 @@
 		return Forward{To: holder, ToHolder: true}
 	}
 	if known.state == StateFinished {
-		return AnswerLost{Fate: dispatcher.Finished}
+		return AnswerLost{Fate: dispatcher.FateFinished}
 	}
-	return AnswerLost{Fate: dispatcher.OutcomeUnknown}
+	return AnswerLost{Fate: dispatcher.FateUnknown}
 }
 
 func cancelledOutcome() dispatcher.Refused {
--- a/server/meter.go
+++ b/server/meter.go
@@ -38,7 +38,7 @@
 		meter.forwards[name] = set.NewCounter(`hyssoplift_forwards_served_total{outcome="` + name + `"}`)
 		meter.requests[name] = set.NewCounter(`hyssoplift_requests_total{outcome="` + name + `"}`)
 	}
-	for _, fate := range []dispatcher.Fate{dispatcher.NotStarted, dispatcher.OutcomeUnknown, dispatcher.Finished, dispatcher.TaskFailed} {
+	for _, fate := range []dispatcher.Fate{dispatcher.FateNotStarted, dispatcher.FateUnknown, dispatcher.FateFinished, dispatcher.FateFailed} {
 		meter.fates[fate] = set.NewCounter(`hyssoplift_tasks_total{fate="` + string(fate) + `"}`)
 	}
 	set.NewGauge("hyssoplift_jobs_in_flight", inFlight)
--- a/server/submit.go
+++ b/server/submit.go
@@ -306,7 +306,7 @@
 // lostAnswer returns the answer to a job that started and whose answer nobody has.
 func lostAnswer(job dispatcher.Job, fate dispatcher.Fate) dispatcher.Outcome {
 	detail := "started, outcome unknown"
-	if fate == dispatcher.Finished {
+	if fate == dispatcher.FateFinished {
 		detail = "answer lost"
 	}
 	fates := make([]dispatcher.TaskFate, len(job.Tasks()))
