--- a/keeper/attempt.go
+++ b/keeper/attempt.go
@@ -94,7 +94,8 @@
 	}
 	shard.abandon(attempt, stored)
 	if stored.state == StatePending && attempt.fullRefusals == attempt.requests {
-		// No member has room: the job is refused for the same reason as when the owner's table is full.
+		// The tables of all members asked are full: the job is refused for the same reason as when the owner's table is
+		// full.
 		refused := dispatcher.NewRefused(dispatcher.ReasonOverload, detailFull, "", now.Add(fullTableRetryDelay))
 		shard.keeper.confirmer.requeue(shard.refusal(Key{}, attempt.submission, refused, attempt.tickets, now), now, effects)
 		return
--- a/keeper/message.go
+++ b/keeper/message.go
@@ -53,7 +53,7 @@
 	Sequence uint64 `cbor:"sequence"`
 	// Current is the number of the sender's view.
 	Current int64 `cbor:"current"`
-	// Full is set if the sender's table has no room. If Current equals View as well, the refusal also confirms that the
+	// Full is set if the sender's table is full. If Current equals View as well, the refusal also confirms that the
 	// sender has adopted no later view.
 	Full bool `cbor:"full,omitempty"`
 }
--- a/keeper/node_test.go
+++ b/keeper/node_test.go
@@ -179,7 +179,7 @@
 		}
 	}
 	simulation.transmit(node, to, func(target *nodeType) { target.accept(&passed, 0) })
-	node.schedule(forwardTime, func() { original.reply(dispatcher.NewUnknown("forward timed out"), time.Time{}) })
+	node.schedule(forwardTimeout, func() { original.reply(dispatcher.NewUnknown("forward timed out"), time.Time{}) })
 }
 
 // startTasks starts the tasks at the targets, where they run to their end even if the node fails.
--- a/keeper/shard.go
+++ b/keeper/shard.go
@@ -34,7 +34,7 @@
 	tickets    []uint64
 	witness    Member
 	tried      []string
-	// requests counts the requests sent in this view, fullRefusals those refused because the witness had no room.
+	// requests counts the requests sent in this view, fullRefusals those refused because the witness's table was full.
 	requests     int
 	fullRefusals int
 	deadline     time.Time
--- a/keeper/simulation_test.go
+++ b/keeper/simulation_test.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	domain      = "d"
-	retention   = 20 * time.Second
-	forwardTime = 2 * time.Second
+	domain         = "d"
+	retention      = 20 * time.Second
+	forwardTimeout = 2 * time.Second
 )
 
 // faultPoint is a step in the handling of a request at which a fault can be injected.
--- a/watcher/watcher.go
+++ b/watcher/watcher.go
@@ -195,8 +195,8 @@
 	return suspects
 }
 
-// peer returns the entry of a member, which it adds if there is room. It returns nil for this instance or if there is no
-// room.
+// peer returns the entry of a member, which it adds unless there are maxPeers entries. It returns nil for this instance
+// and for a new member that is not added.
 func (watcher *Watcher) peer(member Member, now time.Time) *peer {
 	if member.Incarnation == watcher.self.Incarnation {
 		return nil
