--- a/keeper/sync.go
+++ b/keeper/sync.go
@@ -304,17 +304,17 @@
 
 // UnresponsiveMembers returns the incarnations of members that have not answered a sync request within SyncTimeout.
 func (keeper *Keeper) UnresponsiveMembers(now time.Time) []string {
-	silent := map[string]bool{}
+	unresponsive := map[string]bool{}
 	for _, shard := range keeper.shards {
 		shard.mutex.Lock()
 		if shard.syncState != nil && !now.Before(shard.syncState.giveUpAt.Add(-(departingTimeouts-1)*keeper.limits.SyncTimeout)) {
 			for incarnation := range shard.syncState.missing {
-				silent[incarnation] = true
+				unresponsive[incarnation] = true
 			}
 		}
 		shard.mutex.Unlock()
 	}
-	return slices.Sorted(maps.Keys(silent))
+	return slices.Sorted(maps.Keys(unresponsive))
 }
 
 // announceSynced tells departing members which slices this instance serves, so that they are no longer needed for them.
