--- a/keeper/refuse.go
+++ b/keeper/refuse.go
@@ -7,21 +7,21 @@
 	"github.com/hyssoplift/hyssoplift/dispatcher"
 )
 
-// refusal is a decision to refuse that waits for its confirmation.
+// refusal is a decision to refuse a job that has to be confirmed before callers are told.
 type refusal struct {
 	submission Submission
 	refused    dispatcher.Refused
 	tickets    []uint64
-	decided    time.Time
+	decidedAt  time.Time
 	// view is the view in which the refusal was decided.
 	view int64
-	// exempt says that nobody else can decide the key, so that no confirmation is needed.
+	// exempt is set if no other instance can decide the key, so that no confirmation is needed.
 	exempt bool
 }
 
-// Refuse releases a refusal of a submission that has not been granted a start: overload, a deadline that
-// passed in the queue, an unknown kind. A pending attempt for the same job ends with it, and every ticket of
-// that attempt gets the same event.
+// Refuse refuses a submission that has not been granted a start, for example because of overload, a deadline that
+// passed in the queue or an unknown kind. A pending attempt for the same job ends, and all its tickets get the same
+// event.
 func (keeper *Keeper) Refuse(submission Submission, refused dispatcher.Refused, now time.Time) (Decision, []Outgoing) {
 	key, decision := keeper.parse(submission.Key, submission.Forwarded)
 	if decision != nil {
@@ -41,21 +41,23 @@
 		shard.abandon(pending, stored)
 		return nil, shard.refusal(key, submission, refused, pending.tickets, now)
 	}
-	verdict := shard.judge(key, submission, now, effects)
-	if verdict.decision != nil {
-		return verdict.decision, nil
+	result := shard.evaluate(key, submission, now, effects)
+	if result.decision != nil {
+		return result.decision, nil
 	}
 	return nil, shard.refusal(key, submission, refused, nil, now)
 }
 
+// refusal returns a refusal decided now in the current view.
 func (shard *shard) refusal(key Key, submission Submission, refused dispatcher.Refused, tickets []uint64, now time.Time) *refusal {
 	return &refusal{
-		submission: submission, refused: refused, tickets: tickets, decided: now, view: shard.place.number(),
-		exempt: key.form == SoloKey || shard.alone(),
+		submission: submission, refused: refused, tickets: tickets, decidedAt: now, view: shard.history.number(),
+		exempt: key.form == SoloKey || shard.isOnlyMember(),
 	}
 }
 
-// confirm returns the decision, or, if there is a refusal, how its confirmation goes on.
+// confirm returns the decision and the messages to send; a refusal, if there is one, is passed to the confirmer for its
+// decision.
 func (keeper *Keeper) confirm(decision Decision, refusal *refusal, now time.Time, effects *effects) (Decision, []Outgoing) {
 	if refusal != nil {
 		decision = keeper.confirmer.add(refusal, now, effects)
@@ -63,24 +65,24 @@
 	return decision, effects.outgoing
 }
 
-// confirmer releases refusals in batches: one pair of messages serves all that were decided before it was
-// sent, and at most one pair is in flight.
+// confirmer confirms refusals in batches: one Confirm and its answer serve all refusals that were decided before it was
+// sent, and at most one Confirm is in flight.
 type confirmer struct {
 	keeper *Keeper
 
 	mutex sync.Mutex
 	// The fields below are guarded by mutex.
 	waiting  []*refusal
-	flight   []*refusal
+	inFlight []*refusal
 	sequence uint64
 	member   string
-	tries    int
+	requests int
 	deadline time.Time
-	// held says that a member has adopted a later view: the batch waits until this instance has read it.
-	held bool
+	// awaitsView is set if a member has adopted a later view: the batch waits until this instance has read it.
+	awaitsView bool
 }
 
-// add queues a refusal; the decision is final for one that needs no confirmation.
+// add queues a refusal. One that needs no confirmation is answered at once.
 func (confirmer *confirmer) add(added *refusal, now time.Time, effects *effects) Decision {
 	if added.exempt {
 		return Answer{Outcome: added.refused}
@@ -89,71 +91,73 @@
 	added.tickets = append(added.tickets, ticket)
 	confirmer.mutex.Lock()
 	defer confirmer.mutex.Unlock()
-	if added.view != confirmer.keeper.place.Load().number() {
-		// A later view has been adopted since the decision; a new decision would need the slice again.
-		return unknown(detailUnconfirmed)
+	if added.view != confirmer.keeper.history.Load().number() {
+		// A later view has been adopted since the decision. Deciding again would need the lock of the shard.
+		return unknownAnswer(detailUnconfirmed)
 	}
 	confirmer.waiting = append(confirmer.waiting, added)
-	confirmer.launch(now, effects)
+	confirmer.sendNextBatch(now, effects)
 	return AwaitConfirmation{Ticket: ticket}
 }
 
-// launch sends the next batch if none is in flight.
-func (confirmer *confirmer) launch(now time.Time, effects *effects) {
-	if len(confirmer.flight) > 0 || len(confirmer.waiting) == 0 {
+// sendNextBatch sends the waiting refusals as the next batch if none is in flight.
+func (confirmer *confirmer) sendNextBatch(now time.Time, effects *effects) {
+	if len(confirmer.inFlight) > 0 || len(confirmer.waiting) == 0 {
 		return
 	}
-	confirmer.flight, confirmer.waiting, confirmer.tries = confirmer.waiting, nil, 0
-	confirmer.ask(now, effects)
+	confirmer.inFlight, confirmer.waiting, confirmer.requests = confirmer.waiting, nil, 0
+	confirmer.sendConfirm(now, effects)
 }
 
-// ask sends the batch in flight to the next member, or gives up.
-func (confirmer *confirmer) ask(now time.Time, effects *effects) {
-	place := confirmer.keeper.place.Load()
-	for _, refusal := range confirmer.flight {
-		if refusal.view != place.number() {
-			// A confirmation in a later view proves nothing; Adopt takes the batch and decides it again.
+// sendConfirm asks the next member to confirm the batch in flight. If enough members have been asked in vain, the batch
+// fails.
+func (confirmer *confirmer) sendConfirm(now time.Time, effects *effects) {
+	history := confirmer.keeper.history.Load()
+	for _, refusal := range confirmer.inFlight {
+		if refusal.view != history.number() {
+			// A confirmation in a later view proves nothing about this refusal. Adopt decides the batch again.
 			return
 		}
 	}
-	others := confirmer.keeper.others(place)
-	if confirmer.tries >= min(maxTries, witnessRounds*len(others)) {
-		confirmer.fail(now, effects)
+	candidates := confirmer.keeper.candidates(history)
+	if confirmer.requests >= min(maxRequests, witnessRounds*len(candidates)) {
+		confirmer.failBatch(now, effects)
 		return
 	}
 	confirmer.sequence++
-	confirmer.tries++
-	member := others[confirmer.sequence%uint64(len(others))]
-	confirmer.member, confirmer.held = member.Incarnation, false
+	confirmer.requests++
+	member := candidates[confirmer.sequence%uint64(len(candidates))]
+	confirmer.member, confirmer.awaitsView = member.Incarnation, false
 	confirmer.deadline = now.Add(confirmer.keeper.limits.AckTimeout)
-	effects.send(member, Confirm{View: place.number(), Sequence: confirmer.sequence})
+	effects.send(member, Confirm{View: history.number(), Sequence: confirmer.sequence})
 }
 
-func (confirmer *confirmer) fail(now time.Time, effects *effects) {
-	for _, refusal := range confirmer.flight {
-		refusal.unconfirmed(effects)
+// failBatch reports the batch in flight as unconfirmed and sends the next one.
+func (confirmer *confirmer) failBatch(now time.Time, effects *effects) {
+	for _, refusal := range confirmer.inFlight {
+		refusal.emitUnconfirmed(effects)
 	}
-	confirmer.flight = nil
-	confirmer.launch(now, effects)
+	confirmer.inFlight = nil
+	confirmer.sendNextBatch(now, effects)
 }
 
-func (refusal *refusal) unconfirmed(effects *effects) {
+func (refusal *refusal) emitUnconfirmed(effects *effects) {
 	for _, ticket := range refusal.tickets {
 		effects.emit(RefusalUnconfirmed{Key: refusal.submission.Key, Ticket: ticket, Outcome: dispatcher.NewUnknown(detailUnconfirmed)})
 	}
 }
 
-func (refusal *refusal) confirmed(effects *effects) {
+func (refusal *refusal) emitConfirmed(effects *effects) {
 	for _, ticket := range refusal.tickets {
-		effects.emit(RefusalConfirmed{Key: refusal.submission.Key, Ticket: ticket, Refusal: refusal.refused, Decided: refusal.decided})
+		effects.emit(RefusalConfirmed{Key: refusal.submission.Key, Ticket: ticket, Refusal: refusal.refused, Decided: refusal.decidedAt})
 	}
 }
 
-// receiveConfirm answers for the whole instance. The keeper stores its place before any slice adopts it, so
-// a slice that serves a later view has been preceded by the refusal of this confirmation. A member that is
-// still in an earlier view has not adopted a later one either.
+// receiveConfirm answers for all slices of this instance. Keeper.history is stored before any shard adopts it, so once a
+// slice is served in a later view, confirmations of the earlier one are refused. A member that is still in an earlier
+// view confirms too, because it has not adopted a later one.
 func (keeper *Keeper) receiveConfirm(from Member, confirm Confirm, effects *effects) {
-	if current := keeper.place.Load().number(); current > confirm.View {
+	if current := keeper.history.Load().number(); current > confirm.View {
 		effects.send(from, ConfirmRefused{Sequence: confirm.Sequence, Current: current})
 		return
 	}
@@ -163,57 +167,58 @@
 func (confirmer *confirmer) receiveAck(from string, ack ConfirmAck, now time.Time, effects *effects) {
 	confirmer.mutex.Lock()
 	defer confirmer.mutex.Unlock()
-	if len(confirmer.flight) == 0 || ack.Sequence != confirmer.sequence || from != confirmer.member {
+	if len(confirmer.inFlight) == 0 || ack.Sequence != confirmer.sequence || from != confirmer.member {
 		return
 	}
-	for _, refusal := range confirmer.flight {
-		refusal.confirmed(effects)
+	for _, refusal := range confirmer.inFlight {
+		refusal.emitConfirmed(effects)
 	}
-	confirmer.flight = nil
-	confirmer.launch(now, effects)
+	confirmer.inFlight = nil
+	confirmer.sendNextBatch(now, effects)
 }
 
 func (confirmer *confirmer) receiveRefused(from string, refused ConfirmRefused, now time.Time) {
 	confirmer.mutex.Lock()
 	defer confirmer.mutex.Unlock()
-	if len(confirmer.flight) > 0 && refused.Sequence == confirmer.sequence && from == confirmer.member {
-		confirmer.held, confirmer.deadline = true, now.Add(confirmer.keeper.limits.SyncTimeout)
+	if len(confirmer.inFlight) > 0 && refused.Sequence == confirmer.sequence && from == confirmer.member {
+		confirmer.awaitsView, confirmer.deadline = true, now.Add(confirmer.keeper.limits.SyncTimeout)
 	}
 }
 
-// expire asks another member when one has not answered, or gives up when no later view has been read.
-func (confirmer *confirmer) expire(now time.Time, effects *effects) {
+// handleDeadlines asks another member if one has not answered. The batch fails if the later view that a member reported
+// has not been read in time.
+func (confirmer *confirmer) handleDeadlines(now time.Time, effects *effects) {
 	confirmer.mutex.Lock()
 	defer confirmer.mutex.Unlock()
 	switch {
-	case len(confirmer.flight) == 0 || now.Before(confirmer.deadline):
-	case confirmer.held:
-		confirmer.fail(now, effects)
+	case len(confirmer.inFlight) == 0 || now.Before(confirmer.deadline):
+	case confirmer.awaitsView:
+		confirmer.failBatch(now, effects)
 	default:
-		confirmer.ask(now, effects)
+		confirmer.sendConfirm(now, effects)
 	}
 }
 
-// take removes every refusal, so that a new view can decide them again.
-func (confirmer *confirmer) take() []*refusal {
+// takeAll removes and returns all refusals, in flight or waiting, to be decided again in a new view.
+func (confirmer *confirmer) takeAll() []*refusal {
 	confirmer.mutex.Lock()
 	defer confirmer.mutex.Unlock()
-	taken := append(confirmer.flight, confirmer.waiting...)
-	confirmer.flight, confirmer.waiting = nil, nil
+	taken := append(confirmer.inFlight, confirmer.waiting...)
+	confirmer.inFlight, confirmer.waiting = nil, nil
 	return taken
 }
 
-// decideAgain decides refusals of an earlier view in the current one.
-func (keeper *Keeper) decideAgain(refusals []*refusal, now time.Time, effects *effects) {
+// reconsiderRefusals decides refusals of an earlier view again in the current one.
+func (keeper *Keeper) reconsiderRefusals(refusals []*refusal, now time.Time, effects *effects) {
 	for _, earlier := range refusals {
 		key, err := ParseKey(earlier.submission.Key)
 		if err != nil {
 			continue
 		}
-		again, outcome := keeper.shards[key.slice].refuseAgain(key, earlier, now)
+		again, outcome := keeper.shards[key.slice].reconsiderRefusal(key, earlier, now)
 		switch {
 		case again != nil && again.exempt:
-			again.confirmed(effects)
+			again.emitConfirmed(effects)
 		case again != nil:
 			keeper.confirmer.requeue(again, now, effects)
 		case outcome != nil:
@@ -221,27 +226,27 @@
 				effects.emit(RefusalSuperseded{Key: earlier.submission.Key, Ticket: ticket, Outcome: outcome})
 			}
 		default:
-			earlier.unconfirmed(effects)
+			earlier.emitUnconfirmed(effects)
 		}
 	}
 }
 
-// refuseAgain returns the refusal decided in the current view, or the outcome that replaces it, or neither. It
-// joins no attempt and starts none: the server knows only the tickets of the earlier decision.
-func (shard *shard) refuseAgain(key Key, earlier *refusal, now time.Time) (*refusal, dispatcher.Outcome) {
+// reconsiderRefusal returns the refusal as decided in the current view, or the outcome that replaces it, or neither. It
+// neither joins nor starts an attempt, because the server knows only the tickets of the earlier decision.
+func (shard *shard) reconsiderRefusal(key Key, earlier *refusal, now time.Time) (*refusal, dispatcher.Outcome) {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
 	stored := shard.lookUp(key, now)
 	switch {
 	case stored != nil && stored.outcome != nil && stored.digest == earlier.submission.Digest:
 		return nil, stored.outcome
-	case shard.standingDecision(key, true) != nil:
+	case shard.ownershipDecision(key, true) != nil:
 		return nil, nil
 	case stored != nil && stored.state == StateCancelled && stored.confirmed && key.form != PlainKey:
 		return nil, cancelledOutcome()
 	case stored != nil && stored.state == StateCancelled && stored.confirmed:
 		return shard.refusal(key, earlier.submission, earlier.refused, earlier.tickets, now), nil
-	case stored == nil && shard.doubt(key, now) == "":
+	case stored == nil && shard.uncertaintyReason(key, now) == "":
 		return shard.refusal(key, earlier.submission, earlier.refused, earlier.tickets, now), nil
 	case stored != nil && stored.state >= StateStarted && stored.digest != earlier.submission.Digest:
 		return shard.refusal(key, earlier.submission, earlier.refused, earlier.tickets, now), nil
@@ -250,9 +255,10 @@
 	}
 }
 
+// requeue queues a refusal whose tickets callers already hold.
 func (confirmer *confirmer) requeue(again *refusal, now time.Time, effects *effects) {
 	confirmer.mutex.Lock()
 	defer confirmer.mutex.Unlock()
 	confirmer.waiting = append(confirmer.waiting, again)
-	confirmer.launch(now, effects)
+	confirmer.sendNextBatch(now, effects)
 }
--- a/watcher/propose.go
+++ b/watcher/propose.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// Propose returns the next view that this instance should append to the log at now, and false if none is due. It must
-// be asked again for each append: a view that was read meanwhile makes the earlier answer void.
+// Propose returns the next view that this instance should append to the log at now, and whether one is due. Call it
+// again for each append, because a view that was read meanwhile invalidates the earlier proposal.
 func (watcher *Watcher) Propose(now time.Time) (Proposal, bool) {
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
-	proposal := watcher.plan(now)
+	proposal := watcher.desiredView(now)
 	if proposal.empty() {
 		watcher.wantedSince = time.Time{}
 		return Proposal{}, false
@@ -22,7 +22,7 @@
 	if watcher.wantedSince.IsZero() {
 		watcher.wantedSince = now
 	}
-	if now.Before(watcher.wantedSince.Add(watcher.delay(proposal, now))) || now.Before(watcher.proposedAt.Add(retryTime)) {
+	if now.Before(watcher.wantedSince.Add(watcher.delay(proposal, now))) || now.Before(watcher.proposedAt.Add(retryDelay)) {
 		return Proposal{}, false
 	}
 	watcher.proposedAt = now
@@ -34,8 +34,9 @@
 	return len(proposal.Add)+len(proposal.Depart)+len(proposal.Exclude) == 0
 }
 
-// delay is how long a change must be wanted before this instance proposes it: a turn by rendezvous hashing over the
-// members that can be heard and, for planned changes, time for others to join in. An exclusion has waited already.
+// delay returns how long a change must be wanted before this instance proposes it: its turn, in the rendezvous
+// order of the members that are neither suspected nor leaving, and batchingDelay for a proposal without exclusions.
+// An exclusion has already waited for SuspicionTimeout.
 func (watcher *Watcher) delay(proposal Proposal, now time.Time) time.Duration {
 	candidates := []Incarnation{watcher.self.Incarnation}
 	others := watcher.view.Members
@@ -50,36 +51,38 @@
 	slices.SortFunc(candidates, func(a, b Incarnation) int {
 		return cmp.Compare(watcher.rank(a), watcher.rank(b))
 	})
-	delay := time.Duration(slices.Index(candidates, watcher.self.Incarnation)) * turnTime
+	delay := time.Duration(slices.Index(candidates, watcher.self.Incarnation)) * proposerInterval
 	if watcher.leaving {
-		// A leaving instance proposes last, but does propose: it may be the only one that can.
-		delay = time.Duration(len(candidates)) * turnTime
+		// A leaving instance proposes last. It does propose, because it may be the only one that can.
+		delay = time.Duration(len(candidates)) * proposerInterval
 	}
 	if len(proposal.Exclude) == 0 {
-		delay += settleTime
+		delay += batchingDelay
 	}
 	return delay
 }
 
+// rank returns the hash by which proposers are ordered; the order differs from view to view.
 func (watcher *Watcher) rank(incarnation Incarnation) string {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%d\x00%s", watcher.view.Number, incarnation))
 	return string(sum[:])
 }
 
-// plan returns the view that is wanted now, whoever proposes it.
-func (watcher *Watcher) plan(now time.Time) Proposal {
+// desiredView returns the view that is wanted now, whichever instance proposes it; it may change nothing.
+func (watcher *Watcher) desiredView(now time.Time) Proposal {
 	if watcher.view.Number == NoView {
-		return watcher.planFirst(now)
+		return watcher.desiredFirstView(now)
 	}
 	if !contains(watcher.view.Members, watcher.self.Incarnation) {
-		// A member adds candidates, and never a candidate itself, because only members know each other's suspicions.
+		// Only members add candidates; a candidate does not propose itself, because only members know each other's
+		// suspicions.
 		return Proposal{}
 	}
 	proposal := Proposal{Previous: watcher.view.Number, Exclude: watcher.exclusions(now)}
 	for _, member := range watcher.view.Members {
 		switch {
 		case contains(proposal.Exclude, member.Incarnation):
-		case watcher.departs(member.Incarnation):
+		case watcher.isLeaving(member.Incarnation):
 			proposal.Depart = append(proposal.Depart, member)
 		default:
 			proposal.Keep = append(proposal.Keep, member)
@@ -87,21 +90,23 @@
 	}
 	proposal.Add = watcher.additions(now)
 	if len(proposal.Keep)+len(proposal.Add) == 0 {
-		// The last member stays in the view until it stops: an empty view could never be replaced.
+		// The last member stays in the view until it stops, because an empty view could never be replaced.
 		return Proposal{}
 	}
 	return proposal
 }
 
-// planFirst waits for the list and one suspicion period, so that the first view holds everybody who is there.
-func (watcher *Watcher) planFirst(now time.Time) Proposal {
-	if !watcher.listRead || watcher.leaving || now.Sub(watcher.started) < SuspicionTimeout {
+// desiredFirstView returns the first view. It waits for the instance list and SuspicionTimeout, so that the view holds
+// every running instance.
+func (watcher *Watcher) desiredFirstView(now time.Time) Proposal {
+	if !watcher.listReceived || watcher.leaving || now.Sub(watcher.started) < SuspicionTimeout {
 		return Proposal{}
 	}
-	return Proposal{Previous: NoView, Add: sorted(append(watcher.additions(now), watcher.self))}
+	return Proposal{Previous: NoView, Add: sortMembers(append(watcher.additions(now), watcher.self))}
 }
 
-func (watcher *Watcher) departs(incarnation Incarnation) bool {
+// isLeaving reports whether the incarnation, this one or a peer, has begun a planned stop.
+func (watcher *Watcher) isLeaving(incarnation Incarnation) bool {
 	if incarnation == watcher.self.Incarnation {
 		return watcher.leaving
 	}
@@ -109,27 +114,28 @@
 	return peer != nil && peer.leaving
 }
 
-// additions returns the listed instances that this one hears, unless most members that it hears do not: they could not
-// sync with it.
+// additions returns the listed instances that this one hears, except those that a majority of the members that it hears
+// suspect: these members could not sync with them.
 func (watcher *Watcher) additions(now time.Time) []Member {
 	var added []Member
 	for incarnation, peer := range watcher.peers {
 		member := contains(watcher.view.Members, incarnation)
-		if member || !peer.listed || peer.leaving || peer.excluded || peer.heard.IsZero() || peer.suspected(now) {
+		if member || !peer.listed || peer.leaving || peer.excluded || peer.lastHeard.IsZero() || peer.suspected(now) {
 			continue
 		}
-		if now.Sub(peer.since) < SuspicionTimeout {
-			// The other members need this long to notice that they cannot hear it.
+		if now.Sub(peer.reachableSince) < SuspicionTimeout {
+			// The other members need this long to suspect an instance that they cannot hear.
 			continue
 		}
 		if votes, voters := watcher.votes(incarnation, now); 2*votes <= voters {
 			added = append(added, peer.member)
 		}
 	}
-	return sorted(added)
+	return sortMembers(added)
 }
 
-// votes returns how many of the other members that can be heard suspect the incarnation.
+// votes counts the other members that this instance does not suspect (voters), and those of them that suspect the
+// incarnation (votes).
 func (watcher *Watcher) votes(incarnation Incarnation, now time.Time) (votes, voters int) {
 	for _, member := range watcher.view.Members {
 		peer := watcher.peers[member.Incarnation]
@@ -144,38 +150,40 @@
 	return votes, voters
 }
 
-// exclusions returns the members to leave out: those whose suspicion a majority shares, but never a majority of the
-// view, unless the list no longer has them.
+// exclusions returns the members to leave out: the suspected ones that a majority of the heard members suspects as well.
+// If those of them that the instance list still has are more than half of the view, only the others are left out.
 func (watcher *Watcher) exclusions(now time.Time) []Member {
 	var excluded []Member
 	present := 0
 	for _, member := range watcher.view.Members {
 		peer := watcher.peers[member.Incarnation]
-		if peer == nil || !peer.suspected(now) || !watcher.confirmed(peer, now) {
+		if peer == nil || !peer.suspected(now) || !watcher.majoritySuspects(peer, now) {
 			continue
 		}
 		excluded = append(excluded, member)
-		if peer.listed || !watcher.listRead {
+		if peer.listed || !watcher.listReceived {
 			present++
 		}
 	}
 	if 2*present > len(watcher.view.Members) {
-		excluded = slices.DeleteFunc(excluded, func(member Member) bool { return watcher.peers[member.Incarnation].listed || !watcher.listRead })
+		excluded = slices.DeleteFunc(excluded, func(member Member) bool { return watcher.peers[member.Incarnation].listed || !watcher.listReceived })
 	}
 	return excluded
 }
 
-// confirmed reports whether the suspicion of peer suffices to leave it out.
-func (watcher *Watcher) confirmed(suspect *peer, now time.Time) bool {
+// majoritySuspects reports whether a majority of the heard members suspects the peer. Without other members to ask, it
+// reports whether the peer has been silent, or its answer to a sync request overdue, for isolatedTimeoutFactor times
+// SuspicionTimeout.
+func (watcher *Watcher) majoritySuspects(suspect *peer, now time.Time) bool {
 	votes, voters := watcher.votes(suspect.member.Incarnation, now)
 	if voters == 0 {
-		alone := aloneSuspicionPeriods * SuspicionTimeout
-		return suspect.silentFor(now) >= alone || !suspect.syncSilent.IsZero() && now.Sub(suspect.syncSilent) >= alone
+		alone := isolatedTimeoutFactor * SuspicionTimeout
+		return suspect.silence(now) >= alone || !suspect.syncOverdueSince.IsZero() && now.Sub(suspect.syncOverdueSince) >= alone
 	}
 	return 2*votes > voters
 }
 
-func sorted(members []Member) []Member {
+func sortMembers(members []Member) []Member {
 	slices.SortFunc(members, func(a, b Member) int {
 		return cmp.Or(strings.Compare(a.Name, b.Name), strings.Compare(string(a.Incarnation), string(b.Incarnation)))
 	})
