--- a/executor/delegation.go
+++ b/executor/delegation.go
@@ -73,11 +73,11 @@
 func drawByWeight(instances []linker.Hello, drawn float64) (string, bool) {
 	total := 0.0
 	for i := range instances {
-		total += instances[i].Share()
+		total += instances[i].EffectiveWeight()
 	}
 	left := drawn * total
 	for i := range instances {
-		if left -= instances[i].Share(); left < 0 {
+		if left -= instances[i].EffectiveWeight(); left < 0 {
 			return instances[i].Incarnation, true
 		}
 	}
--- a/executor/news.go
+++ b/executor/news.go
@@ -9,35 +9,35 @@
 )
 
 // News takes what another instance tells.
-func (executor *Executor) News(from string, news linker.News) {
+func (executor *Executor) News(from string, update linker.StateUpdate) {
 	now := executor.now()
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
-	for _, claim := range news.Claims {
+	for _, claim := range update.Claims {
 		executor.claimed(from, claim, now)
 	}
-	for _, name := range news.Withdrawn {
-		executor.scheduler.PeerWithdrew(name.Target, runOf(name), now)
+	for _, id := range update.Withdrawn {
+		executor.scheduler.PeerWithdrew(id.Target, runOf(id), now)
 	}
-	for _, name := range news.Stops {
-		executor.scheduler.PeerStop(name.Target, runOf(name))
+	for _, id := range update.Stops {
+		executor.scheduler.PeerStop(id.Target, runOf(id))
 	}
-	for _, room := range news.Rooms {
-		size := scheduler.Size{MilliCores: room.MilliCores, MemoryMB: room.MemoryMB, Accelerators: room.Accelerators}
-		executor.scheduler.PeerReported(scheduler.Report{Target: room.Target, Room: size, Lost: room.Lost}, now)
+	for _, free := range update.FreeCapacity {
+		size := scheduler.Size{MilliCores: free.MilliCores, MemoryMB: free.MemoryMB, Accelerators: free.Accelerators}
+		executor.scheduler.PeerReported(scheduler.Report{Target: free.Target, Room: size, Lost: free.Unreachable}, now)
 	}
-	if len(news.Waiting) > 0 {
+	if len(update.Waiting) > 0 {
 		var demand scheduler.Demand
-		copy(demand[:], news.Waiting)
+		copy(demand[:], update.Waiting)
 		executor.scheduler.PeerDemand(from, demand)
 	}
-	for _, end := range news.Ends {
+	for _, end := range update.Ends {
 		run := scheduler.Run{Task: end.Task, Attempt: end.Attempt}
 		decoded := scheduler.End{Number: end.Number, Run: run, Cause: scheduler.Cause(end.Cause)}
 		executor.logEnd(end.Target, decoded, executor.self.Incarnation)
 		executor.scheduler.Ended(end.Target, decoded, now)
 	}
-	for _, job := range news.Abandoned {
+	for _, job := range update.Abandoned {
 		executor.abandonForeign(from, job)
 	}
 	executor.scheduler.Place(now)
@@ -59,8 +59,8 @@
 	executor.wake(claim.Target)
 }
 
-func runOf(name linker.RunName) scheduler.Run {
-	return scheduler.Run{Task: name.Task, Attempt: name.Attempt}
+func runOf(id linker.RunID) scheduler.Run {
+	return scheduler.Run{Task: id.Task, Attempt: id.Attempt}
 }
 
 // Gone takes that another instance is not heard of any more.
@@ -142,7 +142,7 @@
 
 // score returns the weighted rendezvous score of an instance for a target.
 func score(target string, instance *linker.Hello) float64 {
-	return -instance.Share() / math.Log(scheduler.Affinity(instance.Incarnation, target))
+	return -instance.EffectiveWeight() / math.Log(scheduler.Affinity(instance.Incarnation, target))
 }
 
 // Leave hands the targets that this instance reads to the others, which hear that it is about to stop. A leaving
--- a/gossiper/share_test.go
+++ b/gossiper/share_test.go
@@ -46,7 +46,7 @@
 // recording is a receiver that notes the instances that are gone.
 type recording struct{ gone []string }
 
-func (*recording) News(string, linker.News)            {}
+func (*recording) News(string, linker.StateUpdate)     {}
 func (recording *recording) Gone(from string)          { recording.gone = append(recording.gone, from) }
 func (*recording) Delegated(string, linker.Delegation) {}
 func (*recording) LinkEnded(string)                    {}
@@ -57,7 +57,7 @@
 	receiver := &recording{}
 	return &Gossiper{
 		self: linker.Hello{Domain: "a", Incarnation: "self", Weight: weight}, receiver: receiver, now: func() time.Time { return now },
-		wake: make(chan struct{}, 1), changed: make(chan struct{}, 1), direct: make(map[string]*linker.News), peers: make(map[string]*peer), ticked: now,
+		wake: make(chan struct{}, 1), changed: make(chan struct{}, 1), direct: make(map[string]*linker.StateUpdate), peers: make(map[string]*peer), ticked: now,
 		reports: make(map[string]scheduler.Report), farReports: make(map[string]scheduler.Report),
 	}, receiver, &now
 }
@@ -81,7 +81,7 @@
 	staying := gossiper.Staying()
 	is.Equal(len(staying), 1)
 	is.Equal(staying[0].Incarnation, "large")
-	gossiper.Receive(linker.Hello{Domain: "a", Incarnation: "large", Weight: 0.8}, linker.News{Waiting: []int64{0}, Leaving: true})
+	gossiper.Receive(linker.Hello{Domain: "a", Incarnation: "large", Weight: 0.8}, linker.StateUpdate{Waiting: []int64{0}, Leaving: true})
 	is.True(!gossiper.Delegates()) // the only larger one leaves
 	gossiper.meet("next", 0.8)
 	is.True(gossiper.Delegates())
@@ -97,7 +97,7 @@
 func (gossiper *Gossiper) receivers() (rooms, beats []string) {
 	gossiper.Report(scheduler.Report{Target: "t"})
 	for _, broadcast := range gossiper.due(gossiper.now()).broadcasts {
-		if len(broadcast.news.Rooms) > 0 {
+		if len(broadcast.news.FreeCapacity) > 0 {
 			rooms = append(rooms, broadcast.to...)
 		} else {
 			beats = append(beats, broadcast.to...)
@@ -149,7 +149,7 @@
 		gossiper.Report(scheduler.Report{Target: "t"})
 		for _, broadcast := range gossiper.due(*now).broadcasts {
 			for _, to := range broadcast.to {
-				counts[to] += len(broadcast.news.Rooms)
+				counts[to] += len(broadcast.news.FreeCapacity)
 			}
 		}
 	}
@@ -171,11 +171,11 @@
 	large.meet("small", 0.144)
 	rooms, _ := large.receivers()
 	is.Equal(len(rooms), 0)
-	large.Receive(linker.Hello{Domain: "a", Incarnation: "small", Weight: 0.144}, linker.News{Waiting: []int64{0}, Busy: true})
+	large.Receive(linker.Hello{Domain: "a", Incarnation: "small", Weight: 0.144}, linker.StateUpdate{Waiting: []int64{0}, Busy: true})
 	rooms, beats := large.receivers()
 	is.Equal(rooms, []string{"small"})
 	is.Equal(len(beats), 0)
-	large.Receive(linker.Hello{Domain: "a", Incarnation: "small", Weight: 0.144}, linker.News{Waiting: []int64{0}})
+	large.Receive(linker.Hello{Domain: "a", Incarnation: "small", Weight: 0.144}, linker.StateUpdate{Waiting: []int64{0}})
 	rooms, _ = large.receivers()
 	is.Equal(len(rooms), 0)
 }
--- a/leaser/leaser_test.go
+++ b/leaser/leaser_test.go
@@ -33,8 +33,8 @@
 	}{
 		{"finishes", emulator.WorkerHealthy, task(10, 100), "leaser.Completed", 1},
 		{"answer to the start is lost", emulator.WorkerLosesAnswers, task(10, 100), "leaser.Completed", 1},
-		{"task fails", emulator.WorkerFailing, task(10, 100), "leaser.Broken", 1},
-		{"guard stops the task", emulator.WorkerHealthy, task(10, 5000), "leaser.Broken", 1},
+		{"task fails", emulator.WorkerFailing, task(10, 100), "leaser.TaskFailed", 1},
+		{"guard stops the task", emulator.WorkerHealthy, task(10, 5000), "leaser.TaskFailed", 1},
 		{"worker leaves", emulator.WorkerLeaving, task(10, 100), "leaser.NotStarted", 0},
 		{"deadline passes while running", emulator.WorkerHealthy, task(60_000, 100), "leaser.Lost", 1},
 	}
@@ -48,8 +48,8 @@
 			ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 			defer cancel()
 			size := placer.Size{MilliCores: 1000, MemoryMB: 1000}
-			ending := leaser.New().Run(ctx, server.Listener.Addr().String(), "plan", size, test.task)
-			is.Equal(fmt.Sprintf("%T", ending), test.want)
+			result := leaser.New().Run(ctx, server.Listener.Addr().String(), "plan", size, test.task)
+			is.Equal(fmt.Sprintf("%T", result), test.want)
 			is.Equal(worker.Starts(), test.starts)
 		})
 	}
@@ -62,8 +62,8 @@
 	is.NoErr(err)
 	address := listener.Addr().String()
 	is.NoErr(listener.Close())
-	ending := leaser.New().Run(context.Background(), address, "plan", placer.Size{}, task(1, 1))
-	_, ok := ending.(leaser.NotStarted)
+	result := leaser.New().Run(context.Background(), address, "plan", placer.Size{}, task(1, 1))
+	_, ok := result.(leaser.NotStarted)
 	is.True(ok)
 }
 
@@ -80,8 +80,8 @@
 	})
 	server := httptest.NewServer(handler)
 	defer server.Close()
-	ending := leaser.New().Run(context.Background(), server.Listener.Addr().String(), "plan", placer.Size{}, task(1, 1))
-	broken, ok := ending.(leaser.Broken)
+	result := leaser.New().Run(context.Background(), server.Listener.Addr().String(), "plan", placer.Size{}, task(1, 1))
+	taskFailed, ok := result.(leaser.TaskFailed)
 	is.True(ok)
-	is.Equal(broken.Detail(), "worker reports lapsed: the lease was not renewed")
+	is.Equal(taskFailed.Detail(), "worker reports lapsed: the lease was not renewed")
 }
--- a/leaser/wire.go
+++ b/leaser/wire.go
@@ -23,19 +23,19 @@
 	Lapsed State = "lapsed"
 )
 
-// Guard is what the worker did to a task that exceeded its size.
-type Guard string
+// GuardAction is what the worker did to a task that exceeded its size.
+type GuardAction string
 
 // Actions of the guard.
 const (
 	// GuardNone means that the guard did not act.
-	GuardNone Guard = ""
+	GuardNone GuardAction = ""
 	// GuardThrottled means that the task got less processor time.
-	GuardThrottled Guard = "throttled"
+	GuardThrottled GuardAction = "throttled"
 	// GuardCheckpointed means that the task was saved and resumed by the worker.
-	GuardCheckpointed Guard = "checkpointed"
+	GuardCheckpointed GuardAction = "checkpointed"
 	// GuardStopped means that the task was stopped.
-	GuardStopped Guard = "stopped"
+	GuardStopped GuardAction = "stopped"
 )
 
 // LeaseRequest is the body of PUT /leases/{id}, which starts a task, and of POST /leases/{id}/renew.
@@ -52,7 +52,7 @@
 // LeaseStatus is the worker's answer.
 type LeaseStatus struct {
 	State  State           `json:"state"`
-	Guard  Guard           `json:"guard,omitempty"`
+	Guard  GuardAction     `json:"guard,omitempty"`
 	Peak   placer.Size     `json:"peak"`
 	Result json.RawMessage `json:"result,omitempty"`
 	Detail string          `json:"detail,omitempty"`
--- a/server/dispatch.go
+++ b/server/dispatch.go
@@ -143,7 +143,7 @@
 	switch result := result.(type) {
 	case starter.Success:
 		return router.NewFinished(0)
-	case starter.Rejected:
+	case starter.TaskFailed:
 		return router.Failed{}
 	case starter.NotStarted:
 		return router.NewNotStarted(result.Leaving())
@@ -174,7 +174,7 @@
 			continue
 		case starter.NotStarted:
 			fates[i].Detail = result.Detail()
-		case starter.Rejected:
+		case starter.TaskFailed:
 			fates[i].Fate, fates[i].Detail = dispatcher.TaskFailed, result.Detail()
 		case starter.Lost:
 			fates[i].Fate, fates[i].Detail = dispatcher.OutcomeUnknown, result.Detail()
--- a/server/forward.go
+++ b/server/forward.go
@@ -104,7 +104,7 @@
 		answer := response.(linker.ForwardAnswer)
 		if outcome, err = linker.DecodeOutcome(answer.Outcome, time.Now()); err == nil {
 			request.grant = reporter.Denied
-			if answer.Counts {
+			if answer.CountGranted {
 				request.grant = reporter.Granted
 			}
 			return outcome
@@ -135,7 +135,7 @@
 	outcome := server.resolve(context.Background(), request)
 	server.meter.forwards[dispatcher.ClassOf(outcome)].Inc()
 	answer := linker.ForwardAnswer{
-		ID: forward.ID, Key: forward.Key, Outcome: linker.EncodeOutcome(outcome, time.Now()), Counts: server.grantCount(request),
+		ID: forward.ID, Key: forward.Key, Outcome: linker.EncodeOutcome(outcome, time.Now()), CountGranted: server.grantCount(request),
 	}
 	err := server.linker.Send(from.Incarnation, answer)
 	if _, complete := outcome.(dispatcher.Complete); complete && err != nil {
--- a/server/membership.go
+++ b/server/membership.go
@@ -224,7 +224,7 @@
 		heartbeat.Suspects = append(heartbeat.Suspects, string(suspect))
 	}
 	membership.status(&heartbeat)
-	membership.linker.Broadcast(membership.linker.Domain(membership.domain), heartbeat)
+	membership.linker.Broadcast(membership.linker.ConnectedIn(membership.domain), heartbeat)
 }
 
 // followSuspicion tells the keeper whom to avoid, and the watcher who owes the answer to a sync request.
--- a/server/place.go
+++ b/server/place.go
@@ -99,8 +99,8 @@
 	switch ending := server.leaser.Run(ctx, at.address, request.kind.Name(), at.placed.Granted(), task).(type) {
 	case leaser.Completed:
 		return starter.NewSuccess(ending.Result()), ending.Usage()
-	case leaser.Broken:
-		return starter.NewRejected(ending.Detail()), ending.Usage()
+	case leaser.TaskFailed:
+		return starter.NewTaskFailed(ending.Detail()), ending.Usage()
 	case leaser.NotStarted:
 		server.learnRefusal(ctx, at, ending.Leaving())
 		return starter.NewNotStarted(ending.Detail(), ending.Leaving()), placer.Unstarted{}
--- a/supervisor/supervisor.go
+++ b/supervisor/supervisor.go
@@ -107,7 +107,7 @@
 	hello := linker.Hello{Domain: settings.Domain, Name: settings.Name, Incarnation: uuid.NewString(), Address: settings.PeerAddress, Weight: settings.ProcessorShare}
 	running := executor.New(hello, platform.NewOrders(clocker.Now), clocker.Now, logger)
 	limits := linker.DefaultLimits()
-	limits.RemoteLinks, limits.IdleLimit, limits.SilenceLimit = remoteLinks, 0, linkSilence
+	limits.MaxRemoteLinks, limits.IdleTimeout, limits.IOTimeout = remoteLinks, 0, linkSilence
 	links := linker.New(hello, limits, logger, running.Peers().Receive)
 	running.Peers().Use(links)
 	supervisor := &Supervisor{
