--- a/leaser/doc.go
+++ b/leaser/doc.go
@@ -1,3 +1,3 @@
-// Package leaser runs tasks on workers under leases: it starts a task with a lease, renews
-// the lease until the task ends, and never assumes the state of a lease it cannot ask about.
+// Package leaser runs tasks on workers under leases. It starts a task with a lease and renews the lease until the task
+// ends. While the worker cannot be reached, it makes no assumption about the state of the lease.
 package leaser
--- a/leaser/leaser.go
+++ b/leaser/leaser.go
@@ -22,26 +22,26 @@
 
 const (
 	dialTimeout = time.Second
-	// leaseTime is the validity that each start and renewal asks for.
-	leaseTime = 10 * time.Second
-	// renewAfter leaves room for a lost renewal before the lease lapses.
-	renewAfter = 3 * time.Second
-	// renewTimeout bounds one renewal, so that a silent connection is given up while the lease is valid.
-	renewTimeout = renewAfter + time.Second
-	// retryDelay spaces renewals while the worker cannot be reached.
+	// leaseDuration is the validity that each start and each renewal requests.
+	leaseDuration = 10 * time.Second
+	// renewInterval is short enough that the lease survives one lost renewal.
+	renewInterval = 3 * time.Second
+	// renewTimeout bounds one request, so that an unresponsive connection is abandoned while the lease is still valid.
+	renewTimeout = renewInterval + time.Second
+	// retryDelay is the delay between renewals while the worker cannot be reached.
 	retryDelay = 100 * time.Millisecond
-	// idleLimit bounds the reuse of an idle connection, which may have gone silent.
-	idleLimit      = 5 * time.Second
+	// idleTimeout bounds the reuse of idle connections, which may have been dropped without notice.
+	idleTimeout    = 5 * time.Second
 	maxStatusBytes = 2 << 20
 )
 
-// Result is what became of a task: Completed, Broken, NotStarted or Lost.
-type Result interface{ isEnding() }
+// Result is the result of running a task: Completed, TaskFailed, NotStarted or Lost.
+type Result interface{ isResult() }
 
-// Completed means that the task returned a result.
+// Completed means that the task finished and returned a value.
 type Completed struct{ status LeaseStatus }
 
-// TaskFailed means that the worker reported that the task failed, was stopped or outlived its lease.
+// TaskFailed means that the worker reported that the task failed, was stopped or ran past the end of its lease.
 type TaskFailed struct{ status LeaseStatus }
 
 // NotStarted means that the task provably did not start.
@@ -50,38 +50,39 @@
 	leaving bool
 }
 
-// Lost means that the task may have started and its state could not be learned in time.
+// Lost means that the task may have started and that its state could not be determined before the deadline.
 type Lost struct{ detail string }
 
-func (Completed) isEnding()  {}
-func (TaskFailed) isEnding() {}
-func (NotStarted) isEnding() {}
-func (Lost) isEnding()       {}
+func (Completed) isResult()  {}
+func (TaskFailed) isResult() {}
+func (NotStarted) isResult() {}
+func (Lost) isResult()       {}
 
-// Result returns the JSON value of the task's result.
+// Result returns the JSON value that the task returned.
 func (completed Completed) Result() json.RawMessage { return completed.status.Result }
 
-// Usage returns how the task's size is to be learned.
-func (completed Completed) Usage() placer.Ending { return usage(completed.status) }
+// Usage returns what the placer learns about the size of the task.
+func (completed Completed) Usage() placer.Ending { return observedUsage(completed.status) }
 
-// Detail returns why the task has no result.
+// Detail describes the failure.
 func (taskFailed TaskFailed) Detail() string {
 	return fmt.Sprintf("worker reports %s: %s", taskFailed.status.State, taskFailed.status.Detail)
 }
 
-// Usage returns how the task's size is to be learned.
-func (taskFailed TaskFailed) Usage() placer.Ending { return usage(taskFailed.status) }
+// Usage returns what the placer learns about the size of the task.
+func (taskFailed TaskFailed) Usage() placer.Ending { return observedUsage(taskFailed.status) }
 
 // Detail returns why the task did not start.
 func (notStarted NotStarted) Detail() string { return notStarted.detail }
 
-// Leaving reports whether the worker said that it takes no more work.
+// Leaving reports whether the worker is shutting down and accepts no more tasks.
 func (notStarted NotStarted) Leaving() bool { return notStarted.leaving }
 
-// Detail returns what was last seen of the worker.
+// Detail describes the last error seen when contacting the worker.
 func (lost Lost) Detail() string { return lost.detail }
 
-func usage(status LeaseStatus) placer.Ending {
+// observedUsage converts the worker's report to what the placer learns about the size of the task.
+func observedUsage(status LeaseStatus) placer.Ending {
 	if status.Guard != GuardNone {
 		return placer.NewGuarded(status.Peak)
 	}
@@ -94,132 +95,135 @@
 // Leaser runs tasks on workers.
 type Leaser struct{ client *http.Client }
 
-// New returns a leaser with its own pool of connections.
+// New returns a leaser with its own connection pool.
 func New() *Leaser {
 	transport := &http.Transport{
 		DialContext:     (&net.Dialer{Timeout: dialTimeout}).DialContext,
-		IdleConnTimeout: idleLimit,
+		IdleConnTimeout: idleTimeout,
 	}
 	return &Leaser{client: &http.Client{Transport: transport, CheckRedirect: refuseRedirect}}
 }
 
-// refuseRedirect keeps a redirect from starting the task a second time elsewhere.
+// refuseRedirect disables redirects, because following one could start the task a second time elsewhere.
 func refuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// answer is one exchange with the worker.
-type answer struct {
-	status  LeaseStatus
-	code    int
-	closing bool
-	sent    bool
-	err     error
+// reply is the outcome of one request to the worker.
+type reply struct {
+	status           LeaseStatus
+	statusCode       int
+	closesConnection bool
+	// sent reports whether a connection was obtained, so that the request may have reached the worker.
+	sent bool
+	err  error
 }
 
-// Run starts task on the worker at address under a lease of size and renews the lease until the task ends or
-// ctx is done; it starts the task at most once.
+// Run starts task on the worker at address under a lease for size, and renews the lease until the task ends or ctx is
+// done. It starts the task at most once.
 func (leaser *Leaser) Run(ctx context.Context, address, kind string, size placer.Size, task dispatcher.Task) Result {
 	base := fmt.Sprintf("http://%s/leases/%s", address, uuid.NewString())
 	request := LeaseRequest{
 		Kind: kind, Payload: task.Payload(), Size: size,
-		LeaseMS: leaseTime.Milliseconds(), WaitMS: renewAfter.Milliseconds(),
+		LeaseMS: leaseDuration.Milliseconds(), WaitMS: renewInterval.Milliseconds(),
 	}
 	first := leaser.exchange(ctx, http.MethodPut, base, request)
 	switch {
 	case first.err != nil && !first.sent:
 		return NotStarted{detail: first.err.Error()}
-	case first.err == nil && first.code == http.StatusServiceUnavailable:
-		return NotStarted{detail: "worker takes no more tasks", leaving: first.closing}
-	case first.err == nil && first.code == http.StatusTooManyRequests:
-		return NotStarted{detail: "worker has no room"}
-	case first.err == nil && first.code != http.StatusOK:
-		return TaskFailed{status: LeaseStatus{State: Failed, Detail: http.StatusText(first.code)}}
-	}
-	return leaser.follow(ctx, base, first)
+	case first.err == nil && first.statusCode == http.StatusServiceUnavailable:
+		return NotStarted{detail: "worker accepts no more tasks", leaving: first.closesConnection}
+	case first.err == nil && first.statusCode == http.StatusTooManyRequests:
+		return NotStarted{detail: "worker has no free capacity"}
+	case first.err == nil && first.statusCode != http.StatusOK:
+		return TaskFailed{status: LeaseStatus{State: Failed, Detail: http.StatusText(first.statusCode)}}
+	}
+	return leaser.renewUntilEnd(ctx, base, first)
 }
 
-// Usage returns what runs on the worker at address, as the worker reports it.
+// Usage returns the resource usage that the worker at address reports.
 func (leaser *Leaser) Usage(ctx context.Context, address string) (UsageReport, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/usage", nil)
 	if err != nil {
-		return UsageReport{}, eris.Wrap(err, "preparing a usage request")
+		return UsageReport{}, eris.Wrap(err, "creating a usage request")
 	}
 	response, err := leaser.client.Do(request)
 	if err != nil {
-		return UsageReport{}, eris.Wrap(err, "asking for usage")
+		return UsageReport{}, eris.Wrap(err, "requesting usage")
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return UsageReport{}, eris.Errorf("the worker answered %s", response.Status)
+		return UsageReport{}, eris.Errorf("requesting usage: unexpected status %s", response.Status)
 	}
 	var report UsageReport
 	err = json.NewDecoder(io.LimitReader(response.Body, maxStatusBytes)).Decode(&report)
 	return report, eris.Wrap(err, "decoding usage")
 }
 
-// follow renews the lease until the worker reports an end. After a lost answer to the start it asks for the
-// state instead of starting again: the worker may know the lease.
-func (leaser *Leaser) follow(ctx context.Context, base string, last answer) Result {
-	request := LeaseRequest{LeaseMS: leaseTime.Milliseconds(), WaitMS: renewAfter.Milliseconds()}
+// renewUntilEnd renews the lease until the worker reports that the task has ended. After a lost response to the start
+// it requests the state instead of starting the task again, because the worker may already hold the lease.
+func (leaser *Leaser) renewUntilEnd(ctx context.Context, base string, last reply) Result {
+	request := LeaseRequest{LeaseMS: leaseDuration.Milliseconds(), WaitMS: renewInterval.Milliseconds()}
 	for {
-		if result, ok := last.ending(); ok {
+		if result, ok := last.finalResult(); ok {
 			return result
 		}
 		if last.err != nil && !sleeper.For(ctx, retryDelay) || ctx.Err() != nil {
-			return Lost{detail: last.describe()}
+			return Lost{detail: last.failureDetail()}
 		}
 		last = leaser.exchange(ctx, http.MethodPost, base+"/renew", request)
 	}
 }
 
-// ending returns the end of the task if the worker reported one.
-func (answer answer) ending() (Result, bool) {
+// finalResult returns the result of the task if the reply determines it.
+func (reply reply) finalResult() (Result, bool) {
 	switch {
-	case answer.err != nil:
+	case reply.err != nil:
 		return nil, false
-	case answer.code == http.StatusNotFound:
-		// The start may still be on its way to the worker, so this is no proof that the task did not start.
+	case reply.statusCode == http.StatusNotFound:
+		// The start request may still be in transit, so this does not prove that the task did not start.
 		return Lost{detail: "worker does not know the lease"}, true
-	case answer.code != http.StatusOK:
-		return Lost{detail: http.StatusText(answer.code)}, true
+	case reply.statusCode != http.StatusOK:
+		return Lost{detail: http.StatusText(reply.statusCode)}, true
 	}
-	switch answer.status.State {
+	switch reply.status.State {
 	case Finished:
-		return Completed{status: answer.status}, true
+		return Completed{status: reply.status}, true
 	case Failed, Stopped, Lapsed:
-		return TaskFailed{status: answer.status}, true
+		return TaskFailed{status: reply.status}, true
 	default:
 		return nil, false
 	}
 }
 
-func (answer answer) describe() string {
-	if answer.err != nil {
-		return answer.err.Error()
+// failureDetail describes why the result of the task is not known.
+func (reply reply) failureDetail() string {
+	if reply.err != nil {
+		return reply.err.Error()
 	}
 	return "the deadline passed while the task was running"
 }
 
-func (leaser *Leaser) exchange(ctx context.Context, method, url string, body LeaseRequest) answer {
+// exchange sends one lease request, bounded by renewTimeout.
+func (leaser *Leaser) exchange(ctx context.Context, method, url string, body LeaseRequest) reply {
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		return answer{err: err}
+		return reply{err: err}
 	}
 	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
 	var sent atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
-	// A body without GetBody keeps net/http from sending the request again on a stale connection.
+	// Without GetBody, net/http cannot send the request again on another connection when the first is stale.
 	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), method, url, io.NopCloser(bytes.NewReader(encoded)))
 	if err != nil {
-		return answer{err: err}
+		return reply{err: err}
 	}
 	request.ContentLength = int64(len(encoded))
 	response, err := leaser.client.Do(request)
 	if err != nil {
-		return answer{err: err, sent: sent.Load()}
+		return reply{err: err, sent: sent.Load()}
 	}
 	defer response.Body.Close()
-	result := answer{code: response.StatusCode, closing: response.Close, sent: true}
+	result := reply{statusCode: response.StatusCode, closesConnection: response.Close, sent: true}
 	if response.StatusCode == http.StatusOK {
 		result.err = json.NewDecoder(io.LimitReader(response.Body, maxStatusBytes)).Decode(&result.status)
 	}
--- a/leaser/leaser_test.go
+++ b/leaser/leaser_test.go
@@ -22,7 +22,8 @@
 	return dispatcher.NewTask("task-1", payload)
 }
 
-// Guards against a second start after a lost answer, and against a wrong claim that a task did not start.
+// Guards against starting a task a second time after a lost response, and against reporting a started task as not
+// started.
 func TestRun(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -32,7 +33,7 @@
 		starts int
 	}{
 		{"finishes", emulator.WorkerHealthy, task(10, 100), "leaser.Completed", 1},
-		{"answer to the start is lost", emulator.WorkerLosesAnswers, task(10, 100), "leaser.Completed", 1},
+		{"response to the start is lost", emulator.WorkerLosesAnswers, task(10, 100), "leaser.Completed", 1},
 		{"task fails", emulator.WorkerFailing, task(10, 100), "leaser.TaskFailed", 1},
 		{"guard stops the task", emulator.WorkerHealthy, task(10, 5000), "leaser.TaskFailed", 1},
 		{"worker leaves", emulator.WorkerLeaving, task(10, 100), "leaser.NotStarted", 0},
@@ -55,7 +56,7 @@
 	}
 }
 
-// Guards against calling a start lost when no connection was made.
+// Guards against reporting a task as lost when no connection to the worker was made.
 func TestUnreachableWorkerIsNotStarted(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -67,7 +68,8 @@
 	is.True(ok)
 }
 
-// Guards against trusting a lease that lapsed while its holder was paused: the worker's word decides.
+// Guards against assuming that a lease is still valid after its holder was paused: the state reported by the worker
+// decides.
 func TestLapsedLeaseIsReportedByTheWorker(t *testing.T) {
 	is := is.New(t)
 	handler := http.NewServeMux()
--- a/leaser/wire.go
+++ b/leaser/wire.go
@@ -17,39 +17,39 @@
 	Finished State = "finished"
 	// Failed means that the task ended with an error.
 	Failed State = "failed"
-	// Stopped means that the worker's guard stopped the task.
+	// Stopped means that the worker stopped the task because it exceeded its size.
 	Stopped State = "stopped"
-	// Lapsed means that the lease ran out and the worker stopped the task.
+	// Lapsed means that the lease expired and the worker stopped the task.
 	Lapsed State = "lapsed"
 )
 
-// GuardAction is what the worker did to a task that exceeded its size.
+// GuardAction is the action that the worker took on a task that exceeded its size.
 type GuardAction string
 
-// Actions of the guard.
+// Guard actions.
 const (
-	// GuardNone means that the guard did not act.
+	// GuardNone means that no action was taken.
 	GuardNone GuardAction = ""
-	// GuardThrottled means that the task got less processor time.
+	// GuardThrottled means that the CPU time of the task was limited.
 	GuardThrottled GuardAction = "throttled"
-	// GuardCheckpointed means that the task was saved and resumed by the worker.
+	// GuardCheckpointed means that the task was checkpointed and resumed.
 	GuardCheckpointed GuardAction = "checkpointed"
 	// GuardStopped means that the task was stopped.
 	GuardStopped GuardAction = "stopped"
 )
 
-// LeaseRequest is the body of PUT /leases/{id}, which starts a task, and of POST /leases/{id}/renew.
+// LeaseRequest is the request body of PUT /leases/{id}, which starts a task, and of POST /leases/{id}/renew.
 type LeaseRequest struct {
 	Kind    string          `json:"kind,omitempty"`
 	Payload json.RawMessage `json:"payload,omitempty"`
 	Size    placer.Size     `json:"size"`
-	// LeaseMS is how long the lease is valid from its receipt, in milliseconds.
+	// LeaseMS is the validity of the lease in milliseconds, counted from when the worker receives the request.
 	LeaseMS int64 `json:"lease-ms"`
-	// WaitMS is how long the worker may hold its answer until the task ends, in milliseconds.
+	// WaitMS is the maximum time in milliseconds for which the worker may delay its response while the task runs.
 	WaitMS int64 `json:"wait-ms"`
 }
 
-// LeaseStatus is the worker's answer.
+// LeaseStatus is the response body of a lease request.
 type LeaseStatus struct {
 	State  State           `json:"state"`
 	Guard  GuardAction     `json:"guard,omitempty"`
@@ -58,7 +58,7 @@
 	Detail string          `json:"detail,omitempty"`
 }
 
-// UsageReport is the body of GET /usage; it describes the worker as it was AgeMS milliseconds ago.
+// UsageReport is the response body of GET /usage. It describes the worker as it was AgeMS milliseconds ago.
 type UsageReport struct {
 	Used  placer.Size `json:"used"`
 	AgeMS int64       `json:"age-ms"`
--- a/lister/doc.go
+++ b/lister/doc.go
@@ -1,3 +1,2 @@
-// Package lister is the HTTP client of the platform's list of instances, which
-// lags behind what happens.
+// Package lister provides an HTTP client for the platform's list of instances. The list is eventually consistent.
 package lister
--- a/lister/lister.go
+++ b/lister/lister.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// MaxResponseBytes bounds what is read of one response of the list.
+	// MaxResponseBytes is the maximum number of bytes read from one response.
 	MaxResponseBytes = 4 << 20
-	// requestTimeout bounds one request, so that a list that hangs does not hold up the caller.
+	// requestTimeout bounds one request, so that an unresponsive server does not block the caller.
 	requestTimeout = 3 * time.Second
 )
 
-// State says whether an instance is in service.
+// State is the state of an instance as seen by the platform.
 type State string
 
 // States of an instance.
 const (
-	// Live means that the platform counts the instance as in service.
+	// Live means that the instance is in service.
 	Live State = "live"
-	// Leaving means that the instance will stop.
+	// Leaving means that the instance is about to stop.
 	Leaving State = "leaving"
 )
 
@@ -34,34 +34,34 @@
 type Instance struct {
 	Name          string `json:"name"`
 	FailureDomain string `json:"failure-domain"`
-	// Address is the host and port that the instance serves on.
+	// Address is the host and port that the instance listens on.
 	Address string `json:"address"`
 	State   State  `json:"state"`
 }
 
-// InstanceList is the list's response.
+// InstanceList is the response body of a list request.
 type InstanceList struct {
 	Instances []Instance `json:"instances"`
 }
 
 // Lister reads the list of instances.
 type Lister struct {
-	base   string
-	client *http.Client
+	baseURL string
+	client  *http.Client
 }
 
-// New returns a client of the list at address, a host and port.
+// New returns a client for the list served at address, a host and port.
 func New(address string) *Lister {
-	return &Lister{base: "http://" + address, client: &http.Client{Timeout: requestTimeout}}
+	return &Lister{baseURL: "http://" + address, client: &http.Client{Timeout: requestTimeout}}
 }
 
-// Instances returns the instances that the list shows in failureDomain, sorted by name; the list lags, so
-// some may have gone and new ones may be missing.
+// Instances returns the instances listed in failureDomain, sorted by name. The list is eventually consistent: it may
+// still contain stopped instances and lack new ones.
 func (lister *Lister) Instances(ctx context.Context, failureDomain string) ([]Instance, error) {
-	target := lister.base + "/instances?failure-domain=" + url.QueryEscape(failureDomain)
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
+	listURL := lister.baseURL + "/instances?failure-domain=" + url.QueryEscape(failureDomain)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, listURL, nil)
 	if err != nil {
-		return nil, eris.Wrap(err, "preparing to read the instance list")
+		return nil, eris.Wrap(err, "creating the request for the instance list")
 	}
 	response, err := lister.client.Do(request)
 	if err != nil {
@@ -69,7 +69,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return nil, eris.Errorf("the instance list answered %s", response.Status)
+		return nil, eris.Errorf("reading the instance list: unexpected status %s", response.Status)
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, MaxResponseBytes))
 	if err != nil {
@@ -79,22 +79,23 @@
 	if err := json.Unmarshal(body, &list); err != nil {
 		return nil, eris.Wrap(err, "decoding the instance list")
 	}
-	if err := list.check(failureDomain); err != nil {
+	if err := list.validate(failureDomain); err != nil {
 		return nil, err
 	}
 	return list.Instances, nil
 }
 
-func (list InstanceList) check(failureDomain string) error {
+// validate checks that every instance is in failureDomain and has a name, a known state and a valid address.
+func (list InstanceList) validate(failureDomain string) error {
 	for _, instance := range list.Instances {
 		if instance.Name == "" || instance.FailureDomain != failureDomain {
-			return eris.Errorf("the instance list shows %q of failure domain %q, expected one of %q", instance.Name, instance.FailureDomain, failureDomain)
+			return eris.Errorf("instance list entry %q has failure domain %q, expected %q", instance.Name, instance.FailureDomain, failureDomain)
 		}
 		if instance.State != Live && instance.State != Leaving {
-			return eris.Errorf("the instance list shows %s in the unknown state %q", instance.Name, instance.State)
+			return eris.Errorf("instance list entry %s has unknown state %q", instance.Name, instance.State)
 		}
 		if _, _, err := net.SplitHostPort(instance.Address); err != nil {
-			return eris.Wrapf(err, "the instance list shows %s at the address %q", instance.Name, instance.Address)
+			return eris.Wrapf(err, "instance list entry %s has invalid address %q", instance.Name, instance.Address)
 		}
 	}
 	return nil
--- a/lister/lister_test.go
+++ b/lister/lister_test.go
@@ -14,7 +14,8 @@
 	"github.com/hyssoplift/hyssoplift/lister"
 )
 
-// Guards against a stand-in that shows changes at once or out of order, which would hide faults of its readers.
+// Guards against an emulated list that shows changes immediately or out of order, so that tests of its readers miss
+// faults which only a delayed list reveals.
 func TestListShowsChangesAfterTheLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -37,7 +38,7 @@
 	})
 }
 
-// Guards against a list that is malformed or down and is taken for an empty one.
+// Guards against treating a malformed or failed response as an empty list.
 func TestBadListsAreErrors(t *testing.T) {
 	tests := []struct {
 		name   string
--- a/submitter/doc.go
+++ b/submitter/doc.go
@@ -1,3 +1,2 @@
-// Package submitter is the caller's library: it submits jobs to an entry
-// instance and returns their whole answers.
+// Package submitter is the client library: it submits jobs to an entry instance and returns their complete answers.
 package submitter
--- a/submitter/submitter.go
+++ b/submitter/submitter.go
@@ -20,38 +20,37 @@
 const (
 	maxAnswerBytes = 256 << 20
 	maxPrefixBytes = 4096
-	// maxConnections bounds the idle connections kept; more jobs at a time open further ones.
-	maxConnections = 256
-	// firstDelay and lastDelay bound the doubling delay before a resubmission.
-	firstDelay = 20 * time.Millisecond
-	lastDelay  = 2 * time.Second
-	// grace is how long after a job's deadline its answer may still arrive.
-	grace = 2 * time.Second
+	// maxIdleConnections is the number of idle connections kept open; more concurrent jobs open further connections.
+	maxIdleConnections = 256
+	// minRetryDelay and maxRetryDelay bound the exponential backoff between resubmissions.
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = 2 * time.Second
+	// answerGrace is how long after a job's deadline its answer may still arrive.
+	answerGrace = 2 * time.Second
 )
 
-// Submitter submits jobs to one deployment; it is safe for concurrent use.
+// Submitter submits jobs to one deployment. It is safe for concurrent use.
 type Submitter struct {
-	base         string
-	client       *http.Client
-	prefix       atomic.Pointer[string]
-	resubmission atomic.Int64
+	baseURL       string
+	client        *http.Client
+	prefix        atomic.Pointer[string]
+	resubmissions atomic.Int64
 }
 
 // New returns a submitter for the balancer or instance at address, a host and port.
 func New(address string) *Submitter {
-	transport := &http.Transport{MaxIdleConnsPerHost: maxConnections}
-	return &Submitter{base: "http://" + address, client: &http.Client{Transport: transport}}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}
+	return &Submitter{baseURL: "http://" + address, client: &http.Client{Transport: transport}}
 }
 
-// Resubmissions returns how many jobs were sent again under their key.
-func (submitter *Submitter) Resubmissions() int64 { return submitter.resubmission.Load() }
+// Resubmissions returns how many times a job was sent again under its key.
+func (submitter *Submitter) Resubmissions() int64 { return submitter.resubmissions.Load() }
 
-// Submit sends job, waits for its answer and returns it with the job's key. A job without a key gets an
-// issued one if the deployment issues keys. When the connection is lost or the outcome cannot be determined
-// yet, the job is sent again under the same key until its deadline. After an error the job may or may not
-// have run.
+// Submit sends job, waits for its answer and returns the outcome with the job's key. A job without a key is given one
+// with a prefix issued by the deployment, if it issues any. If the connection is lost or the outcome is unknown, the
+// job is sent again under the same key until its deadline. After an error the job may or may not have run.
 func (submitter *Submitter) Submit(ctx context.Context, job dispatcher.Job) (dispatcher.Outcome, string, error) {
-	ctx, cancel := context.WithDeadline(ctx, job.Deadline().Add(grace))
+	ctx, cancel := context.WithDeadline(ctx, job.Deadline().Add(answerGrace))
 	defer cancel()
 	if job.Key() == "" {
 		if prefix := submitter.keyPrefix(ctx); prefix != "" {
@@ -59,22 +58,22 @@
 		}
 	}
 	var last dispatcher.Outcome
-	for delay := firstDelay; ; delay = min(2*delay, lastDelay) {
+	for delay := minRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
 		outcome, key, err := submitter.attempt(ctx, job)
-		// Without a key the job cannot be recognised, and sending it again could run it twice.
+		// Without a key the server cannot detect a duplicate, so sending the job again could run it twice.
 		if job.Key() == "" || err == nil && !isUnknown(outcome) {
 			return outcome, key, err
 		}
 		if err == nil {
 			last = outcome
 		}
-		if !sleep(ctx, sleeper.Jitter(delay), job.Deadline()) {
+		if !waitToResubmit(ctx, sleeper.Jitter(delay), job.Deadline()) {
 			if last != nil {
 				return last, job.Key(), nil
 			}
 			return nil, job.Key(), err
 		}
-		submitter.resubmission.Add(1)
+		submitter.resubmissions.Add(1)
 	}
 }
 
@@ -83,25 +82,27 @@
 	return unknown
 }
 
-// sleep waits for delay and reports whether the job may be sent again before deadline.
-func sleep(ctx context.Context, delay time.Duration, deadline time.Time) bool {
+// waitToResubmit sleeps for delay and reports whether the job may then be sent again. It returns false at once if the
+// delay would end after deadline.
+func waitToResubmit(ctx context.Context, delay time.Duration, deadline time.Time) bool {
 	if time.Now().Add(delay).After(deadline) {
 		return false
 	}
 	return sleeper.For(ctx, delay)
 }
 
+// attempt submits the job once.
 func (submitter *Submitter) attempt(ctx context.Context, job dispatcher.Job) (dispatcher.Outcome, string, error) {
 	body, err := encoder.EncodeJob(job, time.Now())
 	if err != nil {
 		return nil, job.Key(), eris.Wrap(err, "encoding the job")
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, submitter.base+"/v1/jobs", bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, submitter.baseURL+"/v1/jobs", bytes.NewReader(body))
 	if err != nil {
-		return nil, job.Key(), eris.Wrap(err, "preparing the request")
+		return nil, job.Key(), eris.Wrap(err, "creating the request")
 	}
 	if job.Key() == "" {
-		// Without GetBody, net/http cannot send a job twice that nobody could recognise.
+		// Without GetBody, net/http cannot send the job again; without a key the server could not detect the duplicate.
 		request.GetBody = nil
 	} else {
 		request.Header.Set("Idempotency-Key", job.Key())
@@ -112,24 +113,24 @@
 		return nil, job.Key(), eris.Wrapf(err, "submitting job %s", job.Key())
 	}
 	defer response.Body.Close()
-	submitter.notePrefix(response.Header.Get("Hyssoplift-Key-Prefix"))
+	submitter.storePrefix(response.Header.Get("Hyssoplift-Key-Prefix"))
 	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, job.Key(), eris.Wrapf(err, "reading the answer to job %s", job.Key())
 	}
 	outcome, key, err := encoder.DecodeOutcome(answer, response.Header.Get("Retry-After"), time.Now())
 	if err == nil && job.Key() != "" && key != "" && key != job.Key() {
-		return nil, job.Key(), eris.Errorf("job %s got the answer to job %s", job.Key(), key)
+		return nil, job.Key(), eris.Errorf("submitting job %s: received the answer to job %s", job.Key(), key)
 	}
 	return outcome, key, err
 }
 
-// keyPrefix returns a key prefix, or an empty string if the deployment issues none now.
+// keyPrefix returns a key prefix, or an empty string if the deployment currently issues none.
 func (submitter *Submitter) keyPrefix(ctx context.Context) string {
 	if prefix := submitter.prefix.Load(); prefix != nil {
 		return *prefix
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, submitter.base+"/v1/key-prefix", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, submitter.baseURL+"/v1/key-prefix", nil)
 	if err != nil {
 		return ""
 	}
@@ -139,16 +140,16 @@
 	}
 	defer response.Body.Close()
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxPrefixBytes))
-	submitter.notePrefix(response.Header.Get("Hyssoplift-Key-Prefix"))
+	submitter.storePrefix(response.Header.Get("Hyssoplift-Key-Prefix"))
 	if prefix := submitter.prefix.Load(); prefix != nil {
 		return *prefix
 	}
 	return ""
 }
 
-// notePrefix keeps the latest prefix; newer ones expire later. A solo prefix is not kept, because a job
-// under it cannot move to another instance.
-func (submitter *Submitter) notePrefix(prefix string) {
+// storePrefix stores the latest prefix, since newer prefixes expire later. It ignores solo prefixes, because a job
+// under one cannot move to another instance.
+func (submitter *Submitter) storePrefix(prefix string) {
 	if prefix != "" && !strings.Contains(prefix, ".solo") {
 		submitter.prefix.Store(&prefix)
 	}
--- a/submitter/submitter_test.go
+++ b/submitter/submitter_test.go
@@ -15,7 +15,8 @@
 	"github.com/hyssoplift/hyssoplift/dispatcher"
 )
 
-// Guards against a lost connection that loses the job, or that submits it under another key.
+// Guards against losing a job, or submitting it again under another key, after the connection is lost or the outcome is
+// unknown. A job without a key must not be submitted again.
 func TestResubmissionKeepsTheKey(t *testing.T) {
 	const prefix = "~local.7.3."
 	tests := []struct {
