--- a/starter/bench_test.go
+++ b/starter/bench_test.go
@@ -16,8 +16,9 @@
 
 const benchPayload = `{"loop":"floor-2/room-17/loop-3","supply-c":38.5,"return-c":31.2,"flow-l-min":2.4,"manifold":"m-4"}`
 
-// serveFixed answers each request that ends in benchPayload with a fixed result and counts bytes both ways.
-// It parses nothing, so that the target's share of the measured CPU time is little more than its system calls.
+// serveFixed responds to each request that ends in benchPayload with a fixed result and counts bytes in both
+// directions. It parses nothing, so that the target's share of the measured CPU time is little more than its system
+// calls.
 func serveFixed(b *testing.B, traffic *atomic.Int64) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -55,7 +56,7 @@
 	return listener.Addr().String()
 }
 
-// cpuNanoseconds returns the user and system time of the process; wall time says little about work over sockets.
+// cpuNanoseconds returns the user and system CPU time of the process; wall time says little about work over sockets.
 func cpuNanoseconds() float64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -68,7 +69,7 @@
 	for _, count := range []int{1, 10, 130} {
 		b.Run(fmt.Sprintf("tasks=%d", count), func(b *testing.B) {
 			var traffic atomic.Int64
-			// Jobs spread over several targets, so that the 60 connections per target suffice.
+			// Jobs are spread over several targets, so that the 60 connections per target suffice.
 			addresses := []string{serveFixed(b, &traffic), serveFixed(b, &traffic), serveFixed(b, &traffic)}
 			starter := New()
 			task := dispatcher.NewTask("task", json.RawMessage(benchPayload))
--- a/starter/doc.go
+++ b/starter/doc.go
@@ -1,3 +1,3 @@
-// Package starter starts tasks on targets over HTTP and classifies every
-// failure by whether the task provably did not start.
+// Package starter starts tasks on targets over HTTP and classifies every failure by whether the task provably did not
+// start.
 package starter
--- a/starter/pool.go
+++ b/starter/pool.go
@@ -14,61 +14,62 @@
 	dialer net.Dialer
 
 	mu    sync.Mutex
-	hosts map[string]*host
-	// sweeping says that a sweep of idle connections is due.
-	sweeping bool
+	hosts map[string]*hostConns
+	// closeIdleScheduled is true while a timer for closeIdle is running.
+	closeIdleScheduled bool
 }
 
-// host holds the connections to one target.
-type host struct {
-	// idle is a stack: the connection used last is the one least likely to have gone silent.
+// hostConns holds the connections to one target.
+type hostConns struct {
+	// idle is a stack: the most recently used connection is the least likely to have been dropped by a firewall.
 	idle []*conn
 	open int
-	// waiting are starts that wait for a connection, in the order of their arrival.
+	// waiting holds the callers that wait for a connection, in order of arrival.
 	waiting []chan *conn
 }
 
 func newPool() *pool {
-	return &pool{dialer: net.Dialer{Timeout: dialTimeout}, hosts: make(map[string]*host)}
+	return &pool{dialer: net.Dialer{Timeout: dialTimeout}, hosts: make(map[string]*hostConns)}
 }
 
-// get returns a connection to address; after an error no byte was written.
+// get returns a connection to address. After an error no byte has been written.
 func (pool *pool) get(ctx context.Context, address string) (*conn, error) {
 	pool.mu.Lock()
-	known := pool.hosts[address]
-	if known == nil {
-		known = &host{}
-		pool.hosts[address] = known
+	host := pool.hosts[address]
+	if host == nil {
+		host = &hostConns{}
+		pool.hosts[address] = host
 	}
-	for len(known.idle) > 0 {
-		last := len(known.idle) - 1
-		conn := known.idle[last]
-		known.idle[last] = nil
-		known.idle = known.idle[:last]
+	for len(host.idle) > 0 {
+		last := len(host.idle) - 1
+		conn := host.idle[last]
+		host.idle[last] = nil
+		host.idle = host.idle[:last]
 		if conn.usable(time.Now()) {
 			pool.mu.Unlock()
 			return conn, nil
 		}
-		known.open--
+		host.open--
 		_ = conn.Close()
 	}
-	if known.open < maxConnections {
-		known.open++
+	if host.open < maxConnections {
+		host.open++
 		pool.mu.Unlock()
 		return pool.dial(ctx, address)
 	}
-	turn := make(chan *conn, 1)
-	known.waiting = append(known.waiting, turn)
+	waiter := make(chan *conn, 1)
+	host.waiting = append(host.waiting, waiter)
 	pool.mu.Unlock()
-	return pool.await(ctx, address, turn)
+	return pool.awaitConn(ctx, address, waiter)
 }
 
+// dial opens a connection. The caller has already counted it in hostConns.open.
 func (pool *pool) dial(ctx context.Context, address string) (*conn, error) {
 	socket, err := pool.dialer.DialContext(ctx, "tcp", address)
 	if err == nil {
-		var made *conn
-		if made, err = newConn(socket); err == nil {
-			return made, nil
+		var opened *conn
+		if opened, err = newConn(socket); err == nil {
+			return opened, nil
 		}
 		_ = socket.Close()
 	}
@@ -76,99 +77,100 @@
 	return nil, eris.Wrap(err, "connecting to the target")
 }
 
-// await waits for a connection or, given a nil one, for the right to dial.
-func (pool *pool) await(ctx context.Context, address string, turn chan *conn) (*conn, error) {
-	var given *conn
+// awaitConn waits for a connection. If it receives nil instead, the caller may dial a new one.
+func (pool *pool) awaitConn(ctx context.Context, address string, waiter chan *conn) (*conn, error) {
+	var received *conn
 	select {
-	case given = <-turn:
+	case received = <-waiter:
 	case <-ctx.Done():
-		pool.leave(address, turn)
+		pool.cancelWait(address, waiter)
 		return nil, eris.Wrap(ctx.Err(), "waiting for a connection to the target")
 	}
-	if given == nil {
+	if received == nil {
 		return pool.dial(ctx, address)
 	}
-	return given, nil
+	return received, nil
 }
 
-// leave ends a wait, and passes on what was given meanwhile.
-func (pool *pool) leave(address string, turn chan *conn) {
+// cancelWait removes the waiter, and passes on a connection that it received in the meantime.
+func (pool *pool) cancelWait(address string, waiter chan *conn) {
 	pool.mu.Lock()
-	known := pool.hosts[address]
-	for i, other := range known.waiting {
-		if other == turn {
-			known.waiting = append(known.waiting[:i], known.waiting[i+1:]...)
+	host := pool.hosts[address]
+	for i, other := range host.waiting {
+		if other == waiter {
+			host.waiting = append(host.waiting[:i], host.waiting[i+1:]...)
 			pool.mu.Unlock()
 			return
 		}
 	}
 	pool.mu.Unlock()
-	if given := <-turn; given != nil {
-		pool.put(address, given)
+	if received := <-waiter; received != nil {
+		pool.put(address, received)
 	} else {
 		pool.drop(address, nil)
 	}
 }
 
-// put gives a connection back for another start.
+// put returns a connection to the pool for another start.
 func (pool *pool) put(address string, conn *conn) {
 	conn.idleSince = time.Now()
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	known := pool.hosts[address]
-	if len(known.waiting) > 0 {
-		next := known.waiting[0]
-		known.waiting = known.waiting[1:]
+	host := pool.hosts[address]
+	if len(host.waiting) > 0 {
+		next := host.waiting[0]
+		host.waiting = host.waiting[1:]
 		next <- conn
 		return
 	}
-	known.idle = append(known.idle, conn)
-	if !pool.sweeping {
-		pool.sweeping = true
-		time.AfterFunc(idleLimit, pool.sweep)
+	host.idle = append(host.idle, conn)
+	if !pool.closeIdleScheduled {
+		pool.closeIdleScheduled = true
+		time.AfterFunc(idleTimeout, pool.closeIdle)
 	}
 }
 
-// drop closes a connection, nil for one that was never made, and lets a waiting start dial in its place.
+// drop closes a connection, or accounts for a failed dial if conn is nil, and lets a waiting start dial in its place.
 func (pool *pool) drop(address string, conn *conn) {
 	if conn != nil {
 		_ = conn.Close()
 	}
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	known := pool.hosts[address]
-	if len(known.waiting) > 0 {
-		next := known.waiting[0]
-		known.waiting = known.waiting[1:]
+	host := pool.hosts[address]
+	if len(host.waiting) > 0 {
+		next := host.waiting[0]
+		host.waiting = host.waiting[1:]
 		next <- nil
 		return
 	}
-	known.open--
-	if known.open == 0 && len(known.idle) == 0 {
+	host.open--
+	if host.open == 0 && len(host.idle) == 0 {
 		delete(pool.hosts, address)
 	}
 }
 
-// sweep closes connections that were idle for too long, and comes back while any is left.
-func (pool *pool) sweep() {
+// closeIdle closes connections that have been idle for too long, and schedules itself again while any idle connection
+// is left.
+func (pool *pool) closeIdle() {
 	now := time.Now()
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	pool.sweeping = false
-	for address, known := range pool.hosts {
-		old := 0
-		for old < len(known.idle) && now.Sub(known.idle[old].idleSince) >= idleLimit {
-			_ = known.idle[old].Close()
-			old++
+	pool.closeIdleScheduled = false
+	for address, host := range pool.hosts {
+		expired := 0
+		for expired < len(host.idle) && now.Sub(host.idle[expired].idleSince) >= idleTimeout {
+			_ = host.idle[expired].Close()
+			expired++
 		}
-		known.idle = append(known.idle[:0], known.idle[old:]...)
-		known.open -= old
-		pool.sweeping = pool.sweeping || len(known.idle) > 0
-		if known.open == 0 {
+		host.idle = append(host.idle[:0], host.idle[expired:]...)
+		host.open -= expired
+		pool.closeIdleScheduled = pool.closeIdleScheduled || len(host.idle) > 0
+		if host.open == 0 {
 			delete(pool.hosts, address)
 		}
 	}
-	if pool.sweeping {
-		time.AfterFunc(idleLimit, pool.sweep)
+	if pool.closeIdleScheduled {
+		time.AfterFunc(idleTimeout, pool.closeIdle)
 	}
 }
--- a/starter/starter.go
+++ b/starter/starter.go
@@ -16,18 +16,18 @@
 
 const (
 	dialTimeout = time.Second
-	// idleLimit bounds how long an unused connection may serve for another start: firewalls forget idle
-	// connections silently, and a start on such a connection would end with its outcome unknown.
-	idleLimit = 5 * time.Second
+	// idleTimeout bounds how long an idle connection may be reused: firewalls silently drop idle connections, and a
+	// start on such a connection would end with an unknown outcome.
+	idleTimeout = 5 * time.Second
 	// maxResultBytes bounds the result of one task.
 	maxResultBytes = 1 << 20
-	// maxResponseBytes bounds a response with its headers.
+	// maxResponseBytes bounds a response including its headers.
 	maxResponseBytes = maxResultBytes + 64<<10
 	// maxConnections is the number of connections that a runner accepts.
 	maxConnections = 60
 )
 
-// Result is what became of one start: Success, NotStarted, Rejected or Lost.
+// Result is the result of one start: Success, NotStarted, TaskFailed or Lost.
 type Result interface{ isResult() }
 
 // Success means that the target returned a result.
@@ -39,7 +39,7 @@
 	leaving bool
 }
 
-// TaskFailed means that the target ran the task and reported an error.
+// TaskFailed means that the target ran the task and reported an error or an invalid result.
 type TaskFailed struct{ detail string }
 
 // Lost means that the task may have started and no result arrived.
@@ -53,15 +53,16 @@
 // NewSuccess returns a success with result, a JSON value.
 func NewSuccess(result json.RawMessage) Success { return Success{result: result} }
 
-// NewNotStarted returns a start that provably did not happen; leaving means that the target takes no more work.
+// NewNotStarted returns the result of a start that provably did not happen. leaving means that the target accepts no
+// more tasks.
 func NewNotStarted(detail string, leaving bool) NotStarted {
 	return NotStarted{detail: detail, leaving: leaving}
 }
 
-// NewTaskFailed returns an error that the target reported.
+// NewTaskFailed returns the result of a task for which the target reported an error.
 func NewTaskFailed(detail string) TaskFailed { return TaskFailed{detail: detail} }
 
-// NewLost returns a start without a known result.
+// NewLost returns the result of a start whose outcome is unknown.
 func NewLost(detail string) Lost { return Lost{detail: detail} }
 
 // Result returns the JSON value that the target returned.
@@ -70,7 +71,7 @@
 // Detail returns why the task did not start.
 func (notStarted NotStarted) Detail() string { return notStarted.detail }
 
-// Leaving reports whether the target said that it takes no more work.
+// Leaving reports whether the target accepts no more tasks.
 func (notStarted NotStarted) Leaving() bool { return notStarted.leaving }
 
 // Detail returns the target's error.
@@ -82,11 +83,11 @@
 // Starter starts tasks on runners.
 type Starter struct{ pool *pool }
 
-// New returns a starter with its own pool of connections.
+// New returns a starter with its own connection pool.
 func New() *Starter { return &Starter{pool: newPool()} }
 
-// Start runs task on the runner at address and returns what became of it; it starts the task at most once.
-// A non-empty traceParent is passed on.
+// Start runs task on the runner at address and returns the result. It starts the task at most once. A non-empty
+// traceParent is passed on to the runner.
 func (starter *Starter) Start(ctx context.Context, address, kind, traceParent string, task dispatcher.Task) Result {
 	buffer := buffers.Get().(*bytes.Buffer)
 	defer buffers.Put(buffer)
@@ -99,7 +100,7 @@
 	if err != nil {
 		return NotStarted{detail: err.Error()}
 	}
-	result, reusable := exchange(ctx, conn, request, buffer.Bytes())
+	result, reusable := roundTrip(ctx, conn, request, buffer.Bytes())
 	if reusable {
 		starter.pool.put(address, conn)
 	} else {
@@ -129,8 +130,8 @@
 	return request
 }
 
-// exchange sends the request once and reads its response; it reports whether the connection may carry another.
-func exchange(ctx context.Context, conn *conn, request *http.Request, encoded []byte) (Result, bool) {
+// roundTrip sends the request once and reads its response. It reports whether the connection can be reused.
+func roundTrip(ctx context.Context, conn *conn, request *http.Request, encoded []byte) (Result, bool) {
 	if err := ctx.Err(); err != nil {
 		return NotStarted{detail: err.Error()}, true
 	}
@@ -139,24 +140,24 @@
 		return NotStarted{detail: err.Error()}, false
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
-	// A connection whose deadline the end of ctx may still move is not used again.
-	ended := func(result Result, reusable bool) (Result, bool) { return result, stop() && reusable }
-	conn.budget = maxResponseBytes
+	// The connection is not reused if ctx is done, because the cancellation may still change its deadline.
+	finish := func(result Result, reusable bool) (Result, bool) { return result, stop() && reusable }
+	conn.remaining = maxResponseBytes
 	if written, err := conn.Write(encoded); err != nil {
 		if written == 0 {
-			return ended(NotStarted{detail: err.Error()}, false)
+			return finish(NotStarted{detail: err.Error()}, false)
 		}
-		return ended(Lost{detail: err.Error()}, false)
+		return finish(Lost{detail: err.Error()}, false)
 	}
 	response, err := readResponse(conn, request)
 	if err != nil {
-		return ended(Lost{detail: err.Error()}, false)
+		return finish(Lost{detail: err.Error()}, false)
 	}
-	result, whole := classify(response)
-	return ended(result, whole && !response.Close && conn.reader.Buffered() == 0)
+	result, complete := classify(response)
+	return finish(result, complete && !response.Close && conn.reader.Buffered() == 0)
 }
 
-// readResponse skips informational responses.
+// readResponse returns the final response, skipping informational ones.
 func readResponse(conn *conn, request *http.Request) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(conn.reader, request)
@@ -166,20 +167,20 @@
 	}
 }
 
-// classify returns what the response says and whether it was read to its end.
+// classify converts the response to a result and reports whether its body was read completely.
 func classify(response *http.Response) (Result, bool) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxResultBytes+1))
-	whole := err == nil && len(body) <= maxResultBytes
+	complete := err == nil && len(body) <= maxResultBytes
 	switch {
 	case response.StatusCode == http.StatusServiceUnavailable:
-		return NotStarted{detail: response.Status, leaving: response.Close}, whole
+		return NotStarted{detail: response.Status, leaving: response.Close}, complete
 	case response.StatusCode == http.StatusTooManyRequests:
-		return NotStarted{detail: response.Status}, whole
+		return NotStarted{detail: response.Status}, complete
 	case response.StatusCode != http.StatusOK:
-		return TaskFailed{detail: response.Status}, whole
+		return TaskFailed{detail: response.Status}, complete
 	case err != nil:
 		return Lost{detail: err.Error()}, false
-	case !whole:
+	case !complete:
 		return TaskFailed{detail: fmt.Sprintf("result has more than %d bytes", maxResultBytes)}, false
 	case !json.Valid(body):
 		return TaskFailed{detail: "result is not valid JSON"}, true
--- a/starter/starter_test.go
+++ b/starter/starter_test.go
@@ -17,7 +17,7 @@
 	"github.com/hyssoplift/hyssoplift/dispatcher"
 )
 
-// target answers each request with what answer returns, and closes the connection if it returns nothing.
+// target responds to each request with what answer returns, and closes the connection if it returns an empty string.
 type target struct {
 	address string
 	starts  atomic.Int64
@@ -67,7 +67,8 @@
 
 var task = dispatcher.NewTask("a", []byte(`{"n":1}`))
 
-// Guards against a failure that is taken for "not started" without proof, or that starts the task again.
+// Guards against classifying a failure as "not started" without proof, and against starting the task again after a
+// failure.
 func TestFailuresAreClassified(t *testing.T) {
 	endless := func(*http.Request) string {
 		return "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxResponseBytes) + "\r\n\r\n"
@@ -119,7 +120,8 @@
 	}
 }
 
-// Guards against a start on a connection that the target closed while it was idle: its outcome would be unknown.
+// Guards against using a connection that the target closed while it was idle, which would leave the outcome of the
+// start unknown.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	is := is.New(t)
 	target := newTarget(t, func(*http.Request) string { return reply("200 OK", "", "7") })
@@ -129,7 +131,7 @@
 	for range 3 {
 		is.Equal(describe(starter.Start(ctx, target.address, "k", "", task)), "starter.Success{result:7}")
 	}
-	is.Equal(target.dials.Load(), int64(1)) // an open connection is kept
+	is.Equal(target.dials.Load(), int64(1)) // an open connection is reused
 	idle := starter.pool.hosts[target.address].idle[0]
 	is.NoErr(idle.Conn.(*net.TCPConn).CloseWrite()) // makes the target close its end
 	for idle.usable(time.Now()) {
@@ -137,12 +139,13 @@
 	}
 	is.Equal(describe(starter.Start(ctx, target.address, "k", "", task)), "starter.Success{result:7}")
 	is.Equal(target.dials.Load(), int64(2))
-	starter.pool.hosts[target.address].idle[0].idleSince = time.Now().Add(-idleLimit)
+	starter.pool.hosts[target.address].idle[0].idleSince = time.Now().Add(-idleTimeout)
 	is.Equal(describe(starter.Start(ctx, target.address, "k", "", task)), "starter.Success{result:7}")
-	is.Equal(target.dials.Load(), int64(3)) // one that was idle for too long may have gone silent
+	is.Equal(target.dials.Load(), int64(3)) // a connection past the idle timeout may have been dropped silently
 }
 
-// Guards against more connections than a target accepts, and against a wait for one that is taken for a start.
+// Guards against opening more connections than a target accepts, and against reporting a start as begun when it timed
+// out waiting for a connection.
 func TestConnectionsAreBounded(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
