--- a/linker/bench_test.go
+++ b/linker/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/hyssoplift/hyssoplift/keeper"
 )
 
-// mesh starts count linked nodes of one failure domain.
+// mesh starts count nodes of one failure domain with links between all of them.
 func mesh(tb testing.TB, count int) []*node {
 	var nodes []*node
 	for i := range count {
@@ -20,7 +20,7 @@
 	return nodes
 }
 
-// cpuTime returns the processor time that the process has used, in user and system mode.
+// cpuTime returns the user and system CPU time of the process.
 func cpuTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -29,7 +29,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// measure reports wire bytes, frames and processor time per message of all nodes together.
+// measure reports wire bytes, frames and CPU time per message, summed over all nodes.
 func measure(b *testing.B, nodes []*node, perRound int, round func()) {
 	bytesBefore, framesBefore := sent(nodes)
 	cpu := cpuTime(b)
@@ -62,8 +62,8 @@
 	return incarnations
 }
 
-// BenchmarkHeartbeat sends one heartbeat from every instance to every other per round; a message is one
-// heartbeat to one peer, sent and received.
+// BenchmarkHeartbeat sends one heartbeat from every instance to every other one per round. A message is one heartbeat
+// to one peer, sent and received.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, count := range []int{3, 9, 27} {
 		b.Run(fmt.Sprintf("peers=%d", count), func(b *testing.B) {
--- a/linker/call.go
+++ b/linker/call.go
@@ -8,60 +8,61 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrLinkClosed means that the link closed before the response came; the request may have taken effect.
+// ErrLinkClosed means that the link closed before the response arrived. The request may have taken effect.
 var ErrLinkClosed = eris.New("link closed before the response")
 
-// waiter is one caller that waits for the response to its request.
-type waiter struct {
+// pendingCall is a request that waits for its response.
+type pendingCall struct {
 	incarnation string
 	request     Request
 	response    chan Response
 }
 
-// calls matches responses to requests.
+// calls matches responses to pending requests.
 type calls struct {
 	mu      sync.Mutex
 	next    uint64
-	waiting map[uint64]waiter
+	pending map[uint64]pendingCall
 }
 
 func newCalls() *calls {
-	// A random start keeps an answer to an earlier incarnation from matching a request of this one.
-	return &calls{next: rand.Uint64(), waiting: make(map[uint64]waiter)}
+	// A random first ID prevents a response to an earlier incarnation from matching a request of this one.
+	return &calls{next: rand.Uint64(), pending: make(map[uint64]pendingCall)}
 }
 
-func (calls *calls) add(incarnation string, request Request) (uint64, Request, <-chan Response) {
+// register assigns an ID to request and returns it with the request and the channel that receives the response.
+func (calls *calls) register(incarnation string, request Request) (uint64, Request, <-chan Response) {
 	calls.mu.Lock()
 	defer calls.mu.Unlock()
 	calls.next++
 	request = request.withID(calls.next)
 	response := make(chan Response, 1)
-	calls.waiting[calls.next] = waiter{incarnation: incarnation, request: request, response: response}
+	calls.pending[calls.next] = pendingCall{incarnation: incarnation, request: request, response: response}
 	return calls.next, request, response
 }
 
 func (calls *calls) remove(id uint64) {
 	calls.mu.Lock()
 	defer calls.mu.Unlock()
-	delete(calls.waiting, id)
+	delete(calls.pending, id)
 }
 
-// settle hands response to the request that it belongs to and reports whether one waited: its number, its
-// sender and its subject must all match, and it must be the first answer.
-func (calls *calls) settle(incarnation string, response Response) bool {
+// complete delivers response to the request that it answers and reports whether there was one. The ID, the sender and
+// the subject must match. Only the first response to a request is delivered.
+func (calls *calls) complete(incarnation string, response Response) bool {
 	calls.mu.Lock()
 	defer calls.mu.Unlock()
-	waiter, ok := calls.waiting[response.requestID()]
-	if !ok || waiter.incarnation != incarnation || !waiter.request.answeredBy(response) {
+	call, ok := calls.pending[response.requestID()]
+	if !ok || call.incarnation != incarnation || !call.request.answeredBy(response) {
 		return false
 	}
-	delete(calls.waiting, response.requestID())
-	waiter.response <- response
+	delete(calls.pending, response.requestID())
+	call.response <- response
 	return true
 }
 
-// Call sends request to the instance and returns its response; after an error the request may have taken
-// effect unless the error is ErrNoLink or ErrQueueFull.
+// Call sends request to the instance and returns its response. After an error the request may have taken effect, unless
+// the error is ErrNoLink or ErrQueueFull.
 func (linker *Linker) Call(ctx context.Context, incarnation string, request Request) (Response, error) {
 	link := linker.link(incarnation)
 	if link == nil {
@@ -70,8 +71,9 @@
 	return linker.call(ctx, link, request)
 }
 
+// call sends request on link and waits for the response.
 func (linker *Linker) call(ctx context.Context, link *link, request Request) (Response, error) {
-	id, request, responses := linker.calls.add(link.remote.Incarnation, request)
+	id, request, responses := linker.calls.register(link.remote.Incarnation, request)
 	defer linker.calls.remove(id)
 	if err := linker.sendOn(link, request); err != nil {
 		return nil, err
--- a/linker/codec.go
+++ b/linker/codec.go
@@ -7,28 +7,28 @@
 	"github.com/hyssoplift/hyssoplift/dispatcher"
 )
 
-// Bounds of frames and messages.
+// Size limits of frames and messages.
 const (
-	// MaxFrameBytes is the largest frame.
+	// MaxFrameBytes is the maximum size of a frame.
 	MaxFrameBytes = 1 << 20
-	// MaxMessageBytes is the largest message, sent as parts if it exceeds a frame.
+	// MaxMessageBytes is the maximum size of a message. A message larger than a frame is sent in parts.
 	MaxMessageBytes = 16 << 20
-	// MaxElements is the largest number of elements in an array.
+	// MaxElements is the maximum number of elements in an array.
 	MaxElements = 4096
 
-	// partBytes is the payload of one part; the rest of the frame is left to its envelope.
+	// partBytes is the payload size of a part. The rest of the frame is left for the encoding around it.
 	partBytes = 512 << 10
-	// maxPairs is above the number of fields of every message, and the smallest value that the library allows is 16.
-	maxPairs = 16
-	// maxNesting is above the depth of a sync response, the deepest message.
+	// maxMapPairs exceeds the number of fields of every message. The CBOR library allows no value below 16.
+	maxMapPairs = 16
+	// maxNesting exceeds the nesting depth of a sync response, the most deeply nested message.
 	maxNesting = 8
-	// maxTextBytes bounds names, keys and other short text.
+	// maxTextBytes bounds names, keys and other short texts.
 	maxTextBytes = 256
-	// maxBodyBytes bounds the text of a delegated job; platforms allow some kilobytes.
+	// maxBodyBytes bounds the body of a delegated job; platforms allow a few kilobytes.
 	maxBodyBytes = 64 << 10
-	// maxDetailBytes bounds sentences that explain an outcome.
+	// maxDetailBytes bounds the detail text of an outcome.
 	maxDetailBytes = 4096
-	// pairHeader is the CBOR header of an array of two elements.
+	// pairHeader is the CBOR header of a two-element array.
 	pairHeader = 0x82
 )
 
@@ -54,7 +54,7 @@
 		FieldNameMatching: cbor.FieldNameMatchingCaseSensitive,
 		MaxNestedLevels:   maxNesting,
 		MaxArrayElements:  MaxElements,
-		MaxMapPairs:       maxPairs,
+		MaxMapPairs:       maxMapPairs,
 	}.DecMode()
 	if err != nil {
 		panic(eris.Wrap(err, "preparing the CBOR decoder"))
@@ -62,7 +62,7 @@
 	return mode
 }
 
-// encode returns message as a CBOR pair of its name and its body.
+// encode returns message as a CBOR array of its name and its body.
 func encode(message Message) ([]byte, error) {
 	var content any = message
 	if message, ok := message.(KeeperMessage); ok {
@@ -73,7 +73,7 @@
 		return nil, eris.Wrap(err, "encoding a message")
 	}
 	if len(body) > MaxMessageBytes {
-		return nil, eris.Errorf("message has %d bytes, allowed are %d", len(body), MaxMessageBytes)
+		return nil, eris.Errorf("message has %d bytes, maximum is %d", len(body), MaxMessageBytes)
 	}
 	name, err := encoding.Marshal(messageName(message))
 	if err != nil {
@@ -85,7 +85,7 @@
 	return append(encoded, body...), nil
 }
 
-// decode returns the first message in data and the data after it.
+// decode returns the first message in data and the remaining data.
 func decode(data []byte) (Message, []byte, error) {
 	if len(data) == 0 || data[0] != pairHeader {
 		return nil, nil, eris.New("message is not a pair of name and body")
@@ -108,7 +108,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return message, rest, check(message)
+	return message, rest, checkLengths(message)
 }
 
 func decodeBody(name string, data []byte) (Message, []byte, error) {
@@ -183,7 +183,8 @@
 	}
 }
 
-// decodeHello reads the first frame; it ignores unknown fields, so that the version of a newer instance can be told.
+// decodeHello decodes the first frame. It ignores unknown fields, so that the version in the hello of a newer instance
+// can be read.
 func decodeHello(frame []byte) (Hello, error) {
 	if len(frame) == 0 || frame[0] != pairHeader {
 		return Hello{}, eris.New("first frame is not a message")
@@ -197,11 +198,11 @@
 	if err := cbor.Unmarshal(rest, &hello); err != nil {
 		return Hello{}, eris.Wrap(err, "decoding a hello")
 	}
-	return hello, check(hello)
+	return hello, checkLengths(hello)
 }
 
-// check returns an error if a length exceeds what the protocol allows; the decoder bounds arrays and frames.
-func check(message Message) error {
+// checkLengths returns an error if a length exceeds the limits of the protocol. The decoder limits arrays and frames.
+func checkLengths(message Message) error {
 	switch message := message.(type) {
 	case Hello:
 		return checkTexts(message.Domain, message.Name, message.Incarnation, message.Address)
@@ -209,7 +210,7 @@
 		return checkTexts(message.Suspects...)
 	case Forward:
 		if len(message.Tasks) > dispatcher.MaxTasks {
-			return eris.Errorf("forward has %d tasks", len(message.Tasks))
+			return eris.Errorf("forward has too many tasks: %d", len(message.Tasks))
 		}
 		return checkTexts(message.Key, message.Kind, message.Team, message.TraceParent, message.Origin)
 	case ForwardAnswer:
@@ -225,7 +226,7 @@
 	case CancelAnswer:
 		return checkTexts(message.Key, message.Result)
 	case StateUpdate:
-		return checkNews(&message)
+		return checkStateUpdate(&message)
 	case Delegation:
 		return checkDelegation(&message)
 	case DelegationAnswer:
@@ -236,17 +237,17 @@
 
 func checkDelegation(delegation *Delegation) error {
 	if len(delegation.Body) > maxBodyBytes {
-		return eris.Errorf("delegated job has a body of %d bytes", len(delegation.Body))
+		return eris.Errorf("delegated job has too long a body: %d bytes", len(delegation.Body))
 	}
 	if len(delegation.Steps) > dispatcher.MaxTasks {
-		return eris.Errorf("delegated job has %d steps", len(delegation.Steps))
+		return eris.Errorf("delegated job has too many steps: %d", len(delegation.Steps))
 	}
 	texts := []string{delegation.Job, delegation.Route, delegation.Service}
 	for i := range delegation.Steps {
 		step := &delegation.Steps[i]
 		for _, earlier := range step.After {
 			if earlier < 0 || earlier >= i {
-				return eris.Errorf("step %d of a delegated job waits for step %d", i, earlier)
+				return eris.Errorf("step %d of a delegated job depends on step %d, which is not an earlier step", i, earlier)
 			}
 		}
 		texts = append(append(texts, step.Label), step.Tasks...)
@@ -254,7 +255,7 @@
 	return checkTexts(texts...)
 }
 
-func checkNews(update *StateUpdate) error {
+func checkStateUpdate(update *StateUpdate) error {
 	texts := make([]string, 0, 2*(len(update.Claims)+len(update.Ends)+len(update.Withdrawn)+len(update.Stops))+len(update.FreeCapacity))
 	for i := range update.Claims {
 		texts = append(texts, update.Claims[i].Target, update.Claims[i].Task)
@@ -282,7 +283,7 @@
 		return eris.New("outcome has too many tasks")
 	}
 	if len(outcome.Detail) > maxDetailBytes {
-		return eris.Errorf("outcome detail has %d bytes", len(outcome.Detail))
+		return eris.Errorf("outcome detail is too long: %d bytes", len(outcome.Detail))
 	}
 	return checkTexts(key, outcome.Class, outcome.Reason, outcome.Field)
 }
@@ -290,7 +291,7 @@
 func checkTexts(texts ...string) error {
 	for _, text := range texts {
 		if len(text) > maxTextBytes {
-			return eris.Errorf("text has %d bytes, allowed are %d", len(text), maxTextBytes)
+			return eris.Errorf("text has %d bytes, maximum is %d", len(text), maxTextBytes)
 		}
 	}
 	return nil
--- a/linker/connect.go
+++ b/linker/connect.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// Path is where an instance accepts links.
+	// Path is the HTTP path on which an instance accepts links.
 	Path = "/v1/peer"
-	// Subprotocol names the message format in the WebSocket handshake.
+	// Subprotocol identifies the message format in the WebSocket handshake.
 	Subprotocol = "hyssoplift.v1.cbor"
 
-	// maxHelloBytes bounds the first frame, before the peer is known to speak the protocol.
+	// maxHelloBytes bounds the first frame, which is read before the peer is known to implement the protocol.
 	maxHelloBytes = 4096
 
-	// Close codes from the range that RFC 6455 leaves to applications.
-	statusOtherVersion websocket.StatusCode = 4001
-	statusWrongPeer    websocket.StatusCode = 4002
-	statusTooManyLinks websocket.StatusCode = 4003
+	// Close codes from the range that RFC 6455 reserves for private use.
+	statusVersionMismatch     websocket.StatusCode = 4001
+	statusIncarnationMismatch websocket.StatusCode = 4002
+	statusTooManyLinks        websocket.StatusCode = 4003
 )
 
-// dial connects to address and returns the link once both sides have said hello; a non-empty incarnation
-// must match the peer's.
+// dial connects to address and returns the link once both sides have sent their hello. A non-empty incarnation must
+// match that of the peer.
 func (linker *Linker) dial(ctx context.Context, address, incarnation string, limits Limits) (*link, error) {
 	handshake, cancel := context.WithTimeout(ctx, linker.limits.IOTimeout)
 	defer cancel()
@@ -38,27 +38,28 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "connecting to %s", address)
 	}
-	remote, err := linker.greet(handshake, conn)
+	remote, err := linker.exchangeHellos(handshake, conn)
 	if err != nil {
 		_ = conn.CloseNow()
 		return nil, err
 	}
 	if incarnation != "" && remote.Incarnation != incarnation {
-		_ = conn.Close(statusWrongPeer, "another incarnation was expected at this address")
+		_ = conn.Close(statusIncarnationMismatch, "another incarnation was expected at this address")
 		return nil, eris.Errorf("%s is incarnation %s of %s, expected %s", address, remote.Incarnation, remote.Name, incarnation)
 	}
 	return newLink(conn, remote, limits, &linker.traffic), nil
 }
 
-// newTransport returns a transport for one handshake; a link owns its connection, so nothing is pooled.
+// newTransport returns an HTTP transport for one handshake. It pools nothing, because a link owns its connection.
 func newTransport() *http.Transport {
 	return &http.Transport{DialContext: (&net.Dialer{}).DialContext, DisableKeepAlives: true}
 }
 
 func refuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// greet sends the own hello and returns the peer's; it closes conn with a reason if the versions differ.
-func (linker *Linker) greet(ctx context.Context, conn *websocket.Conn) (Hello, error) {
+// exchangeHellos sends this instance's hello and returns the peer's. It closes conn with a reason if the versions
+// differ.
+func (linker *Linker) exchangeHellos(ctx context.Context, conn *websocket.Conn) (Hello, error) {
 	conn.SetReadLimit(maxHelloBytes)
 	encoded, err := encode(linker.self)
 	if err != nil {
@@ -78,7 +79,7 @@
 	}
 	if remote.Version != linker.self.Version {
 		reason := fmt.Sprintf("version %d is refused, this instance speaks version %d", remote.Version, linker.self.Version)
-		_ = conn.Close(statusOtherVersion, reason)
+		_ = conn.Close(statusVersionMismatch, reason)
 		return Hello{}, eris.Errorf("%s of %s: %s", remote.Name, remote.Domain, reason)
 	}
 	return remote, nil
@@ -99,6 +100,7 @@
 	}
 }
 
+// accept performs the handshake on conn and serves the link until it ends.
 func (linker *Linker) accept(conn *websocket.Conn) error {
 	linker.mu.Lock()
 	if linker.closed {
@@ -109,7 +111,7 @@
 	linker.mu.Unlock()
 	defer linker.group.Done()
 	handshake, cancel := context.WithTimeout(linker.ctx, linker.limits.IOTimeout)
-	remote, err := linker.greet(handshake, conn)
+	remote, err := linker.exchangeHellos(handshake, conn)
 	cancel()
 	if err != nil {
 		_ = conn.CloseNow()
@@ -126,6 +128,7 @@
 	return linker.serve(linker.ctx, newLink(conn, remote, limits, &linker.traffic))
 }
 
+// reserveAccepted counts a link opened by another failure domain and reports whether the limit allows it.
 func (linker *Linker) reserveAccepted() bool {
 	linker.mu.Lock()
 	defer linker.mu.Unlock()
--- a/linker/doc.go
+++ b/linker/doc.go
@@ -1,3 +1,3 @@
-// Package linker keeps WebSocket links between instances and carries typed
-// CBOR messages over them, including requests that are matched to responses.
+// Package linker maintains WebSocket links between instances and sends typed CBOR messages over them. It matches
+// responses to requests.
 package linker
--- a/linker/fuzz_test.go
+++ b/linker/fuzz_test.go
@@ -7,7 +7,7 @@
 	"github.com/hyssoplift/hyssoplift/keeper"
 )
 
-// Guards against a frame that crashes the decoder, or that decodes to a message which encodes to something else.
+// Guards against a frame that crashes the decoder, and against a decoded message whose encoding differs from it.
 func FuzzDecode(f *testing.F) {
 	for _, message := range sampleMessages() {
 		f.Add(mustEncode(message))
--- a/linker/keeper.go
+++ b/linker/keeper.go
@@ -33,7 +33,7 @@
 	case "outcome-ack":
 		return decodeKeeperAs[keeper.OutcomeAck](data)
 	default:
-		return nil, nil, eris.New("name is not known")
+		return nil, nil, eris.New("unknown message name")
 	}
 }
 
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return KeeperMessage{Message: message}, rest, checkKeeper(message)
+	return KeeperMessage{Message: message}, rest, checkKeeperMessage(message)
 }
 
 func keeperMessageName(message keeper.Message) string {
@@ -77,8 +77,8 @@
 	}
 }
 
-// checkKeeper returns an error if a text is too long; the decoder bounds the arrays.
-func checkKeeper(message keeper.Message) error {
+// checkKeeperMessage returns an error if a text is too long. The decoder limits the length of arrays.
+func checkKeeperMessage(message keeper.Message) error {
 	switch message := message.(type) {
 	case keeper.Record:
 		return checkTexts(message.Key)
--- a/linker/link.go
+++ b/linker/link.go
@@ -12,12 +12,12 @@
 	"github.com/rotisserie/eris"
 )
 
-// Errors of sending.
+// Errors returned when a message cannot be queued.
 var (
-	// ErrNoLink means that no link to the instance is up.
+	// ErrNoLink means that there is no established link to the instance.
 	ErrNoLink = eris.New("no link to the instance")
-	// ErrQueueFull means that the link's queue has no room; the message was not sent.
-	ErrQueueFull = eris.New("queue of the link is full")
+	// ErrQueueFull means that the send queue of the link is full. The message was not sent.
+	ErrQueueFull = eris.New("send queue of the link is full")
 )
 
 // link is one established connection.
@@ -28,10 +28,10 @@
 	traffic *Traffic
 	wake    chan struct{}
 	done    chan struct{}
-	// received and used are times in nanoseconds since 1970 of the last frame received and of the last
-	// message in either direction other than pings.
-	received atomic.Int64
-	used     atomic.Int64
+	// lastReceived and lastUsed are Unix times in nanoseconds: of the last frame received, and of the last message
+	// other than a ping in either direction.
+	lastReceived atomic.Int64
+	lastUsed     atomic.Int64
 
 	mu          sync.Mutex
 	queue       [][]byte
@@ -49,20 +49,21 @@
 		done:    make(chan struct{}),
 	}
 	now := time.Now().UnixNano()
-	link.received.Store(now)
-	link.used.Store(now)
+	link.lastReceived.Store(now)
+	link.lastUsed.Store(now)
 	conn.SetReadLimit(MaxFrameBytes)
 	return link
 }
 
-// run reads, sends and watches the connection until it fails or ctx is done, and returns the cause.
+// run serves the connection until it fails or ctx is done, and returns the cause.
 func (link *link) run(ctx context.Context, receive func(*link, Message)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	var group sync.WaitGroup
 	group.Go(func() { cancel(link.send(ctx)) })
-	group.Go(func() { cancel(link.watch(ctx)) })
+	group.Go(func() { cancel(link.monitor(ctx)) })
 	cancel(link.receive(ctx, receive))
-	// The peer learns that the link ends; what it had queued is lost, as with any other failure.
+	// Closing the connection tells the peer that the link has ended. Messages queued by the peer are lost, as after any
+	// other failure.
 	_ = link.conn.CloseNow()
 	group.Wait()
 	link.mu.Lock()
@@ -73,22 +74,22 @@
 	return context.Cause(ctx)
 }
 
-// enqueue adds the pieces of one message to the queue.
-func (link *link) enqueue(pieces ...[]byte) error {
+// enqueue adds the parts of one message to the queue.
+func (link *link) enqueue(parts ...[]byte) error {
 	size := 0
-	for _, piece := range pieces {
-		size += len(piece)
+	for _, encodedPart := range parts {
+		size += len(encodedPart)
 	}
 	link.mu.Lock()
 	defer link.mu.Unlock()
 	switch {
 	case link.closed:
 		return ErrNoLink
-	case len(link.queue)+len(pieces) > link.limits.QueueMessages, link.queuedBytes+size > link.limits.QueueBytes:
+	case len(link.queue)+len(parts) > link.limits.QueueMessages, link.queuedBytes+size > link.limits.QueueBytes:
 		link.traffic.dropped.Add(1)
 		return ErrQueueFull
 	}
-	link.queue = append(link.queue, pieces...)
+	link.queue = append(link.queue, parts...)
 	link.queuedBytes += size
 	select {
 	case link.wake <- struct{}{}:
@@ -97,8 +98,8 @@
 	return nil
 }
 
-// take returns everything queued and leaves spare as the next queue.
-func (link *link) take(spare [][]byte) [][]byte {
+// takeQueue returns all queued messages and reuses spare for the next ones.
+func (link *link) takeQueue(spare [][]byte) [][]byte {
 	link.mu.Lock()
 	defer link.mu.Unlock()
 	batch := link.queue
@@ -106,7 +107,7 @@
 	return batch
 }
 
-// send is the only writer of data frames.
+// send writes queued messages, several per frame if they fit. It is the only writer of data frames.
 func (link *link) send(ctx context.Context) error {
 	var batch [][]byte
 	var frame []byte
@@ -116,7 +117,7 @@
 			return ctx.Err()
 		case <-link.wake:
 		}
-		batch = link.take(batch)
+		batch = link.takeQueue(batch)
 		for i, encoded := range batch {
 			frame = append(frame, encoded...)
 			batch[i] = nil
@@ -128,14 +129,14 @@
 			}
 			frame = frame[:0]
 		}
-		link.used.Store(time.Now().UnixNano())
-		if cap(frame) > keptBufferBytes {
+		link.lastUsed.Store(time.Now().UnixNano())
+		if cap(frame) > maxKeptBufferBytes {
 			frame = nil
 		}
 	}
 }
 
-// write sends one frame; a peer that takes no bytes for the silence limit counts as gone.
+// write sends one frame. A peer that accepts no data for the I/O timeout is considered down.
 func (link *link) write(ctx context.Context, frame []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, link.limits.IOTimeout)
 	defer cancel()
@@ -144,16 +145,16 @@
 	return eris.Wrap(link.conn.Write(ctx, websocket.MessageBinary, frame), "sending a frame")
 }
 
-// receive decodes frames and passes each message on; a frame that breaks a bound closes the link.
+// receive decodes frames and passes each message to deliver. An error in a frame ends the link.
 func (link *link) receive(ctx context.Context, deliver func(*link, Message)) error {
 	var buffer bytes.Buffer
-	var assembly assembly
+	var reassembler reassembler
 	for {
 		buffer.Reset()
 		if err := readFrame(ctx, link.conn, &buffer); err != nil {
 			return err
 		}
-		link.received.Store(time.Now().UnixNano())
+		link.lastReceived.Store(time.Now().UnixNano())
 		link.traffic.bytesReceived.Add(int64(buffer.Len()))
 		for rest := buffer.Bytes(); len(rest) > 0; {
 			message, after, err := decode(rest)
@@ -162,22 +163,23 @@
 				return err
 			}
 			rest = after
-			if piece, ok := message.(part); ok {
-				if message, err = assembly.add(piece); err != nil {
+			if next, ok := message.(part); ok {
+				if message, err = reassembler.add(next); err != nil {
 					return err
 				}
 			}
 			if message != nil {
-				link.used.Store(time.Now().UnixNano())
+				link.lastUsed.Store(time.Now().UnixNano())
 				deliver(link, message)
 			}
 		}
-		if buffer.Cap() > keptBufferBytes {
+		if buffer.Cap() > maxKeptBufferBytes {
 			buffer = bytes.Buffer{}
 		}
 	}
 }
 
+// readFrame reads one binary frame into buffer.
 func readFrame(ctx context.Context, conn *websocket.Conn, buffer *bytes.Buffer) error {
 	kind, reader, err := conn.Reader(ctx)
 	if err != nil {
@@ -190,8 +192,8 @@
 	return eris.Wrap(err, "receiving a frame")
 }
 
-// watch pings a peer that sends nothing, closes the link if no answer comes, and closes a link that is idle.
-func (link *link) watch(ctx context.Context) error {
+// monitor pings the peer while it sends nothing, and ends the link if the ping is not answered or the link is idle.
+func (link *link) monitor(ctx context.Context) error {
 	ticker := time.NewTicker(link.limits.PingInterval)
 	defer ticker.Stop()
 	for {
@@ -199,12 +201,12 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case now := <-ticker.C:
-			if link.limits.IdleTimeout > 0 && now.Sub(time.Unix(0, link.used.Load())) > link.limits.IdleTimeout {
+			if link.limits.IdleTimeout > 0 && now.Sub(time.Unix(0, link.lastUsed.Load())) > link.limits.IdleTimeout {
 				_ = link.conn.Close(websocket.StatusNormalClosure, "link is idle")
 				return eris.New("link is idle")
 			}
-			// Frames such as heartbeats show that the peer is there, so pings go only to silent peers.
-			if now.Sub(time.Unix(0, link.received.Load())) < link.limits.PingInterval {
+			// Any frame, such as a heartbeat, proves that the peer is alive, so only silent peers are pinged.
+			if now.Sub(time.Unix(0, link.lastReceived.Load())) < link.limits.PingInterval {
 				continue
 			}
 			if err := link.ping(ctx); err != nil {
--- a/linker/linker.go
+++ b/linker/linker.go
@@ -15,32 +15,33 @@
 )
 
 const (
-	// keptBufferBytes is the largest buffer that an idle link holds on to.
-	keptBufferBytes = 64 << 10
-	// firstRedial and lastRedial bound the doubling delay between attempts to connect.
-	firstRedial = 50 * time.Millisecond
-	lastRedial  = 3 * time.Second
-	// passiveDelay is how long the instance with the greater name waits for the other to connect, so that a
-	// pair that learns of each other at the same time usually ends with one link.
+	// maxKeptBufferBytes is the largest buffer that an idle link retains.
+	maxKeptBufferBytes = 64 << 10
+	// minRedialDelay and maxRedialDelay bound the exponential backoff between connection attempts.
+	minRedialDelay = 50 * time.Millisecond
+	maxRedialDelay = 3 * time.Second
+	// passiveDelay is how long the instance with the greater name waits for the other one to connect, so that two
+	// instances that discover each other at the same time usually end up with one link.
 	passiveDelay = 500 * time.Millisecond
 )
 
-// Limits are the bounds of links.
+// Limits holds the limits and timeouts of links.
 type Limits struct {
-	// QueueMessages and QueueBytes bound the queue of one link.
+	// QueueMessages and QueueBytes bound the send queue of one link.
 	QueueMessages int
 	QueueBytes    int
-	// PingInterval is how long a link may be silent before it is pinged.
+	// PingInterval is how long a link may be silent before the peer is pinged.
 	PingInterval time.Duration
-	// IOTimeout is how long the answer to a ping, the handshake or a write may take.
+	// IOTimeout bounds the response to a ping, the handshake, and a write.
 	IOTimeout time.Duration
-	// IdleTimeout is how long a link to another failure domain may be unused; members' links stay.
+	// IdleTimeout is how long a link to another failure domain may be unused before it is closed. Links to members stay
+	// open.
 	IdleTimeout time.Duration
-	// MaxRemoteLinks bounds the links to other failure domains.
+	// MaxRemoteLinks bounds the links opened to other failure domains, and separately those accepted from them.
 	MaxRemoteLinks int
 }
 
-// DefaultLimits returns the limits that instances use.
+// DefaultLimits returns the default limits.
 func DefaultLimits() Limits {
 	return Limits{
 		QueueMessages:  4096,
@@ -52,15 +53,15 @@
 	}
 }
 
-// Peer is another instance of the own failure domain.
+// Peer is another instance of this instance's failure domain.
 type Peer struct {
 	Name string
-	// Incarnation may be empty, as long as only the address is known.
+	// Incarnation is empty while only the address is known.
 	Incarnation string
 	Address     string
 }
 
-// Traffic counts what a linker sent and received.
+// Traffic counts what a linker has sent and received.
 type Traffic struct {
 	framesSent    atomic.Int64
 	messagesSent  atomic.Int64
@@ -86,13 +87,13 @@
 // PingsSent returns the number of pings sent.
 func (traffic *Traffic) PingsSent() int64 { return traffic.pingsSent.Load() }
 
-// Dropped returns the number of messages refused by a full queue.
+// Dropped returns the number of messages rejected because the queue was full.
 func (traffic *Traffic) Dropped() int64 { return traffic.dropped.Load() }
 
-// StrayAnswers returns the number of responses that no request waited for.
+// StrayAnswers returns the number of responses that matched no pending request.
 func (traffic *Traffic) StrayAnswers() int64 { return traffic.strayAnswers.Load() }
 
-// Linker keeps links to the members of the own failure domain and opens links to others on demand.
+// Linker maintains links to the members of its failure domain and opens links to other failure domains on demand.
 type Linker struct {
 	self    Hello
 	limits  Limits
@@ -107,16 +108,16 @@
 	mu      sync.RWMutex
 	closed  bool
 	members map[Peer]context.CancelFunc
-	// links holds the established links by incarnation; the last one is used for sending.
+	// links holds the established links by incarnation. The last one is used for sending.
 	links  map[string][]*link
 	remote map[string]*remoteLink
-	// accepted counts links that other failure domains opened.
+	// accepted counts the links opened by other failure domains.
 	accepted int
 }
 
-// New returns a linker without links; receive is called with the hello of each link that comes up, with
-// every message other than responses, and with LinkEnded after the last message of a link. It must not block, and may
-// be called from several goroutines at once.
+// New returns a linker without links. It calls receive with the hello of each established link, with every message
+// other than responses, and with LinkEnded after the last message of a link. receive must not block and may be called
+// from several goroutines at once.
 func New(self Hello, limits Limits, logger hclog.Logger, receive func(from Hello, message Message)) *Linker {
 	self.Version = Version
 	return newLinker(self, limits, logger, receive)
@@ -141,7 +142,7 @@
 // Traffic returns the linker's counters.
 func (linker *Linker) Traffic() *Traffic { return &linker.traffic }
 
-// Close ends all links and waits for their goroutines.
+// Close closes all links and waits for their goroutines.
 func (linker *Linker) Close() {
 	linker.mu.Lock()
 	linker.closed = true
@@ -150,7 +151,7 @@
 	linker.group.Wait()
 }
 
-// SetMembers keeps links to exactly the given peers of the own failure domain.
+// SetMembers sets the peers of this failure domain to which links are maintained, and drops maintained links to others.
 func (linker *Linker) SetMembers(peers []Peer) {
 	linker.mu.Lock()
 	defer linker.mu.Unlock()
@@ -168,7 +169,7 @@
 		}
 		ctx, cancel := context.WithCancel(linker.ctx)
 		linker.members[peer] = cancel
-		linker.group.Go(func() { linker.keep(ctx, peer) })
+		linker.group.Go(func() { linker.maintainLink(ctx, peer) })
 	}
 	for peer, cancel := range linker.members {
 		if !wanted[peer] {
@@ -178,10 +179,10 @@
 	}
 }
 
-// Connected reports whether a link to the instance is up.
+// Connected reports whether there is an established link to the instance.
 func (linker *Linker) Connected(incarnation string) bool { return linker.link(incarnation) != nil }
 
-// ConnectedIn returns the incarnations in the failure domain to which a link is up.
+// ConnectedIn returns the incarnations in the failure domain to which there is an established link.
 func (linker *Linker) ConnectedIn(domain string) []string {
 	linker.mu.RLock()
 	defer linker.mu.RUnlock()
@@ -194,7 +195,7 @@
 	return incarnations
 }
 
-// Send queues message for the instance; nil means queued, not received.
+// Send queues message for the instance. A nil error means that it was queued, not that it was received.
 func (linker *Linker) Send(incarnation string, message Message) error {
 	link := linker.link(incarnation)
 	if link == nil {
@@ -203,7 +204,8 @@
 	return linker.sendOn(link, message)
 }
 
-// Broadcast queues message for each of the instances, encoding it once, and returns how many have a link.
+// Broadcast encodes message once and queues it for each of the instances. It returns the number of instances for which
+// it was queued.
 func (linker *Linker) Broadcast(incarnations []string, message Message) int {
 	encoded, err := encode(message)
 	if err != nil {
@@ -220,22 +222,24 @@
 	return sent
 }
 
+// sendOn queues message on link.
 func (linker *Linker) sendOn(link *link, message Message) error {
 	encoded, err := encode(message)
 	if err != nil {
 		return err
 	}
-	cut, err := pieces(encoded)
+	parts, err := splitMessage(encoded)
 	if err != nil {
 		return err
 	}
-	if err := link.enqueue(cut...); err != nil {
+	if err := link.enqueue(parts...); err != nil {
 		return err
 	}
 	linker.traffic.messagesSent.Add(1)
 	return nil
 }
 
+// link returns the link used for sending to the instance, or nil.
 func (linker *Linker) link(incarnation string) *link {
 	linker.mu.RLock()
 	defer linker.mu.RUnlock()
@@ -246,8 +250,8 @@
 	return links[len(links)-1]
 }
 
-// find returns the link to peer, by its address if its incarnation is not known.
-func (linker *Linker) find(peer Peer) *link {
+// linkTo returns the link to peer, or nil. It looks the link up by address if the incarnation is not known.
+func (linker *Linker) linkTo(peer Peer) *link {
 	if peer.Incarnation != "" {
 		return linker.link(peer.Incarnation)
 	}
@@ -261,14 +265,14 @@
 	return nil
 }
 
-// keep holds a link to peer until ctx is done.
-func (linker *Linker) keep(ctx context.Context, peer Peer) {
+// maintainLink keeps a link to peer established until ctx is done.
+func (linker *Linker) maintainLink(ctx context.Context, peer Peer) {
 	if linker.self.Name > peer.Name {
 		sleeper.For(ctx, passiveDelay)
 	}
-	delay := firstRedial
+	delay := minRedialDelay
 	for ctx.Err() == nil {
-		if existing := linker.find(peer); existing != nil {
+		if existing := linker.linkTo(peer); existing != nil {
 			select {
 			case <-ctx.Done():
 			case <-existing.done:
@@ -277,19 +281,19 @@
 		}
 		link, err := linker.dial(ctx, peer.Address, peer.Incarnation, linker.memberLimits())
 		if err == nil {
-			delay = firstRedial
+			delay = minRedialDelay
 			err = linker.serve(ctx, link)
 		}
 		if ctx.Err() == nil {
-			linker.logRedial(peer, err, delay == firstRedial)
+			linker.logLinkDown(peer, err, delay == minRedialDelay)
 			sleeper.For(ctx, jitter(delay))
-			delay = min(2*delay, lastRedial)
+			delay = min(2*delay, maxRedialDelay)
 		}
 	}
 }
 
-// logRedial warns once per series of failed attempts.
-func (linker *Linker) logRedial(peer Peer, err error, first bool) {
+// logLinkDown logs a warning for the first of a series of failures, and the others at debug level.
+func (linker *Linker) logLinkDown(peer Peer, err error, first bool) {
 	level := hclog.Debug
 	if first {
 		level = hclog.Warn
@@ -297,13 +301,14 @@
 	linker.logger.Log(level, "link to member is down", "peer", peer.Name, "error", eris.ToString(err, false))
 }
 
+// memberLimits returns the limits of links within the failure domain, which are never closed for being idle.
 func (linker *Linker) memberLimits() Limits {
 	limits := linker.limits
 	limits.IdleTimeout = 0
 	return limits
 }
 
-// serve registers link, runs it to its end and returns the cause.
+// serve registers the link, runs it until it ends and returns the cause.
 func (linker *Linker) serve(ctx context.Context, established *link) error {
 	incarnation := established.remote.Incarnation
 	linker.mu.Lock()
@@ -314,17 +319,18 @@
 	linker.receive(established.remote, LinkEnded{})
 	linker.mu.Lock()
 	defer linker.mu.Unlock()
-	left := slices.DeleteFunc(linker.links[incarnation], func(other *link) bool { return other == established })
-	linker.links[incarnation] = left
-	if len(left) == 0 {
+	remaining := slices.DeleteFunc(linker.links[incarnation], func(other *link) bool { return other == established })
+	linker.links[incarnation] = remaining
+	if len(remaining) == 0 {
 		delete(linker.links, incarnation)
 	}
 	return err
 }
 
+// deliver passes a response to its pending request and any other message to the receiver.
 func (linker *Linker) deliver(link *link, message Message) {
 	if response, ok := message.(Response); ok {
-		if !linker.calls.settle(link.remote.Incarnation, response) {
+		if !linker.calls.complete(link.remote.Incarnation, response) {
 			linker.traffic.strayAnswers.Add(1)
 		}
 		return
@@ -332,5 +338,5 @@
 	linker.receive(link.remote, message)
 }
 
-// jitter returns a random duration between half of delay and delay, so that peers do not reconnect in step.
+// jitter returns a random duration between half of delay and delay, so that peers do not reconnect in lockstep.
 func jitter(delay time.Duration) time.Duration { return delay/2 + rand.N(delay/2+1) }
--- a/linker/linker_test.go
+++ b/linker/linker_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// sampleMessages holds one message of every type with its fields filled.
+// sampleMessages returns one message of every type with its fields set.
 func sampleMessages() []Message {
 	outcome := EncodeOutcome(dispatcher.NewFailed("cut", []dispatcher.TaskFate{{Name: "t", Fate: dispatcher.Finished, Detail: "d"}}), time.Time{})
 	return []Message{
@@ -130,7 +130,7 @@
 	}
 }
 
-// Guards against a message type that the decoder does not know, or that loses a field on the way.
+// Guards against a message type that the decoder does not know, and against a field that is lost in encoding.
 func TestEveryMessageSurvivesTheWire(t *testing.T) {
 	is := is.New(t)
 	for _, message := range sampleMessages() {
@@ -143,7 +143,7 @@
 	}
 }
 
-// Guards against memory or state that a malformed or oversized frame could claim.
+// Guards against a malformed or oversized frame that makes the decoder allocate memory or produce a message.
 func TestDecoderBounds(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -151,14 +151,14 @@
 	}{
 		{"empty", nil},
 		{"not a pair", []byte{0x01}},
-		{"name is not known", []byte{0x82, 0x61, 'x', 0xa0}},
+		{"unknown message name", []byte{0x82, 0x61, 'x', 0xa0}},
 		{"unknown field", append([]byte{0x82, 0x68}, "withdraw\xa1\x61x\x01"...)},
-		{"field given twice", append([]byte{0x82, 0x68}, "withdraw\xa2\x64view\x01\x64view\x02"...)},
+		{"duplicate field", append([]byte{0x82, 0x68}, "withdraw\xa2\x64view\x01\x64view\x02"...)},
 		{"array claims 2^32 elements", append([]byte{0x82, 0x6c}, "sync-request\xa1\x66slices\x9a\xff\xff\xff\xff"...)},
-		{"array of unknown length", append([]byte{0x82, 0x6c}, "sync-request\xa1\x66slices\x9f\x01\xff"...)},
+		{"array of indefinite length", append([]byte{0x82, 0x6c}, "sync-request\xa1\x66slices\x9f\x01\xff"...)},
 		{"nesting", append(append([]byte{0x82, 0x6c}, "sync-request\xa1\x66slices"...), bytes.Repeat([]byte{0x81}, 100)...)},
 		{"tag", append([]byte{0x82, 0x68}, "withdraw\xa1\x64view\xc1\x01"...)},
-		{"text is cut", append([]byte{0x82, 0x68}, "withdraw\xa1\x63key\x7a\x00\x10\x00\x00ab"...)},
+		{"truncated text", append([]byte{0x82, 0x68}, "withdraw\xa1\x63key\x7a\x00\x10\x00\x00ab"...)},
 		{"text is too long", mustEncode(withdraw(strings.Repeat("k", maxTextBytes+1), 0))},
 		{"too many elements", mustEncode(KeeperMessage{keeper.SyncRequest{Slices: make([]int, MaxElements+1)}})},
 		{"too many tasks", mustEncode(Forward{Tasks: make([]Task, dispatcher.MaxTasks+1)})},
@@ -184,7 +184,7 @@
 	return encoded
 }
 
-// Guards against a mixed deployment that fails without saying why.
+// Guards against a deployment of mixed versions in which links fail without a reason in the log.
 func TestOtherVersionIsRefusedWithReason(t *testing.T) {
 	is := is.New(t)
 	node := startNode(t, "local", "a", testLimits())
@@ -192,17 +192,18 @@
 	defer cancel()
 	conn, _, err := websocket.Dial(ctx, "ws://"+node.address()+Path, &websocket.DialOptions{Subprotocols: []string{Subprotocol}})
 	is.NoErr(err)
-	// The unknown field stands for what a newer version may add.
+	// The unknown field represents one that a newer version may add.
 	hello := "\x82\x65hello\xa2\x67version\x02\x63new\x01"
 	is.NoErr(conn.Write(ctx, websocket.MessageBinary, []byte(hello)))
 	_, _, err = conn.Read(ctx) // the node's own hello
 	is.NoErr(err)
 	_, _, err = conn.Read(ctx)
-	is.Equal(websocket.CloseStatus(err), statusOtherVersion)
+	is.Equal(websocket.CloseStatus(err), statusVersionMismatch)
 	is.True(strings.Contains(err.Error(), "version 2 is refused, this instance speaks version 1"))
 }
 
-// Guards against an answer that reaches a caller other than its own: late, crossed, or a second time.
+// Guards against delivering a response to the wrong caller: one that arrives after its caller gave up, answers another
+// request, comes from another instance, or is repeated.
 func TestAnswersReachOnlyTheirCaller(t *testing.T) {
 	is := is.New(t)
 	a, b, c := startNode(t, "local", "a", testLimits()), startNode(t, "local", "b", testLimits()), startNode(t, "local", "c", testLimits())
@@ -248,7 +249,7 @@
 	is.Equal(a.Traffic().StrayAnswers(), int64(5))
 }
 
-// Guards against a request that hangs when the peer's connection stays open and goes silent.
+// Guards against a request that blocks forever because the connection stays open while the peer no longer responds.
 func TestSilentLinkIsClosed(t *testing.T) {
 	is := is.New(t)
 	limits := testLimits()
@@ -261,7 +262,7 @@
 			_ = conn.Write(request.Context(), websocket.MessageBinary,
 				mustEncode(Hello{Version: Version, Domain: "local", Name: "b", Incarnation: "b-1"}))
 		}
-		// Without a reader, pings get no answer.
+		// Without a reader, pings are not answered.
 		<-silent
 	}))
 	a := startNode(t, "local", "a", limits)
@@ -271,7 +272,7 @@
 	is.Equal(err, ErrLinkClosed)
 }
 
-// Guards against one system call per message under load, and against a message that does not fit into a frame.
+// Guards against one system call per message under load, and against failing to send a message larger than a frame.
 func TestQueuedMessagesShareFramesAndLargeOnesAreCut(t *testing.T) {
 	is := is.New(t)
 	a, b := startNode(t, "local", "a", testLimits()), startNode(t, "local", "b", testLimits())
@@ -292,10 +293,10 @@
 	is.NoErr(a.Send("b-1", large))
 	is.Equal((<-b.messages).(Forward), large)
 	large.Tasks[0].Payload = make([]byte, MaxMessageBytes)
-	is.True(a.Send("b-1", large) != nil) // above the bound nothing is sent
+	is.True(a.Send("b-1", large) != nil) // a message above the limit is not sent
 }
 
-// Guards against links to other failure domains that pile up, and against one that stays open for nothing.
+// Guards against an unbounded number of links to other failure domains, and against keeping an idle one open.
 func TestRemoteLinksAreBoundedAndCloseWhenIdle(t *testing.T) {
 	is := is.New(t)
 	limits := testLimits()
@@ -328,7 +329,7 @@
 	close(c.messages)
 }
 
-// Guards against a lost link that is not restored, and against a link to an instance that left.
+// Guards against not restoring a lost link to a member, and against keeping a link to an instance that left.
 func TestMemberLinkIsRestoredAndDropped(t *testing.T) {
 	is := is.New(t)
 	a, b := startNode(t, "local", "a", testLimits()), startNode(t, "local", "b", testLimits())
@@ -343,8 +344,8 @@
 	waitFor(t, "the link is dropped", func() bool { return !a.Connected("b-1") && !b.Connected("a-1") })
 }
 
-// Guards against jobs that run on for an instance that can no longer give their answers to callers: the end of a link
-// is told on both sides.
+// Guards against running jobs for an instance that can no longer pass their answers to its callers: both sides are
+// notified when a link ends.
 func TestEndOfALinkIsTold(t *testing.T) {
 	is := is.New(t)
 	a, b := startNode(t, "local", "a", testLimits()), startNode(t, "local", "b", testLimits())
--- a/linker/message.go
+++ b/linker/message.go
@@ -8,19 +8,20 @@
 // Version is the version of the protocol between instances.
 const Version = 1
 
-// Hello identifies an instance; it is the first frame in each direction.
+// Hello identifies an instance. It is the first frame in each direction.
 type Hello struct {
 	Version     int    `cbor:"version"`
 	Domain      string `cbor:"domain"`
 	Name        string `cbor:"name"`
 	Incarnation string `cbor:"incarnation"`
-	// Address is where the instance accepts links.
+	// Address is the host and port on which the instance accepts links.
 	Address string `cbor:"address"`
-	// Weight is the instance's share of common work relative to others, such as its share of a processor; 0 counts as 1.
+	// Weight is the instance's share of common work relative to other instances, for example its share of a CPU; 0
+	// counts as 1.
 	Weight float64 `cbor:"weight,omitempty"`
 }
 
-// EffectiveWeight returns the weight of the instance, 1 if it names none.
+// EffectiveWeight returns the weight of the instance, or 1 if none is set.
 func (hello *Hello) EffectiveWeight() float64 {
 	if hello.Weight <= 0 {
 		return 1
@@ -28,14 +29,14 @@
 	return hello.Weight
 }
 
-// Message is one message between instances.
+// Message is a message between instances.
 type Message interface{ isMessage() }
 
 // Request is a message that is answered by one Response.
 type Request interface {
 	Message
 	withID(id uint64) Request
-	// answeredBy reports whether response has the type and the subject that belong to the request.
+	// answeredBy reports whether response has the type and subject that match the request.
 	answeredBy(response Response) bool
 }
 
@@ -45,7 +46,7 @@
 	requestID() uint64
 }
 
-// Heartbeat is sent to every member of the failure domain each second.
+// Heartbeat is sent every second to each member of the failure domain.
 type Heartbeat struct {
 	View          int64    `cbor:"view"`
 	Suspects      []string `cbor:"suspects,omitempty"`
@@ -53,13 +54,13 @@
 	BundleOffset  int64    `cbor:"bundle-offset"`
 	// Load is the number of tasks queued or in flight.
 	Load int64 `cbor:"load"`
-	// Synced says that the sender serves every slice that it owns in View.
+	// Synced means that the sender serves every slice that it owns in View.
 	Synced bool `cbor:"synced"`
-	// Leaving says that the sender has begun a planned stop.
+	// Leaving means that the sender has begun a planned shutdown.
 	Leaving bool `cbor:"leaving,omitempty"`
 }
 
-// KeeperMessage is a message between the keepers of one failure domain.
+// KeeperMessage wraps a message between the keepers of one failure domain.
 type KeeperMessage struct{ Message keeper.Message }
 
 // Task is one task of a forwarded job.
@@ -68,16 +69,17 @@
 	Payload []byte `cbor:"payload"`
 }
 
-// Forward asks the key's owner to decide and run a job.
+// Forward asks the owner of the key to decide and run a job.
 type Forward struct {
 	ID   uint64 `cbor:"id"`
 	Key  string `cbor:"key"`
 	Kind string `cbor:"kind"`
 	Team string `cbor:"team"`
-	// RemainingMS is the time until the deadline in milliseconds; clocks of instances may differ.
+	// RemainingMS is the time until the deadline in milliseconds. It is relative because the clocks of instances may
+	// differ.
 	RemainingMS int64  `cbor:"remaining-ms"`
 	TraceParent string `cbor:"traceparent,omitempty"`
-	// Origin is the incarnation that the caller sent the job to.
+	// Origin is the incarnation of the instance to which the caller sent the job.
 	Origin string `cbor:"origin,omitempty"`
 	Tasks  []Task `cbor:"tasks"`
 }
@@ -87,7 +89,7 @@
 	ID      uint64  `cbor:"id"`
 	Key     string  `cbor:"key"`
 	Outcome Outcome `cbor:"outcome"`
-	// CountGranted grants the count of the request in the burn report to the forward's origin.
+	// CountGranted permits the origin of the forward to count the request in the burn report.
 	CountGranted bool `cbor:"counts,omitempty"`
 }
 
@@ -108,13 +110,13 @@
 	Result []byte `cbor:"result"`
 }
 
-// Lookup asks the key's owner for the answer or the state of a job.
+// Lookup asks the owner of the key for the answer or the state of a job.
 type Lookup struct {
 	ID  uint64 `cbor:"id"`
 	Key string `cbor:"key"`
 }
 
-// LookupAnswer carries the state of a job and, once it has one, its outcome.
+// LookupAnswer carries the state of a job, and its outcome once it has one.
 type LookupAnswer struct {
 	ID      uint64   `cbor:"id"`
 	Key     string   `cbor:"key"`
@@ -122,29 +124,29 @@
 	Outcome *Outcome `cbor:"outcome,omitempty"`
 }
 
-// Cancel asks the key's owner to cancel a job that has not started.
+// Cancel asks the owner of the key to cancel a job that has not started.
 type Cancel struct {
 	ID  uint64 `cbor:"id"`
 	Key string `cbor:"key"`
 }
 
-// CancelAnswer says whether the job is cancelled, too late or undecided.
+// CancelAnswer carries the result of a cancellation: cancelled, too late or unknown.
 type CancelAnswer struct {
 	ID     uint64 `cbor:"id"`
 	Key    string `cbor:"key"`
 	Result string `cbor:"result"`
 }
 
-// BundleRequest asks for the bundle in force of one stream.
+// BundleRequest asks for the bundle in force of a stream.
 type BundleRequest struct {
 	ID     uint64 `cbor:"id"`
 	Stream string `cbor:"stream"`
-	// After is the offset of the bundle that the sender has, or -1.
+	// After is the offset of the bundle that the sender has, or -1 if it has none.
 	After int64 `cbor:"after"`
 }
 
-// BundleResponse carries the signed record of a bundle and its offsets in the log; Record is empty if the sender
-// has none after the one that the request names.
+// BundleResponse carries the signed record of a bundle and its offsets in the log. Record is empty if the responder has
+// no bundle after the offset in the request.
 type BundleResponse struct {
 	ID      uint64 `cbor:"id"`
 	Offset  int64  `cbor:"offset"`
@@ -152,7 +154,7 @@
 	Record  []byte `cbor:"record,omitempty"`
 }
 
-// Claim says that the sender starts a run on a target, and what the run occupies there.
+// Claim announces that the sender starts a run on a target, with the resources that the run uses there.
 type Claim struct {
 	_            struct{} `cbor:",toarray"`
 	Target       string
@@ -165,19 +167,19 @@
 	EstimateMS int64
 }
 
-// RunEnd says that a run on a target has ended.
+// RunEnd reports that a run on a target has ended.
 type RunEnd struct {
 	_       struct{} `cbor:",toarray"`
 	Target  string
 	Task    string
 	Attempt int64
-	// Number is the target's own count of its ends.
+	// Number is the sequence number that the target gives to the ends of its runs.
 	Number int64
 	// Cause is a scheduler.Cause.
 	Cause int64
 }
 
-// RunID names a run on a target.
+// RunID identifies a run on a target.
 type RunID struct {
 	_       struct{} `cbor:",toarray"`
 	Target  string
@@ -185,39 +187,41 @@
 	Attempt int64
 }
 
-// FreeCapacity is what is free on a target by the knowledge of its reader.
+// FreeCapacity is the free capacity of a target as known to its reader, the instance that polls the target.
 type FreeCapacity struct {
 	_            struct{} `cbor:",toarray"`
 	Target       string
 	MilliCores   int64
 	MemoryMB     int64
 	Accelerators int64
-	// Unreachable means that the target does not answer its reader, which does not renew its lease any more.
+	// Unreachable means that the target does not respond to its reader, which therefore no longer renews its lease.
 	Unreachable bool
 }
 
-// StateUpdate tells what an instance did and saw on the targets since its last news.
+// StateUpdate reports what an instance did and observed on the targets since its last update.
 type StateUpdate struct {
-	// Claims, Withdrawn and Stops go to the reader of their targets: runs that the sender starts, that do not occupy
-	// their targets, and that it cannot stop itself.
+	// Claims, Withdrawn and Stops are sent to the reader of their targets: runs that the sender starts, claims that it
+	// withdraws because the runs do not use their targets, and runs that it asks the reader to stop because it cannot
+	// do so itself.
 	Claims    []Claim `cbor:"claims,omitempty"`
 	Withdrawn []RunID `cbor:"withdrawn,omitempty"`
 	Stops     []RunID `cbor:"stops,omitempty"`
-	// Abandoned goes to the instance that runs these jobs for callers of the sender, who need them no more.
+	// Abandoned lists jobs that the receiver runs for callers of the sender and that those callers no longer need.
 	Abandoned []string `cbor:"abandoned,omitempty"`
-	// Ends goes to the owner of the runs.
+	// Ends is sent to the owner of the runs.
 	Ends []RunEnd `cbor:"ends,omitempty"`
-	// FreeCapacity tells of targets that the sender reads.
+	// FreeCapacity lists targets that the sender reads, with their free capacity.
 	FreeCapacity []FreeCapacity `cbor:"rooms,omitempty"`
-	// Waiting counts the sender's waiting tasks by priority; it is empty in news for one instance.
+	// Waiting is the number of tasks waiting at the sender, by priority. It is empty in an update for a single
+	// instance.
 	Waiting []int64 `cbor:"waiting,omitempty"`
-	// Leaving says that the sender has begun a planned stop.
+	// Leaving means that the sender has begun a planned shutdown.
 	Leaving bool `cbor:"leaving,omitempty"`
-	// Busy says that the sender has jobs of its own, so that it has to hear of rooms and renewed leases.
+	// Busy means that the sender has jobs of its own, so that it needs reports of free capacity and of renewed leases.
 	Busy bool `cbor:"busy,omitempty"`
 }
 
-// JobStep is a step of a delegated job.
+// JobStep is one step of a delegated job.
 type JobStep struct {
 	_            struct{} `cbor:",toarray"`
 	Tasks        []string
@@ -231,7 +235,7 @@
 	PerTarget  int
 }
 
-// Delegation asks an instance to run a job for the caller of the sender.
+// Delegation asks an instance to run a job on behalf of the sender's caller.
 type Delegation struct {
 	ID          uint64    `cbor:"id"`
 	Job         string    `cbor:"job"`
@@ -242,7 +246,7 @@
 	Priority    int       `cbor:"priority"`
 	MaxFailures int       `cbor:"max-failures"`
 	// AgeUS is the time since the job arrived, RemainingUS the time until its caller stops waiting, and ObjectiveUS the
-	// time until its answer is late, all in microseconds: clocks of instances differ.
+	// time until its answer is late. All are in microseconds and relative, because the clocks of instances differ.
 	AgeUS       int64 `cbor:"age-us"`
 	RemainingUS int64 `cbor:"remaining-us"`
 	ObjectiveUS int64 `cbor:"objective-us"`
@@ -255,10 +259,10 @@
 	Outcome Outcome `cbor:"outcome"`
 }
 
-// LinkEnded says that a link to the instance has ended; it is passed to the receiver and never sent.
+// LinkEnded reports that a link to the instance has ended. It is passed to the receiver and never sent.
 type LinkEnded struct{}
 
-// part is a piece of a message that is too large for one frame.
+// part is one part of a message that is too large for one frame.
 type part struct {
 	Last bool   `cbor:"last"`
 	Data []byte `cbor:"data"`
--- a/linker/outcome.go
+++ b/linker/outcome.go
@@ -8,7 +8,7 @@
 	"github.com/hyssoplift/hyssoplift/dispatcher"
 )
 
-// Classes of outcomes on the wire.
+// Outcome classes on the wire.
 const (
 	classComplete = "complete"
 	classFailed   = "failed"
@@ -16,7 +16,7 @@
 	classUnknown  = "unknown"
 )
 
-// EncodeOutcome returns the wire form of outcome; a retry time is sent relative to now.
+// EncodeOutcome returns the wire form of outcome. A retry time is encoded relative to now.
 func EncodeOutcome(outcome dispatcher.Outcome, now time.Time) Outcome {
 	switch outcome := outcome.(type) {
 	case dispatcher.Complete:
@@ -26,21 +26,21 @@
 		}
 		return Outcome{Class: classComplete, Results: results}
 	case dispatcher.Failed:
-		return Outcome{Class: classFailed, Detail: cutText(outcome.Detail()), Fates: outcome.Fates()}
+		return Outcome{Class: classFailed, Detail: truncateDetail(outcome.Detail()), Fates: outcome.Fates()}
 	case dispatcher.Refused:
-		wire := Outcome{Class: classRefused, Reason: string(outcome.Reason()), Detail: cutText(outcome.Detail()), Field: outcome.Field()}
+		wire := Outcome{Class: classRefused, Reason: string(outcome.Reason()), Detail: truncateDetail(outcome.Detail()), Field: outcome.Field()}
 		if !outcome.RetryAt().IsZero() {
 			wire.RetryMS = max(outcome.RetryAt().Sub(now).Milliseconds(), 1)
 		}
 		return wire
 	case dispatcher.Unknown:
-		return Outcome{Class: classUnknown, Detail: cutText(outcome.Detail())}
+		return Outcome{Class: classUnknown, Detail: truncateDetail(outcome.Detail())}
 	default:
 		panic(eris.Errorf("outcome type %T has no wire form", outcome))
 	}
 }
 
-// DecodeOutcome returns the outcome that wire carries.
+// DecodeOutcome returns the outcome encoded in wire. A retry time is relative to now.
 func DecodeOutcome(wire Outcome, now time.Time) (dispatcher.Outcome, error) {
 	switch wire.Class {
 	case classComplete:
@@ -60,8 +60,8 @@
 	case classUnknown:
 		return dispatcher.NewUnknown(wire.Detail), nil
 	default:
-		return nil, eris.Errorf("outcome class %.40q is not known", wire.Class)
+		return nil, eris.Errorf("unknown outcome class %.40q", wire.Class)
 	}
 }
 
-func cutText(text string) string { return text[:min(len(text), maxDetailBytes)] }
+func truncateDetail(text string) string { return text[:min(len(text), maxDetailBytes)] }
--- a/linker/part.go
+++ b/linker/part.go
@@ -2,37 +2,37 @@
 
 import "github.com/rotisserie/eris"
 
-// pieces returns encoded as it is, or cut into parts if it does not fit into one frame.
-func pieces(encoded []byte) ([][]byte, error) {
+// splitMessage returns encoded unchanged if it fits into one frame, and otherwise splits it into encoded parts.
+func splitMessage(encoded []byte) ([][]byte, error) {
 	if len(encoded) <= MaxFrameBytes {
 		return [][]byte{encoded}, nil
 	}
-	var cut [][]byte
+	var parts [][]byte
 	for start := 0; start < len(encoded); start += partBytes {
 		end := min(start+partBytes, len(encoded))
-		piece, err := encode(part{Last: end == len(encoded), Data: encoded[start:end]})
+		encodedPart, err := encode(part{Last: end == len(encoded), Data: encoded[start:end]})
 		if err != nil {
 			return nil, err
 		}
-		cut = append(cut, piece)
+		parts = append(parts, encodedPart)
 	}
-	return cut, nil
+	return parts, nil
 }
 
-// assembly joins the parts of one message; a link carries the parts of a message without others between them.
-type assembly struct{ data []byte }
+// reassembler joins the parts of one message. A link sends the parts of a message without other messages between them.
+type reassembler struct{ data []byte }
 
-// add returns the message that piece completes, or nil if more parts follow.
-func (assembly *assembly) add(piece part) (Message, error) {
-	if len(assembly.data)+len(piece.Data) > MaxMessageBytes+maxTextBytes {
+// add returns the message that next completes, or nil if more parts follow.
+func (reassembler *reassembler) add(next part) (Message, error) {
+	if len(reassembler.data)+len(next.Data) > MaxMessageBytes+maxTextBytes {
 		return nil, eris.Errorf("message in parts exceeds %d bytes", MaxMessageBytes)
 	}
-	assembly.data = append(assembly.data, piece.Data...)
-	if !piece.Last {
+	reassembler.data = append(reassembler.data, next.Data...)
+	if !next.Last {
 		return nil, nil
 	}
-	message, rest, err := decode(assembly.data)
-	assembly.data = nil
+	message, rest, err := decode(reassembler.data)
+	reassembler.data = nil
 	if err != nil {
 		return nil, err
 	}
--- a/linker/remote.go
+++ b/linker/remote.go
@@ -6,18 +6,19 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrTooManyLinks means that the bound on links to other failure domains is reached.
+// ErrTooManyLinks means that the maximum number of links to other failure domains is open.
 var ErrTooManyLinks = eris.New("too many links to other failure domains")
 
-// remoteLink is a link to another failure domain that is being opened or is open.
+// remoteLink is a link to another failure domain, either open or being opened. The other fields are valid once ready is
+// closed.
 type remoteLink struct {
 	ready chan struct{}
 	link  *link
 	err   error
 }
 
-// CallRemote sends request to the instance at address in another failure domain, over a link that is opened
-// on demand and closed when idle. After an error the request may have taken effect unless the error is
+// CallRemote sends request to the instance at address in another failure domain and returns its response. The link is
+// opened on demand and closed when idle. After an error the request may have taken effect, unless the error is
 // ErrNoLink, ErrQueueFull or ErrTooManyLinks.
 func (linker *Linker) CallRemote(ctx context.Context, address string, request Request) (Response, error) {
 	remote, err := linker.openRemote(address)
@@ -36,7 +37,7 @@
 	return linker.call(ctx, remote.link, request)
 }
 
-// openRemote returns the link to address, opening it if there is none.
+// openRemote returns the link to address and opens it if there is none.
 func (linker *Linker) openRemote(address string) (*remoteLink, error) {
 	linker.mu.Lock()
 	defer linker.mu.Unlock()
