--- a/leaser/leaser.go
+++ b/leaser/leaser.go
@@ -130,9 +130,9 @@
 	case first.err != nil && !first.sent:
 		return NotStarted{detail: first.err.Error()}
 	case first.err == nil && first.statusCode == http.StatusServiceUnavailable:
-		return NotStarted{detail: "worker accepts no more tasks", leaving: first.closesConnection}
+		return NotStarted{detail: "worker takes no more tasks", leaving: first.closesConnection}
 	case first.err == nil && first.statusCode == http.StatusTooManyRequests:
-		return NotStarted{detail: "worker has no free capacity"}
+		return NotStarted{detail: "worker has no room"}
 	case first.err == nil && first.statusCode != http.StatusOK:
 		return TaskFailed{status: LeaseStatus{State: Failed, Detail: http.StatusText(first.statusCode)}}
 	}
@@ -163,7 +163,7 @@
 func (leaser *Leaser) renewUntilEnd(ctx context.Context, base string, last reply) Result {
 	request := LeaseRequest{LeaseMS: leaseDuration.Milliseconds(), WaitMS: renewInterval.Milliseconds()}
 	for {
-		if result, ok := last.finalResult(); ok {
+		if result, ok := last.result(); ok {
 			return result
 		}
 		if last.err != nil && !sleeper.For(ctx, retryDelay) || ctx.Err() != nil {
@@ -173,8 +173,8 @@
 	}
 }
 
-// finalResult returns the result of the task if the reply determines it.
-func (reply reply) finalResult() (Result, bool) {
+// result returns the result of the task if the reply determines it.
+func (reply reply) result() (Result, bool) {
 	switch {
 	case reply.err != nil:
 		return nil, false
--- a/server/bench_test.go
+++ b/server/bench_test.go
@@ -19,17 +19,17 @@
 	"github.com/hyssoplift/hyssoplift/emulator"
 )
 
-// benchClients is the number of callers in the throughput benchmarks.
+// benchClients is the number of concurrent callers in the throughput benchmarks.
 const benchClients = 64
 
-// latencyRound is the number of pairs of calls of each caller in one iteration of the latency benchmark.
-const latencyRound = 100
+// latencyPairs is the number of pairs of calls per caller in one iteration of the latency benchmark.
+const latencyPairs = 100
 
 type caller struct {
 	client *http.Client
 	url    string
 	body   string
-	// prefix is that of the keys to use; without one the jobs have no key.
+	// prefix is the prefix of the keys to use. If it is empty, the jobs have no key.
 	prefix string
 	used   *atomic.Int64
 }
@@ -57,8 +57,8 @@
 	return time.Since(start)
 }
 
-// callers returns one that calls the runner itself and one that submits jobs of the given size to an instance
-// in front of the same runner.
+// callers returns two callers of the same runner: direct calls the runner itself, and entry submits jobs of the given
+// number of tasks to an instance in front of it.
 func callers(tb testing.TB, tasks int) (direct, entry caller) {
 	server, base := startServer(tb, emulator.NewRunner(64, 1), hclog.NewNullLogger())
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: benchClients, MaxConnsPerHost: benchClients}}
@@ -72,9 +72,9 @@
 	return direct, entry
 }
 
-// witnessed returns the same pair, with jobs under issued keys at an instance of three, so that each start
-// record goes to a witness.
-func witnessed(tb testing.TB) (direct, entry caller) {
+// callersWithWitness is like callers, but submits jobs under issued keys to one of three instances, so that each start record
+// goes to a witness.
+func callersWithWitness(tb testing.TB) (direct, entry caller) {
 	runner := emulator.NewRunner(64, 1)
 	_, bases := startDomains(tb, runner)
 	address := httptest.NewServer(runner)
@@ -93,7 +93,7 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-// reportAdded reports the quantiles of both ways and their differences, in microseconds.
+// reportAdded reports the quantiles of the direct calls and the added latency of the instance, in microseconds.
 func reportAdded(b *testing.B, direct, entry []time.Duration) {
 	slices.Sort(direct)
 	slices.Sort(entry)
@@ -107,7 +107,7 @@
 	}
 }
 
-// BenchmarkAddedLatency alternates calls of the runner and jobs of one task, with 1 and with 8 callers.
+// BenchmarkAddedLatency alternates direct calls of the runner and jobs of one task, with 1 and with 8 callers.
 func BenchmarkAddedLatency(b *testing.B) {
 	for _, row := range []struct {
 		name    string
@@ -117,7 +117,7 @@
 		b.Run(row.name, func(b *testing.B) {
 			var direct, entry caller
 			if row.witness {
-				direct, entry = witnessed(b)
+				direct, entry = callersWithWitness(b)
 			} else {
 				direct, entry = callers(b, 1)
 			}
@@ -128,7 +128,7 @@
 				var group sync.WaitGroup
 				for range row.count {
 					group.Go(func() {
-						for range latencyRound {
+						for range latencyPairs {
 							without, with := direct.call(b), entry.call(b)
 							mu.Lock()
 							directs, entries = append(directs, without), append(entries, with)
@@ -143,8 +143,8 @@
 	}
 }
 
-// BenchmarkThroughput saturates the runner directly and through an instance; allocations count both ends and
-// the caller, so those of the instance are the difference to the direct run.
+// BenchmarkThroughput saturates the runner directly and through an instance. Allocations include those of the runner
+// and the caller, so the instance's own are the difference from the direct run.
 func BenchmarkThroughput(b *testing.B) {
 	for _, row := range []struct {
 		name  string
@@ -154,7 +154,7 @@
 		b.Run(row.name, func(b *testing.B) {
 			var direct, entry caller
 			if row.tasks == 0 {
-				direct, entry = witnessed(b)
+				direct, entry = callersWithWitness(b)
 			} else {
 				direct, entry = callers(b, row.tasks)
 			}
--- a/server/bundles_test.go
+++ b/server/bundles_test.go
@@ -38,7 +38,7 @@
 max-in-flight = 100
 `
 
-// signBundle returns a signed record of text and the setting bundle-keys that proves it.
+// signBundle returns a signed record of text, and the setting bundle-keys that verifies it.
 func signBundle(text string, replaces *int64) ([]byte, string, error) {
 	author := ed25519.NewKeyFromSeed(bytes.Repeat([]byte{1}, ed25519.SeedSize))
 	approver := ed25519.NewKeyFromSeed(bytes.Repeat([]byte{2}, ed25519.SeedSize))
@@ -59,7 +59,7 @@
 	return data, setting, err
 }
 
-// Guards against a switch of the bundle that cuts off or changes a request in flight.
+// Guards against a new bundle that aborts or changes a request in flight.
 func TestSwitchInFlight(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -106,18 +106,18 @@
 	waitFor(t, func() bool { return server.bundle.Load().Version() == 2 })
 	close(release)
 	_, ok := (<-answers).(dispatcher.Complete)
-	is.True(ok) // it is answered under the bundle that it began with
+	is.True(ok) // it is answered under the bundle with which it began
 	outcome, err := submit()
 	is.NoErr(err)
 	refused, ok := outcome.(dispatcher.Refused)
-	is.True(ok && refused.Reason() == dispatcher.ReasonUnknownKind) // the next one sees the new bundle
+	is.True(ok && refused.Reason() == dispatcher.ReasonUnknownKind) // the next request uses the new bundle
 }
 
 func waitFor(tb testing.TB, condition func() bool) {
 	tb.Helper()
 	for deadline := time.Now().Add(30 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			tb.Fatal("the condition did not come about")
+			tb.Fatal("timed out waiting for the condition")
 		}
 	}
 }
--- a/server/burn.go
+++ b/server/burn.go
@@ -9,10 +9,10 @@
 	"github.com/hyssoplift/hyssoplift/reporter"
 )
 
-// maxBurnSeries bounds the pairs of kind and team that one instance counts separately in one minute.
+// maxBurnSeries is the maximum number of pairs of kind and team that an instance counts separately per minute.
 const maxBurnSeries = 1200
 
-// newAccountant returns the accountant that appends this instance's counts to the log.
+// newAccountant returns the accountant that appends this instance's burn counts to the log.
 func (server *Server) newAccountant(retention time.Duration, maxRecords int) *accountant.Accountant {
 	return accountant.New(reporter.Config{
 		Domain:      server.domain(),
@@ -24,7 +24,7 @@
 	}, server.log, server.logger)
 }
 
-// setObjectives measures answers against the objectives of bundle from now on.
+// setObjectives makes the accountant measure answers against the objectives of bundle from now on.
 func (server *Server) setObjectives(bundle *bundler.Bundle) {
 	objectives := make(map[string]reporter.Objective)
 	for _, kind := range bundle.Kinds() {
@@ -42,8 +42,8 @@
 	server.accountant.SetObjectives(objectives)
 }
 
-// countAnswer counts an answer that was written to its caller. An unknown outcome may be followed by a known one
-// when the caller resubmits, so it is counted as unclaimed.
+// countAnswer counts an answer that was written to its caller. An unknown outcome is counted as unclaimed, because a
+// resubmission by the caller may yield a known one.
 func (server *Server) countAnswer(exchange *exchange, request *request, outcome dispatcher.Outcome) {
 	if exchange.writeErr != nil || exchange.request.Context().Err() != nil {
 		return
@@ -56,16 +56,16 @@
 	server.accountant.Record(reporter.NewAnswer(exchange.job, outcome, now.Sub(exchange.received), grant), now)
 }
 
-// grantCount reports whether the instance that the caller sent the request to may count it.
+// grantCount reports whether the instance to which the caller sent the request may count it.
 func (server *Server) grantCount(request *request) bool {
 	if request.grant != reporter.Own {
-		// The owner was another instance, which has decided.
+		// The owner is another instance, which has already decided.
 		return request.grant == reporter.Granted
 	}
 	return request.origin != "" && server.accountant.Grant(request.job.Key(), request.origin, time.Now())
 }
 
-// handleBurn answers with the burn report.
+// handleBurn returns the handler of the burn report.
 func (server *Server) handleBurn() handler {
 	burn := accountant.Handler(server.log)
 	return func(exchange *exchange) { burn.ServeHTTP(exchange, exchange.request) }
--- a/server/burn_test.go
+++ b/server/burn_test.go
@@ -11,8 +11,8 @@
 	"github.com/hyssoplift/hyssoplift/reporter"
 )
 
-// Guards against a resubmission, or an answer through another instance, that counts a request twice, and against an
-// answer that is not counted at all.
+// Guards against counting a request twice when it is submitted again or answered through another instance, and against
+// not counting an answer at all.
 func TestResubmissionsCountOnce(t *testing.T) {
 	is := is.New(t)
 	servers, bases := startDomains(t, emulator.NewRunner(8, 1))
@@ -21,10 +21,10 @@
 		send(t, http.MethodPost, bases[at]+"/v1/jobs", body, keyHeader, key)
 	}
 	for _, at := range []int{1, 0, 1, 2, 3, 3} {
-		submit(at, prefix+"first", goodJob)
+		submit(at, prefix+"first", validJob)
 	}
 	for _, at := range []int{3, 2, 0} {
-		submit(at, prefix+"second", goodJob)
+		submit(at, prefix+"second", validJob)
 	}
 	submit(2, prefix+"third", `{"kind":"other","team":"demo","tasks":[{"name":"a","payload":{}}]}`)
 
@@ -32,19 +32,19 @@
 	ledger.SetComplete(true)
 	now := time.Now().Add(time.Minute)
 	for _, server := range servers {
-		// An answer is counted after it was written, so the caller may have it a little earlier.
-		waitFor(t, func() bool { return server.drain.inFlight() == 0 })
+		// An answer is counted after it is written, so the caller may receive it slightly earlier.
+		waitFor(t, func() bool { return server.drainer.inFlight() == 0 })
 		if batch, ok := server.accountant.Batch(now, true); ok {
 			ledger.Add(batch, now)
 		}
 	}
 	counts := make(map[string]uint64)
-	// A report ends some minutes before its time, to leave instances time to append.
+	// A report ends a few minutes before its time, to give instances time to append.
 	for _, row := range ledger.Report(now.Add(5 * time.Minute)).Rows {
 		if row.Team == "" {
 			counts[row.Kind] = row.Burns[len(row.Burns)-1].Answers
 		}
 	}
-	is.Equal(counts["loop-check"], uint64(2)) // two requests, however often and wherever submitted
-	is.Equal(counts["other"], uint64(1))      // a refusal counts once
+	is.Equal(counts["loop-check"], uint64(2)) // two requests, regardless of how often and where they were submitted
+	is.Equal(counts["other"], uint64(1))      // a refusal is counted once
 }
--- a/server/cluster_test.go
+++ b/server/cluster_test.go
@@ -45,7 +45,8 @@
 max-in-flight = 1000000
 `
 
-// startDomains returns three instances in failure domain ahd and one in srt, all settled, and their base URLs.
+// startDomains starts three instances in failure domain ahd and one in srt, waits until all are ready, and returns them
+// with their base URLs.
 func startDomains(tb testing.TB, runner http.Handler) ([]*Server, []string) {
 	tb.Helper()
 	records, list := emulator.NewLog(), emulator.NewList(0)
@@ -94,8 +95,8 @@
 	return servers, bases
 }
 
-// Guards against a job that runs twice, is answered differently by different instances, or cannot be found
-// or cancelled through an instance that does not decide it.
+// Guards against a job that runs twice, gets different answers from different instances, or cannot be looked up or
+// cancelled through an instance other than its owner.
 func TestAnyInstanceServesAnyKey(t *testing.T) {
 	is := is.New(t)
 	runner := emulator.NewRunner(64, 1)
@@ -150,7 +151,7 @@
 			is.Equal(got.answer.Key, step.key)
 		})
 	}
-	// Submissions of one key through every instance at once: plain keys go to their home, issued ones to the owner.
+	// Submit each key through every instance at once. Plain keys are forwarded to their home, issued ones to the owner.
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	answers := make(map[string][]encoder.Answer)
@@ -169,7 +170,7 @@
 		for _, answer := range all {
 			is.Equal(answer.Outcome, "complete")
 			is.Equal(answer.Key, key)
-			is.True(bytes.Contains(answer.Results[0].Result, []byte(key))) // its own answer
+			is.True(bytes.Contains(answer.Results[0].Result, []byte(key))) // the answer of its own job
 		}
 	}
 	counts := make(map[string]int)
--- a/server/decider.go
+++ b/server/decider.go
@@ -16,32 +16,32 @@
 )
 
 const (
-	// deciderShards spreads the waiting requests over locks.
+	// deciderShards is the number of locks over which the waiting requests are distributed.
 	deciderShards = 64
 	// expireInterval is the resolution of the keeper's timeouts.
 	expireInterval = 5 * time.Millisecond
-	// decisionGrace is how long after its deadline a job waits for a decision that is under way.
+	// decisionGrace is how long past its deadline a job waits for a pending decision.
 	decisionGrace = time.Second
 )
 
-// waiter is one request that waits for an event of the keeper.
+// waiter is a request that waits for an event of the keeper.
 type waiter struct {
 	key    string
 	ticket uint64
-	// byKey says that the request waits for the end of a job that another request runs.
-	byKey bool
-	event chan keeper.Event
+	// joined means that the request waits for the outcome of a job that another request runs.
+	joined bool
+	event  chan keeper.Event
 }
 
-// deciderShard holds the waiting requests of some keys. Its lock is held from the keeper's decision to the
-// registration of the waiter, so that no event can come between.
+// deciderShard holds the waiting requests of some keys. Its lock is held from the keeper's decision until the waiter is
+// registered, so that no event is missed in between.
 type deciderShard struct {
 	mu      sync.Mutex
 	tickets map[uint64]*waiter
 	keys    map[string][]*waiter
 }
 
-// decider carries the keeper's messages and events between links and requests.
+// decider passes messages between the keeper and the links, and the keeper's events to the requests that wait for them.
 type decider struct {
 	keeper *keeper.Keeper
 	linker *linker.Linker
@@ -50,7 +50,7 @@
 	shards [deciderShards]*deciderShard
 }
 
-// newDecider returns a decider that drives the keeper's timeouts until ctx is done.
+// newDecider returns a decider that triggers the keeper's timeouts until ctx is done.
 func newDecider(ctx context.Context, kept *keeper.Keeper, links *linker.Linker, logger hclog.Logger) *decider {
 	decider := &decider{keeper: kept, linker: links, logger: logger, seed: maphash.MakeSeed()}
 	for i := range decider.shards {
@@ -75,7 +75,7 @@
 	return decider.shards[maphash.String(decider.seed, key)%deciderShards]
 }
 
-// decide calls the keeper, registers a waiter if the decision announces an event, and sends the messages.
+// decide calls the keeper, registers a waiter if the decision is to be followed by an event, and sends the messages.
 func (decider *decider) decide(key string, call func() (keeper.Decision, []keeper.Outgoing)) (keeper.Decision, *waiter) {
 	shard := decider.shard(key)
 	shard.mu.Lock()
@@ -89,7 +89,7 @@
 	return decision, waiter
 }
 
-// newWaiter returns the waiter that decision asks for, or nil.
+// newWaiter returns the waiter for decision, or nil if no event follows it.
 func newWaiter(key string, decision keeper.Decision) *waiter {
 	waiter := &waiter{key: key, event: make(chan keeper.Event, 1)}
 	switch decision := decision.(type) {
@@ -98,7 +98,7 @@
 	case keeper.AwaitConfirmation:
 		waiter.ticket = decision.Ticket
 	case keeper.Joined:
-		waiter.ticket, waiter.byKey = decision.Ticket, true
+		waiter.ticket, waiter.joined = decision.Ticket, true
 	default:
 		return nil
 	}
@@ -109,25 +109,25 @@
 	if waiter.ticket != 0 {
 		shard.tickets[waiter.ticket] = waiter
 	}
-	if waiter.byKey {
+	if waiter.joined {
 		shard.keys[waiter.key] = append(shard.keys[waiter.key], waiter)
 	}
 }
 
-func (shard *deciderShard) remove(gone *waiter) {
-	delete(shard.tickets, gone.ticket)
-	if !gone.byKey {
+func (shard *deciderShard) remove(removed *waiter) {
+	delete(shard.tickets, removed.ticket)
+	if !removed.joined {
 		return
 	}
-	left := slices.DeleteFunc(shard.keys[gone.key], func(other *waiter) bool { return other == gone })
-	if len(left) == 0 {
-		delete(shard.keys, gone.key)
+	remaining := slices.DeleteFunc(shard.keys[removed.key], func(other *waiter) bool { return other == removed })
+	if len(remaining) == 0 {
+		delete(shard.keys, removed.key)
 		return
 	}
-	shard.keys[gone.key] = left
+	shard.keys[removed.key] = remaining
 }
 
-// wait returns the event that waiter was registered for, or false at the deadline.
+// wait returns the event for waiter, or false if none arrives until decisionGrace after the deadline.
 func (decider *decider) wait(waiter *waiter, deadline time.Time) (keeper.Event, bool) {
 	timer := time.NewTimer(time.Until(deadline.Add(decisionGrace)))
 	defer timer.Stop()
@@ -148,8 +148,9 @@
 	}
 }
 
-// forget ends a wait whose event does not matter; it must not be one for the start of a job.
-func (decider *decider) forget(waiter *waiter) {
+// cancelWait removes a waiter whose event is not needed. It must not be used for a waiter that may be granted the start
+// of a job.
+func (decider *decider) cancelWait(waiter *waiter) {
 	shard := decider.shard(waiter.key)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
@@ -166,7 +167,7 @@
 	decider.apply(decider.keeper.Finish(key, outcome, time.Now()))
 }
 
-// apply delivers events to their waiters and sends messages.
+// apply sends messages and delivers events to their waiters.
 func (decider *decider) apply(events []keeper.Event, outgoing []keeper.Outgoing) {
 	decider.send(outgoing)
 	for _, event := range events {
@@ -176,39 +177,41 @@
 
 func (decider *decider) send(outgoing []keeper.Outgoing) {
 	for _, out := range outgoing {
-		// The keeper repeats what matters, so a message that cannot be sent counts as lost.
+		// The keeper retransmits what is required, so a message that cannot be sent is treated as lost.
 		if err := decider.linker.Send(out.To.Incarnation, linker.KeeperMessage{Message: out.Message}); err != nil {
 			decider.logger.Debug("message to keeper not sent", "peer", out.To.Name, "error", eris.ToString(err, false))
 		}
 	}
 }
 
+// deliver passes event to the requests that wait for it.
 func (decider *decider) deliver(event keeper.Event) {
 	switch event := event.(type) {
 	case keeper.StartGranted:
-		if !decider.hand(event.Key, event.Ticket, event) {
-			// The request gave up before the acknowledgement; the record says started, so the job ends here.
+		if !decider.notify(event.Key, event.Ticket, event) {
+			// The request gave up before the acknowledgement. The start record says that the job started, so it has to
+			// be finished here.
 			decider.finish(event.Key, dispatcher.NewFailed("the start record was acknowledged too late, nothing was started", nil))
 		}
 	case keeper.AttemptLost:
-		decider.hand(event.Key, event.Ticket, event)
+		decider.notify(event.Key, event.Ticket, event)
 	case keeper.RefusalConfirmed:
-		decider.hand(event.Key, event.Ticket, event)
+		decider.notify(event.Key, event.Ticket, event)
 	case keeper.RefusalUnconfirmed:
-		decider.hand(event.Key, event.Ticket, event)
+		decider.notify(event.Key, event.Ticket, event)
 	case keeper.CancelConfirmed:
-		decider.hand(event.Key, event.Ticket, event)
+		decider.notify(event.Key, event.Ticket, event)
 	case keeper.AnswerFound:
-		decider.hand(event.Key, event.Ticket, event)
+		decider.notify(event.Key, event.Ticket, event)
 	case keeper.OutcomeKnown:
-		decider.handAll(event)
+		decider.notifyAll(event)
 	default:
-		panic(eris.Errorf("event type %T is not handled", event))
+		panic(eris.Errorf("unexpected event type %T", event))
 	}
 }
 
-// hand gives event to the waiter with the ticket and reports whether there was one.
-func (decider *decider) hand(key string, ticket uint64, event keeper.Event) bool {
+// notify delivers event to the waiter with the ticket and reports whether there was one.
+func (decider *decider) notify(key string, ticket uint64, event keeper.Event) bool {
 	shard := decider.shard(key)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
@@ -221,8 +224,8 @@
 	return true
 }
 
-// handAll gives the end of a job to every request that waits for it.
-func (decider *decider) handAll(event keeper.OutcomeKnown) {
+// notifyAll delivers the outcome of a job to every request that waits for it.
+func (decider *decider) notifyAll(event keeper.OutcomeKnown) {
 	shard := decider.shard(event.Key)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
--- a/server/dispatch.go
+++ b/server/dispatch.go
@@ -10,128 +10,131 @@
 	"github.com/hyssoplift/hyssoplift/starter"
 )
 
-// retryDelay spaces attempts to find a target for a task that was refused by one.
+// retryDelay is the delay between attempts to find another target for a task that a target refused.
 const retryDelay = 5 * time.Millisecond
 
-// taskEnd is the end of one task.
+// taskEnd is the result of one task.
 type taskEnd struct {
 	index  int
 	result starter.Result
 }
 
-// jobRun is a job whose tasks are being started; its fields belong to the goroutine that runs the job.
+// jobRun is a job whose tasks are being started. Its fields are only accessed by the goroutine that runs the job.
 type jobRun struct {
 	server  *Server
 	request *request
-	job     *queued
+	job     *queuedJob
 	results []starter.Result
-	// ends has room for every task, so that a task that ends late does not block.
+	// ends is buffered for every task, so that a task that ends late does not block.
 	ends    chan taskEnd
 	started int
 	ended   int
-	// failed says that the answer cannot become complete, so that the remaining tasks would run for nothing.
+	// failed means that the answer can no longer be complete, so that no further tasks are started.
 	failed bool
 }
 
-// run starts every task of the job once, as the scheduler grants them, and returns the whole answer. The
-// first grant has been taken from the queue before the start record was written.
-func (server *Server) run(ctx context.Context, request *request, job *queued, first granted) dispatcher.Outcome {
-	defer server.scheduler.leave(job)
+// run starts each task of the job once, as the scheduler grants them, and returns the complete outcome. The first grant
+// was received before the start record was written.
+func (server *Server) run(ctx context.Context, request *request, job *queuedJob, first taskGrant) dispatcher.Outcome {
+	defer server.scheduler.remove(job)
 	tasks := request.job.Tasks()
 	if len(tasks) == 1 {
-		return server.combine(request.job, []starter.Result{server.startTask(ctx, request, tasks[0], first)})
+		return server.combineResults(request.job, []starter.Result{server.startTask(ctx, request, tasks[0], first)})
 	}
 	run := &jobRun{
 		server: server, request: request, job: job,
 		results: make([]starter.Result, len(tasks)), ends: make(chan taskEnd, len(tasks)),
 	}
 	run.start(ctx, first)
-	for run.goesOn() {
+	for run.unfinished() {
 		run.step(ctx)
 	}
-	return server.combine(request.job, run.results)
+	return server.combineResults(request.job, run.results)
 }
 
-// goesOn says that a task is in flight or will still be started.
-func (run *jobRun) goesOn() bool {
-	return run.ended < run.started || run.startsMore()
+// unfinished reports whether a task is in flight or still to be started.
+func (run *jobRun) unfinished() bool {
+	return run.ended < run.started || run.hasMoreToStart()
 }
 
-func (run *jobRun) startsMore() bool { return !run.failed && run.started < len(run.results) }
+// hasMoreToStart reports whether further tasks are to be started.
+func (run *jobRun) hasMoreToStart() bool { return !run.failed && run.started < len(run.results) }
 
-// step waits for the next grant or end of a task, or for the end of the job's time.
+// step waits for the next grant, the end of a task, or the end of the time for the job.
 func (run *jobRun) step(ctx context.Context) {
-	var grants chan granted
-	if run.startsMore() {
+	var grants chan taskGrant
+	if run.hasMoreToStart() {
 		grants = run.job.grants
 	}
 	select {
-	case granted := <-grants:
-		run.start(ctx, granted)
+	case taskGrant := <-grants:
+		run.start(ctx, taskGrant)
 	case end := <-run.ends:
 		run.end(end)
 	case <-run.job.expired:
 		run.failed = true
 	case <-ctx.Done():
-		run.fail()
-		// Tasks in flight end with ctx; waiting for them keeps the answer whole.
+		run.abort()
+		// Tasks in flight end with ctx. Waiting for them keeps the answer complete.
 		for run.ended < run.started {
 			run.end(<-run.ends)
 		}
 	}
 }
 
-func (run *jobRun) start(ctx context.Context, granted granted) {
+// start starts the next task in the background.
+func (run *jobRun) start(ctx context.Context, taskGrant taskGrant) {
 	index := run.started
 	run.started++
 	go func() {
-		run.ends <- taskEnd{index, run.server.startTask(ctx, run.request, run.request.job.Tasks()[index], granted)}
+		run.ends <- taskEnd{index, run.server.startTask(ctx, run.request, run.request.job.Tasks()[index], taskGrant)}
 	}()
 }
 
+// end records the result of a task, and aborts the rest of the job unless the task succeeded.
 func (run *jobRun) end(end taskEnd) {
 	run.ended++
 	run.results[end.index] = end.result
 	if _, ok := end.result.(starter.Success); !ok {
-		run.fail()
+		run.abort()
 	}
 }
 
-// fail gives up the tasks that were not granted yet.
-func (run *jobRun) fail() {
+// abort drops the tasks that have not been granted yet.
+func (run *jobRun) abort() {
 	if !run.failed {
 		run.failed = true
 		run.server.scheduler.limiter.Drop(run.job.ticket)
 	}
 }
 
-// startTask starts one task at the granted target, and at another one if it provably did not start there and
-// the retry budget allows it.
-func (server *Server) startTask(ctx context.Context, request *request, task dispatcher.Task, granted granted) starter.Result {
+// startTask runs a task at the granted target. If the task provably did not start there, it tries another target as far
+// as the retry budget allows.
+func (server *Server) startTask(ctx context.Context, request *request, task dispatcher.Task, taskGrant taskGrant) starter.Result {
 	for {
-		result, learned, size := server.startAt(ctx, request, task, granted.place)
+		result, learned, size := server.runAt(ctx, request, task, taskGrant.place)
 		_, refused := result.(starter.NotStarted)
 		if !refused || ctx.Err() != nil || !server.scheduler.limiter.Retry(time.Now()) {
-			server.scheduler.release(granted, learned, size)
-			server.scheduler.pump(time.Now())
+			server.scheduler.release(taskGrant, learned, size)
+			server.scheduler.issueGrants(time.Now())
 			return result
 		}
 		server.meter.retries.Inc()
-		endPlace(granted.place, learned, size, time.Now())
-		if !server.pickAgain(ctx, request.kind.Name(), &granted) {
-			server.scheduler.limiter.Release(granted.grant, time.Now())
-			server.scheduler.pump(time.Now())
+		releasePlace(taskGrant.place, learned, size, time.Now())
+		if !server.pickOtherTarget(ctx, request.kind.Name(), &taskGrant) {
+			server.scheduler.limiter.Release(taskGrant.grant, time.Now())
+			server.scheduler.issueGrants(time.Now())
 			return result
 		}
 	}
 }
 
-// pickAgain waits for another target for a task that keeps its grant.
-func (server *Server) pickAgain(ctx context.Context, kind string, granted *granted) bool {
+// pickOtherTarget waits for another target for a task that keeps its grant.
+func (server *Server) pickOtherTarget(ctx context.Context, kind string, taskGrant *taskGrant) bool {
 	for ctx.Err() == nil {
-		chosen, ok := server.scheduler.routers.Load().pick(kind, time.Now())
+		chosen, ok := server.scheduler.snapshot.Load().pick(kind, time.Now())
 		if ok {
-			granted.place = chosen
+			taskGrant.place = chosen
 			return true
 		}
 		sleeper.For(ctx, retryDelay)
@@ -139,6 +142,7 @@
 	return false
 }
 
+// routerResult converts the result of a task to what the router learns about the target.
 func routerResult(result starter.Result) router.Result {
 	switch result := result.(type) {
 	case starter.Success:
@@ -152,10 +156,10 @@
 	}
 }
 
-// combine returns a complete answer if every task succeeded, and otherwise a failed one without results. It
-// is failed as well if no task started: after the start record a successor could not tell. A task without a
-// result was not started.
-func (server *Server) combine(job dispatcher.Job, results []starter.Result) dispatcher.Outcome {
+// combineResults returns a complete outcome if every task succeeded, and otherwise a failed one without results. The
+// outcome is also failed if no task started, because once the start record is written a successor cannot tell whether
+// one did. A task without a result was not started.
+func (server *Server) combineResults(job dispatcher.Job, results []starter.Result) dispatcher.Outcome {
 	finished := make([]dispatcher.TaskResult, 0, len(results))
 	for i, result := range results {
 		if success, ok := result.(starter.Success); ok {
@@ -166,7 +170,7 @@
 	if len(finished) == len(results) {
 		return dispatcher.NewComplete(finished)
 	}
-	fates := notStarted(job)
+	fates := notStartedFates(job)
 	for i, result := range results {
 		switch result := result.(type) {
 		case starter.Success:
@@ -184,7 +188,8 @@
 	return dispatcher.NewFailed("not every task finished", fates)
 }
 
-func notStarted(job dispatcher.Job) []dispatcher.TaskFate {
+// notStartedFates returns the fates of the tasks of a job that did not start.
+func notStartedFates(job dispatcher.Job) []dispatcher.TaskFate {
 	fates := make([]dispatcher.TaskFate, len(job.Tasks()))
 	for i, task := range job.Tasks() {
 		fates[i] = dispatcher.TaskFate{Name: task.Name(), Fate: dispatcher.NotStarted}
--- a/server/doc.go
+++ b/server/doc.go
@@ -1,3 +1,3 @@
-// Package server is the entry instance: a filter chain answers requests, and
-// controllers keep the state that the filters read.
+// Package server implements an entry instance. A chain of filters handles each request; background controllers maintain
+// the state that the filters read.
 package server
--- a/server/domains.go
+++ b/server/domains.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// domainMemory is how long the list of another failure domain is used before it is read again.
-	domainMemory = 5 * time.Second
-	// maxDomains bounds the failure domains whose lists are remembered.
-	maxDomains = 64
+	// domainListTTL is how long the list of another failure domain is cached.
+	domainListTTL = 5 * time.Second
+	// maxCachedDomains is the maximum number of cached lists.
+	maxCachedDomains = 64
 )
 
-// domains remembers the instances of other failure domains for a short time.
-type domains struct {
+// domainCache caches the instance lists of other failure domains.
+type domainCache struct {
 	lister *lister.Lister
 
 	mu    sync.Mutex
@@ -25,34 +25,35 @@
 
 type domainList struct {
 	instances []lister.Instance
-	until     time.Time
+	expires   time.Time
 }
 
-func newDomains(lister *lister.Lister) *domains {
-	return &domains{lister: lister, lists: make(map[string]domainList)}
+func newDomainCache(lister *lister.Lister) *domainCache {
+	return &domainCache{lister: lister, lists: make(map[string]domainList)}
 }
 
-func (domains *domains) instances(ctx context.Context, domain string) ([]lister.Instance, error) {
+// instances returns the instances of the failure domain.
+func (domainCache *domainCache) instances(ctx context.Context, domain string) ([]lister.Instance, error) {
 	now := time.Now()
-	domains.mu.Lock()
-	list, ok := domains.lists[domain]
-	domains.mu.Unlock()
-	if ok && now.Before(list.until) {
+	domainCache.mu.Lock()
+	list, ok := domainCache.lists[domain]
+	domainCache.mu.Unlock()
+	if ok && now.Before(list.expires) {
 		return list.instances, nil
 	}
-	instances, err := domains.lister.Instances(ctx, domain)
+	instances, err := domainCache.lister.Instances(ctx, domain)
 	if err != nil {
 		if ok {
-			// An old list is better than none: the instances may still be there.
+			// An expired list is better than none: the instances may still be there.
 			return list.instances, nil
 		}
 		return nil, err
 	}
-	domains.mu.Lock()
-	defer domains.mu.Unlock()
-	if len(domains.lists) >= maxDomains {
-		clear(domains.lists)
+	domainCache.mu.Lock()
+	defer domainCache.mu.Unlock()
+	if len(domainCache.lists) >= maxCachedDomains {
+		clear(domainCache.lists)
 	}
-	domains.lists[domain] = domainList{instances: instances, until: now.Add(domainMemory)}
+	domainCache.lists[domain] = domainList{instances: instances, expires: now.Add(domainListTTL)}
 	return instances, nil
 }
--- a/server/drain.go
+++ b/server/drain.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// maxNamed bounds the jobs that are named when a stop leaves them behind.
-	maxNamed = 20
-	// drainInterval is how often a stop looks whether it is done.
+	// maxListedJobs is the maximum number of jobs named when a shutdown leaves jobs in flight.
+	maxListedJobs = 20
+	// drainInterval is how often a shutdown checks whether the instance is drained.
 	drainInterval = 20 * time.Millisecond
 )
 
-// drain knows the jobs in flight and leads the instance out of service.
-type drain struct {
+// drainer tracks the jobs in flight and whether the instance is shutting down.
+type drainer struct {
 	stopping chan struct{}
 	once     sync.Once
 
@@ -30,69 +30,71 @@
 	jobs map[uint64]string
 }
 
-func newDrain() *drain { return &drain{stopping: make(chan struct{}), jobs: make(map[uint64]string)} }
+func newDrainer() *drainer {
+	return &drainer{stopping: make(chan struct{}), jobs: make(map[uint64]string)}
+}
 
-// start makes the instance not ready.
-func (drain *drain) start() { drain.once.Do(func() { close(drain.stopping) }) }
+// start marks the instance as shutting down, which makes it not ready.
+func (drainer *drainer) start() { drainer.once.Do(func() { close(drainer.stopping) }) }
 
-func (drain *drain) started() bool {
+func (drainer *drainer) started() bool {
 	select {
-	case <-drain.stopping:
+	case <-drainer.stopping:
 		return true
 	default:
 		return false
 	}
 }
 
-// enter notes a job in flight and returns its number for leave.
-func (drain *drain) enter(key string) uint64 {
-	drain.mu.Lock()
-	defer drain.mu.Unlock()
-	drain.next++
-	drain.jobs[drain.next] = key
-	return drain.next
+// enter registers a job in flight and returns its number, to be passed to exit.
+func (drainer *drainer) enter(key string) uint64 {
+	drainer.mu.Lock()
+	defer drainer.mu.Unlock()
+	drainer.next++
+	drainer.jobs[drainer.next] = key
+	return drainer.next
 }
 
-func (drain *drain) leave(number uint64) {
-	drain.mu.Lock()
-	defer drain.mu.Unlock()
-	delete(drain.jobs, number)
+func (drainer *drainer) exit(number uint64) {
+	drainer.mu.Lock()
+	defer drainer.mu.Unlock()
+	delete(drainer.jobs, number)
 }
 
-func (drain *drain) inFlight() int {
-	drain.mu.Lock()
-	defer drain.mu.Unlock()
-	return len(drain.jobs)
+func (drainer *drainer) inFlight() int {
+	drainer.mu.Lock()
+	defer drainer.mu.Unlock()
+	return len(drainer.jobs)
 }
 
-// left returns the number of jobs in flight and the keys of some of them.
-func (drain *drain) left() (int, []string) {
-	drain.mu.Lock()
-	defer drain.mu.Unlock()
-	keys := make([]string, 0, min(len(drain.jobs), maxNamed))
-	for _, key := range drain.jobs {
-		if len(keys) == maxNamed {
+// remaining returns the number of jobs in flight and the keys of at most maxListedJobs of them.
+func (drainer *drainer) remaining() (int, []string) {
+	drainer.mu.Lock()
+	defer drainer.mu.Unlock()
+	keys := make([]string, 0, min(len(drainer.jobs), maxListedJobs))
+	for _, key := range drainer.jobs {
+		if len(keys) == maxListedJobs {
 			break
 		}
 		keys = append(keys, key)
 	}
 	slices.Sort(keys)
-	return len(drain.jobs), keys
+	return len(drainer.jobs), keys
 }
 
-// Shutdown makes the instance not ready, keeps serving until balancerWait, finishes what is in flight, hands
-// its slices over and returns; when ctx is done first, it returns an error that says what was left.
+// Shutdown makes the instance not ready, keeps serving until balancerWait, waits for the requests and jobs in flight,
+// hands its slices over, and then returns. If ctx is done first, it returns an error that says what was left.
 func (server *Server) Shutdown(ctx context.Context, balancerWait time.Time) error {
 	defer server.stop()
 	defer server.linker.Close()
-	server.drain.start()
-	server.membership.leave()
+	server.drainer.start()
+	server.membership.announceLeaving()
 	sleeper.Until(ctx, balancerWait)
 	err := server.http.Shutdown(ctx)
-	for ctx.Err() == nil && (server.drain.inFlight() > 0 || !server.handedOver()) {
+	for ctx.Err() == nil && (server.drainer.inFlight() > 0 || !server.handedOver()) {
 		sleeper.For(ctx, drainInterval)
 	}
-	if count, keys := server.drain.left(); count > 0 {
+	if count, keys := server.drainer.remaining(); count > 0 {
 		server.logger.Error("stopped with jobs in flight", "count", count, "jobs", keys)
 		_ = server.http.Close()
 		return eris.Errorf("stopped with %d jobs in flight, among them %v", count, keys)
@@ -104,16 +106,17 @@
 	if !server.handedOver() {
 		return eris.New("stopped before the other members had taken over the slices")
 	}
-	// The last ends of jobs are on their way to their witnesses.
+	// The last outcomes may still be on their way to their witnesses.
 	sleeper.For(ctx, 2*outcomeInterval)
 	if err := server.accountant.Close(ctx); err != nil {
-		// The report shows the last minutes as missing; that is no reason to fail the stop.
+		// The report shows the last minutes as missing, which is no reason to fail the shutdown.
 		server.logger.Warn("last burn counts not appended", "error", eris.ToString(err, false))
 	}
 	return nil
 }
 
-// handedOver says that no other instance needs this one: it is in no view, alone, or every slice has a new owner.
+// handedOver reports whether no other instance depends on this one: it is in no view, it is the only member, or every
+// slice has a new owner.
 func (server *Server) handedOver() bool {
 	number, view := server.keeper.View()
 	if _, member := view.Member(server.self.Incarnation); member {
@@ -125,11 +128,11 @@
 	return number == keeper.NoView || !departing || server.keeper.HandedOver()
 }
 
-// trackJobs makes a planned stop wait for the job, also when its caller has gone.
+// trackJobs makes a shutdown wait for the job, even if its caller has disconnected.
 func (server *Server) trackJobs(next handler) handler {
 	return func(exchange *exchange) {
-		number := server.drain.enter(exchange.key)
-		defer server.drain.leave(number)
+		number := server.drainer.enter(exchange.key)
+		defer server.drainer.exit(number)
 		next(exchange)
 	}
 }
@@ -142,16 +145,16 @@
 	writeProblem(exchange, problem{status: http.StatusServiceUnavailable, kind: "not-ready", title: "The instance is not ready", notRun: true, retryIn: time.Second})
 }
 
-// ready says that the balancer may send requests: a bundle is in force, and the instance serves its slices
-// or reaches one that does.
+// ready reports whether the load balancer may send requests: a bundle is in force, and the instance serves its slices
+// or is connected to an instance that does.
 func (server *Server) ready() bool {
-	if server.drain.started() || server.bundle.Load() == nil {
+	if server.drainer.started() || server.bundle.Load() == nil {
 		return false
 	}
 	number, view := server.keeper.View()
 	if number == keeper.NoView {
-		// Jobs without a key, and those under solo keys, need no view.
-		return time.Since(server.started) > viewPatience
+		// Jobs without a key and jobs under solo keys do not need a view.
+		return time.Since(server.started) > viewWait
 	}
 	if _, member := view.Member(server.self.Incarnation); member {
 		return server.keeper.Synced()
--- a/server/filter.go
+++ b/server/filter.go
@@ -24,7 +24,7 @@
 	traceParentHeader = "Traceparent"
 )
 
-// exchange is one request on its way through the filters, and the place where its answer is written.
+// exchange is one HTTP request on its way through the filters, with its response.
 type exchange struct {
 	http.ResponseWriter
 	request  *http.Request
@@ -41,7 +41,7 @@
 	writeErr error
 }
 
-// WriteHeader notes the status and sends it.
+// WriteHeader records the status and sends it.
 func (exchange *exchange) WriteHeader(status int) {
 	if exchange.status == 0 {
 		exchange.status = status
@@ -49,7 +49,7 @@
 	exchange.ResponseWriter.WriteHeader(status)
 }
 
-// Write sends the body, with status 200 if none was written.
+// Write sends part of the body, with status 200 if none was sent before.
 func (exchange *exchange) Write(data []byte) (int, error) {
 	if exchange.status == 0 {
 		exchange.status = http.StatusOK
@@ -61,24 +61,24 @@
 	return n, err
 }
 
-// answer writes outcome for the exchange's key.
+// answer writes the outcome of the job under the exchange's key.
 func (exchange *exchange) answer(outcome dispatcher.Outcome) {
 	exchange.outcome = dispatcher.ClassOf(outcome)
 	encoder.EncodeOutcome(exchange.key, outcome, time.Now()).Write(exchange)
 }
 
-// refuse answers that the job was not run because of field; no bundle could accept the request.
+// refuse responds that the job was not run because field is invalid under any bundle.
 func (exchange *exchange) refuse(reason dispatcher.Reason, field, detail string) {
 	exchange.answer(dispatcher.NewRefused(reason, detail, field, time.Time{}))
 }
 
-// handler answers an exchange.
+// handler responds to an exchange.
 type handler func(exchange *exchange)
 
-// filter wraps a handler; it answers the exchange itself or passes it on.
+// filter wraps a handler. The filter either responds to the exchange itself or passes it on.
 type filter func(next handler) handler
 
-// chain returns last behind the filters, the first of which sees the exchange first.
+// chain returns last wrapped in filters, of which the first is outermost.
 func chain(last handler, filters ...filter) handler {
 	for i := len(filters) - 1; i >= 0; i-- {
 		last = filters[i](last)
@@ -86,21 +86,21 @@
 	return last
 }
 
-// methods serves one path; the key is the HTTP method.
+// methods serves one path. It maps HTTP methods to handlers.
 type methods map[string]handler
 
-// ServeHTTP answers with the method's handler, or with a problem that names the methods allowed.
+// ServeHTTP calls the handler of the request's method, or responds with a problem and the allowed methods.
 func (methods methods) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	exchange := &exchange{ResponseWriter: writer, request: request, received: time.Now()}
 	if handle, ok := methods[request.Method]; ok {
 		handle(exchange)
 		return
 	}
-	methods.anyHandler()(exchange)
+	methods.methodNotAllowed()(exchange)
 }
 
-// anyHandler returns the answer to a method that the path does not have.
-func (methods methods) anyHandler() handler {
+// methodNotAllowed returns the handler for a method that the path does not have.
+func (methods methods) methodNotAllowed() handler {
 	return func(exchange *exchange) {
 		for method := range methods {
 			exchange.Header().Add("Allow", method)
@@ -109,7 +109,7 @@
 	}
 }
 
-// recoverPanics answers a request whose handler panicked; what the handler had started is not known.
+// recoverPanics responds to a request whose handler panicked. It makes no claim about what the handler had started.
 func (server *Server) recoverPanics(next handler) handler {
 	return func(exchange *exchange) {
 		defer func() {
@@ -131,7 +131,8 @@
 	}
 }
 
-// logRequests counts and logs each answer; complete answers are logged at debug level because there are thousands a second.
+// logRequests counts and logs each response. Successful ones are logged at debug level because there are thousands per
+// second.
 func (server *Server) logRequests(next handler) handler {
 	return func(exchange *exchange) {
 		next(exchange)
@@ -150,20 +151,20 @@
 	}
 }
 
-// setHeaders adds the headers that every response carries.
+// setHeaders sets the headers that every response carries.
 func (server *Server) setHeaders(next handler) handler {
 	return func(exchange *exchange) {
 		exchange.Header().Set(prefixHeader, server.keyPrefix())
-		if server.drain.started() {
-			// Callers that keep connections open move to another instance while this one still answers.
+		if server.drainer.started() {
+			// Callers with keep-alive connections move to another instance while this one still responds.
 			exchange.Header().Set("Connection", "close")
 		}
 		next(exchange)
 	}
 }
 
-// takeTrace keeps a well-formed traceparent; others are ignored, as W3C Trace Context demands.
-func (server *Server) takeTrace(next handler) handler {
+// readTraceParent stores a well-formed traceparent and ignores others, as required by W3C Trace Context.
+func (server *Server) readTraceParent(next handler) handler {
 	return func(exchange *exchange) {
 		if text := exchange.request.Header.Get(traceParentHeader); validTraceParent(text) {
 			exchange.traceParent = text
@@ -172,7 +173,7 @@
 	}
 }
 
-// limitBody reads the whole body, up to the settings' bound.
+// limitBody reads the whole body, up to the configured maximum.
 func (server *Server) limitBody(next handler) handler {
 	limit := server.settings.Count("max-body-bytes")
 	return func(exchange *exchange) {
@@ -180,8 +181,8 @@
 			exchange.refuse(dispatcher.ReasonTooLarge, "body", "the body has more than "+strconv.FormatInt(limit, 10)+" bytes")
 			return
 		}
-		buffer := bodies.Get().(*bytes.Buffer)
-		defer recycle(buffer)
+		buffer := bodyBuffers.Get().(*bytes.Buffer)
+		defer releaseBodyBuffer(buffer)
 		if _, err := io.Copy(buffer, http.MaxBytesReader(exchange.ResponseWriter, exchange.request.Body, limit)); err != nil {
 			reason := dispatcher.ReasonInvalid
 			if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
@@ -195,15 +196,15 @@
 	}
 }
 
-// keptBodyBytes is the largest body buffer that is kept for another request.
-const keptBodyBytes = 64 << 10
+// maxKeptBodyBytes is the largest body buffer that is reused for another request.
+const maxKeptBodyBytes = 64 << 10
 
-var bodies = sync.Pool{New: func() any { return new(bytes.Buffer) }}
+var bodyBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-func recycle(buffer *bytes.Buffer) {
-	if buffer.Cap() <= keptBodyBytes {
+func releaseBodyBuffer(buffer *bytes.Buffer) {
+	if buffer.Cap() <= maxKeptBodyBytes {
 		buffer.Reset()
-		bodies.Put(buffer)
+		bodyBuffers.Put(buffer)
 	}
 }
 
@@ -216,7 +217,7 @@
 		}
 		key := exchange.request.Header.Get(keyHeader)
 		if len(key) <= dispatcher.MaxNameBytes {
-			// Also the answer and the log line of a bad body name the job.
+			// Set early so that the response to an invalid body and its log line name the job.
 			exchange.key = key
 		}
 		job, fault := encoder.DecodeJob(exchange.body, key, dispatcher.MaxTasks, exchange.received)
@@ -230,14 +231,14 @@
 				return
 			}
 		}
-		// The decoder has copied what the job keeps, so the buffer may be used again.
+		// The decoder has copied what the job keeps, so the buffer may be reused.
 		exchange.body = nil
 		exchange.job = job
 		next(exchange)
 	}
 }
 
-// snapshotBundle gives the request the bundle in force, which stays the same until it is answered.
+// snapshotBundle attaches the bundle in force to the request, which keeps it until the response.
 func (server *Server) snapshotBundle(next handler) handler {
 	return func(exchange *exchange) {
 		exchange.bundle = server.bundle.Load()
@@ -245,7 +246,7 @@
 	}
 }
 
-// validTraceParent reports whether text is a traceparent of version 00 with ids that are not zero.
+// validTraceParent reports whether text is a traceparent of version 00 whose IDs are not zero.
 func validTraceParent(text string) bool {
 	if len(text) != 55 || text[:3] != "00-" || text[35] != '-' || text[52] != '-' {
 		return false
--- a/server/forward.go
+++ b/server/forward.go
@@ -14,18 +14,19 @@
 	"github.com/hyssoplift/hyssoplift/reporter"
 )
 
-// answerGrace is how long after the deadline the owner's answer may still arrive: the owner answers a job
-// that has started at its deadline.
+// answerGrace is how long after the deadline the owner's answer may arrive: the owner responds at the deadline to a job
+// that has started.
 const answerGrace = 500 * time.Millisecond
 
-// forwardPlain forwards a plain key to its home failure domain; nil means that it is at home.
-func (server *Server) forwardPlain(ctx context.Context, request *request) dispatcher.Outcome {
+// forwardToHome forwards a job with a plain key to the home failure domain of the key. It returns nil if that is this
+// one.
+func (server *Server) forwardToHome(ctx context.Context, request *request) dispatcher.Outcome {
 	key, err := keeper.ParseKey(request.job.Key())
 	if err != nil || key.Form() != keeper.PlainKey {
 		return nil
 	}
 	if request.bundle == nil {
-		// Without a bundle the home of the key is not known, so no claim about the job can be made.
+		// Without a bundle the home of the key is unknown, so nothing can be said about the job.
 		return dispatcher.NewUnknown("no bundle is in force yet; retry")
 	}
 	home := keeper.HomeDomain(request.job.Key(), request.bundle.FailureDomains())
@@ -33,35 +34,35 @@
 	case home == server.domain():
 		return nil
 	case request.foreign || request.forwarded:
-		// The sender has another bundle; each of two failure domains must not run the job.
+		// The sender has another bundle. If the job ran here, both failure domains could run it.
 		return dispatcher.NewUnknown("the instances disagree on the home of the key; retry")
 	default:
 		return server.forwardDomain(ctx, request, home)
 	}
 }
 
-// forward asks the member to decide the job; without an answer the outcome is unknown.
+// forward asks the member to decide the job. Without a response the outcome is unknown.
 func (server *Server) forward(ctx context.Context, request *request, to keeper.Member) dispatcher.Outcome {
 	ctx, cancel := context.WithDeadline(ctx, request.job.Deadline().Add(answerGrace))
 	defer cancel()
 	response, err := server.linker.Call(ctx, to.Incarnation, server.encodeForward(request))
-	return server.forwarded(request, response, err)
+	return server.forwardOutcome(request, response, err)
 }
 
-// forwardDomain asks one live instance of another failure domain to decide the job.
+// forwardDomain asks a live instance of another failure domain to decide the job.
 func (server *Server) forwardDomain(ctx context.Context, request *request, domain string) dispatcher.Outcome {
 	ctx, cancel := context.WithDeadline(ctx, request.job.Deadline().Add(answerGrace))
 	defer cancel()
 	response, err := server.callDomain(ctx, domain, server.encodeForward(request))
-	return server.forwarded(request, response, err)
+	return server.forwardOutcome(request, response, err)
 }
 
-// callDomain sends request to one live instance of another failure domain.
+// callDomain sends request to a random live instance of another failure domain.
 func (server *Server) callDomain(ctx context.Context, domain string, request linker.Request) (linker.Response, error) {
 	if server.lister == nil {
-		return nil, eris.Errorf("no instance list to find failure domain %s", domain)
+		return nil, eris.Errorf("no instance list configured to find failure domain %s", domain)
 	}
-	instances, err := server.domains.instances(ctx, domain)
+	instances, err := server.domainCache.instances(ctx, domain)
 	if err != nil {
 		return nil, err
 	}
@@ -72,11 +73,12 @@
 		}
 	}
 	if len(live) == 0 {
-		return nil, eris.Errorf("the instance list shows no live instance of failure domain %s", domain)
+		return nil, eris.Errorf("instance list has no live instance of failure domain %s", domain)
 	}
 	return server.linker.CallRemote(ctx, live[rand.IntN(len(live))].Address, request)
 }
 
+// encodeForward returns the message that forwards the request.
 func (server *Server) encodeForward(request *request) linker.Forward {
 	job := request.job
 	origin := request.origin
@@ -98,7 +100,8 @@
 	}
 }
 
-func (server *Server) forwarded(request *request, response linker.Response, err error) dispatcher.Outcome {
+// forwardOutcome returns the outcome in the response to a forward, and stores whether this instance may count it.
+func (server *Server) forwardOutcome(request *request, response linker.Response, err error) dispatcher.Outcome {
 	if err == nil {
 		var outcome dispatcher.Outcome
 		answer := response.(linker.ForwardAnswer)
@@ -111,14 +114,14 @@
 		}
 	}
 	request.grant = reporter.Unasked
-	server.logger.Warn("forward without an answer", "job", request.job.Key(), "error", eris.ToString(err, false))
+	server.logger.Warn("forward not answered", "job", request.job.Key(), "error", eris.ToString(err, false))
 	return dispatcher.NewUnknown("the instance that decides this key gave no answer; retry")
 }
 
-// serveForward decides a job for another instance and sends it the answer.
+// serveForward decides a job for another instance and sends the answer.
 func (server *Server) serveForward(from linker.Hello, forward linker.Forward) {
-	number := server.drain.enter(forward.Key)
-	defer server.drain.leave(number)
+	number := server.drainer.enter(forward.Key)
+	defer server.drainer.exit(number)
 	tasks := make([]dispatcher.Task, len(forward.Tasks))
 	for i, task := range forward.Tasks {
 		tasks[i] = dispatcher.NewTask(task.Name, task.Payload)
@@ -139,11 +142,12 @@
 	}
 	err := server.linker.Send(from.Incarnation, answer)
 	if _, complete := outcome.(dispatcher.Complete); complete && err != nil {
-		// An answer above the links' bound cannot be sent; the sender learns at least that the tasks finished.
-		answer.Outcome = linker.EncodeOutcome(lostAnswer(request.job, dispatcher.Finished), time.Now())
+		// An answer above the size limit of links cannot be sent. The sender then learns at least that the tasks
+		// finished.
+		answer.Outcome = linker.EncodeOutcome(lostOutcome(request.job, dispatcher.Finished), time.Now())
 		err = server.linker.Send(from.Incarnation, answer)
 	}
 	if err != nil {
-		server.logger.Warn("answer to a forward not sent", "job", forward.Key, "peer", from.Name, "error", eris.ToString(err, false))
+		server.logger.Warn("response to a forward not sent", "job", forward.Key, "peer", from.Name, "error", eris.ToString(err, false))
 	}
 }
--- a/server/inquire.go
+++ b/server/inquire.go
@@ -14,10 +14,10 @@
 	"github.com/hyssoplift/hyssoplift/sleeper"
 )
 
-// inquiryTimeout bounds a look-up or a cancellation; neither waits for a job to end.
-const inquiryTimeout = 5 * time.Second
+// lookupTimeout bounds a lookup or a cancellation. Neither waits for a job to end.
+const lookupTimeout = 5 * time.Second
 
-// States of a job that has no outcome, in the answer to a look-up.
+// Job states in the response to a lookup.
 const (
 	stateAnswered = "answered"
 	stateRunning  = "running"
@@ -37,8 +37,8 @@
 	State string `json:"state"`
 }
 
-// takeKey takes the key from the path.
-func (server *Server) takeKey(next handler) handler {
+// readKey reads the key from the path.
+func (server *Server) readKey(next handler) handler {
 	return func(exchange *exchange) {
 		exchange.key = exchange.request.PathValue("key")
 		if _, err := keeper.ParseKey(exchange.key); err != nil {
@@ -50,7 +50,7 @@
 }
 
 func (server *Server) handleLookup(exchange *exchange) {
-	ctx, cancel := context.WithTimeout(exchange.request.Context(), inquiryTimeout)
+	ctx, cancel := context.WithTimeout(exchange.request.Context(), lookupTimeout)
 	defer cancel()
 	switch state, outcome := server.lookup(ctx, exchange.key, false, false); state {
 	case stateAnswered:
@@ -65,14 +65,15 @@
 	}
 }
 
-// lookup returns the state of a job and its outcome, if it has one.
+// lookup returns the state of a job, and its outcome if it has one. forwarded means that the request comes from an
+// instance of this failure domain, foreign that it comes from another one.
 func (server *Server) lookup(ctx context.Context, key string, forwarded, foreign bool) (string, dispatcher.Outcome) {
 	var response linker.Response
 	var err error
-	decision := server.atHome(key, forwarded || foreign)
+	decision := server.homeDecision(key, forwarded || foreign)
 	var waiter *waiter
 	if decision == nil {
-		decision, waiter = server.find(key, forwarded)
+		decision, waiter = server.findJob(key, forwarded)
 	}
 	switch decision := decision.(type) {
 	case keeper.Answer:
@@ -84,7 +85,7 @@
 	case keeper.AwaitWitness, keeper.AwaitConfirmation:
 		deadline, _ := ctx.Deadline()
 		event, ok := server.decider.wait(waiter, deadline.Add(-decisionGrace))
-		if outcome := conclude(event, ok); outcome != nil {
+		if outcome := eventOutcome(event, ok); outcome != nil {
 			return stateAnswered, outcome
 		}
 		return stateAnswered, dispatcher.NewUnknown("the slice has another owner now; retry")
@@ -97,7 +98,7 @@
 	case keeper.ForwardDomain:
 		response, err = server.callDomain(ctx, decision.Domain, linker.Lookup{Key: key})
 	default:
-		panic(eris.Errorf("decision type %T is not handled", decision))
+		panic(eris.Errorf("unexpected decision type %T", decision))
 	}
 	if err != nil {
 		return stateAnswered, dispatcher.NewUnknown("the instance that decides this key gave no answer; retry")
@@ -113,8 +114,9 @@
 	return answer.State, outcome
 }
 
-// atHome returns the decision on a plain key whose home is another failure domain, or nil.
-func (server *Server) atHome(key string, received bool) keeper.Decision {
+// homeDecision returns the decision on a plain key whose home is another failure domain, or nil if this one decides.
+// received means that another instance sent the request, which is then not forwarded again.
+func (server *Server) homeDecision(key string, received bool) keeper.Decision {
 	parsed, err := keeper.ParseKey(key)
 	bundle := server.bundle.Load()
 	if err != nil || parsed.Form() != keeper.PlainKey {
@@ -135,12 +137,12 @@
 }
 
 func (server *Server) handleCancel(exchange *exchange) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(exchange.request.Context()), inquiryTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(exchange.request.Context()), lookupTimeout)
 	defer cancel()
 	switch server.cancel(ctx, exchange.key, false, false) {
 	case resultCancelled:
 		exchange.outcome = "refused"
-		answer := encoder.NewAnswer(exchange.key, cancelled())
+		answer := encoder.NewAnswer(exchange.key, cancelledRefusal())
 		answer.Status = 0
 		writeJSON(exchange, http.StatusOK, encoder.ContentTypeJSON, answer)
 	case resultTooLate:
@@ -150,19 +152,19 @@
 	}
 }
 
-// cancel settles a job that has not started as cancelled and returns the result.
+// cancel cancels the job if it has not started, and returns the result.
 func (server *Server) cancel(ctx context.Context, key string, forwarded, foreign bool) string {
 	var waiter *waiter
 	var response linker.Response
 	var err error
-	decision := server.atHome(key, forwarded || foreign)
-	for patience := time.Now().Add(notYetPatience); decision == nil; {
+	decision := server.homeDecision(key, forwarded || foreign)
+	for patience := time.Now().Add(undecidedTimeout); decision == nil; {
 		decision, waiter = server.decider.decide(key, func() (keeper.Decision, []keeper.Outgoing) {
 			return server.keeper.Cancel(key, forwarded, time.Now())
 		})
 		if _, early := decision.(keeper.NotYet); early && time.Now().Before(patience) {
 			decision = nil
-			sleeper.For(ctx, notYetDelay)
+			sleeper.For(ctx, undecidedRetryDelay)
 		}
 	}
 	switch decision := decision.(type) {
@@ -175,7 +177,7 @@
 	case keeper.AwaitWitness, keeper.AwaitConfirmation, keeper.Joined:
 		deadline, _ := ctx.Deadline()
 		if event, ok := server.decider.wait(waiter, deadline.Add(-decisionGrace)); ok {
-			return cancelEvent(event)
+			return cancelEventResult(event)
 		}
 		return resultUnknown
 	case keeper.Forward:
@@ -183,7 +185,7 @@
 	case keeper.ForwardDomain:
 		response, err = server.callDomain(ctx, decision.Domain, linker.Cancel{Key: key})
 	default:
-		panic(eris.Errorf("decision type %T is not handled", decision))
+		panic(eris.Errorf("unexpected decision type %T", decision))
 	}
 	if err != nil {
 		return resultUnknown
@@ -191,7 +193,7 @@
 	return response.(linker.CancelAnswer).Result
 }
 
-// cancelResult returns the result that an outcome stands for.
+// cancelResult returns the result of a cancellation for a job with the given outcome.
 func cancelResult(outcome dispatcher.Outcome) string {
 	switch outcome := outcome.(type) {
 	case dispatcher.Refused:
@@ -206,7 +208,8 @@
 	}
 }
 
-func cancelEvent(event keeper.Event) string {
+// cancelEventResult returns the result of a cancellation that ended with event.
+func cancelEventResult(event keeper.Event) string {
 	switch event := event.(type) {
 	case keeper.CancelConfirmed:
 		return resultCancelled
@@ -221,9 +224,9 @@
 	}
 }
 
-// serveLookup answers another instance's look-up.
+// serveLookup responds to another instance's lookup.
 func (server *Server) serveLookup(from linker.Hello, lookup linker.Lookup) {
-	ctx, cancel := context.WithTimeout(context.Background(), inquiryTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), lookupTimeout)
 	defer cancel()
 	own := from.Domain == server.domain()
 	state, outcome := server.lookup(ctx, lookup.Key, own, !own)
@@ -235,16 +238,17 @@
 	server.reply(from, answer)
 }
 
-// serveCancel carries out another instance's cancellation.
+// serveCancel performs a cancellation for another instance.
 func (server *Server) serveCancel(from linker.Hello, cancel linker.Cancel) {
-	ctx, stop := context.WithTimeout(context.Background(), inquiryTimeout)
+	ctx, stop := context.WithTimeout(context.Background(), lookupTimeout)
 	defer stop()
 	own := from.Domain == server.domain()
 	server.reply(from, linker.CancelAnswer{ID: cancel.ID, Key: cancel.Key, Result: server.cancel(ctx, cancel.Key, own, !own)})
 }
 
+// reply sends a response to another instance.
 func (server *Server) reply(to linker.Hello, message linker.Message) {
 	if err := server.linker.Send(to.Incarnation, message); err != nil {
-		server.logger.Warn("answer to an inquiry not sent", "peer", to.Name, "error", eris.ToString(err, false))
+		server.logger.Warn("response to a peer request not sent", "peer", to.Name, "error", eris.ToString(err, false))
 	}
 }
--- a/server/links.go
+++ b/server/links.go
@@ -4,13 +4,13 @@
 	"github.com/hyssoplift/hyssoplift/linker"
 )
 
-// receive takes a message of another instance; it must not block, because it runs on the link's reader.
+// receive handles a message of another instance. It runs on the reader goroutine of the link and must not block.
 func (server *Server) receive(from linker.Hello, message linker.Message) {
 	switch message := message.(type) {
 	case linker.Hello:
-		server.membership.meet(message)
+		server.membership.handleHello(message)
 	case linker.Heartbeat:
-		server.membership.hear(from, message)
+		server.membership.handleHeartbeat(from, message)
 	case linker.KeeperMessage:
 		if from.Domain == server.domain() {
 			server.decider.receive(from.Incarnation, message.Message)
@@ -22,6 +22,6 @@
 	case linker.Cancel:
 		go func() { server.serveCancel(from, message) }()
 	case linker.BundleRequest:
-		go func() { server.serveBundle(from, message) }()
+		go func() { server.serveBundleRequest(from, message) }()
 	}
 }
--- a/server/membership.go
+++ b/server/membership.go
@@ -18,68 +18,68 @@
 )
 
 const (
-	// membershipInterval is how often proposals and suspicions are looked at.
+	// membershipInterval is how often proposals and suspicions are evaluated.
 	membershipInterval = 100 * time.Millisecond
-	// listInterval spaces reads of the instance list, which lags by more than that anyway.
+	// listInterval is the delay between reads of the instance list, which lags by more than that anyway.
 	listInterval = time.Second
-	// takeoverDelay is how long every member of the view must be gone before an instance outside it proposes
-	// the next view; it lets candidates meet, so that they come into the same view.
+	// takeoverDelay is how long every member of the view must be gone before an instance outside the view proposes the
+	// next one. It lets candidates connect to each other, so that they join the same view.
 	takeoverDelay = 2 * watcher.SuspicionPeriod
-	// maxMet bounds the instances whose hellos are remembered.
-	maxMet = 4096
+	// maxKnownPeers bounds the number of instances whose hellos and heartbeats are remembered.
+	maxKnownPeers = 4096
 )
 
-// heard is the last heartbeat of an instance.
-type heard struct {
+// lastHeartbeat is the last heartbeat received from an instance.
+type lastHeartbeat struct {
 	at   time.Time
 	view int64
 }
 
-// membership connects the watcher with the list, the links, the views and the keeper.
+// membership connects the watcher with the instance list, the links, the view log and the keeper.
 type membership struct {
 	self      watcher.Member
 	domain    string
 	watcher   *watcher.Watcher
 	linker    *linker.Linker
 	keeper    *keeper.Keeper
-	views     *views
+	viewLog   *viewLog
 	lister    *lister.Lister
 	retention time.Duration
 	logger    hclog.Logger
-	// status fills in what a heartbeat carries beyond the watcher's part.
+	// status sets the fields of a heartbeat that do not come from the watcher.
 	status func(*linker.Heartbeat)
-	// excluded is closed when a view has left this incarnation out.
+	// excluded is closed when a view has excluded this incarnation.
 	excluded chan struct{}
 
 	mu sync.Mutex
-	// met holds the latest hello from each address of the own failure domain.
-	met    map[string]linker.Hello
-	heard  map[string]heard
-	listed []lister.Instance
-	read   bool
-	// goneSince is since when no member of the view is listed or heard, or zero.
-	goneSince time.Time
-	suspected map[string]bool
-	// accounted is the last view that every listed instance had adopted.
-	accounted int64
+	// known holds the latest hello from each address of the failure domain.
+	known         map[string]linker.Hello
+	lastHeartbeat map[string]lastHeartbeat
+	listed        []lister.Instance
+	listRead      bool
+	// allGoneSince is the time since which no member of the view has been listed or sent heartbeats, or zero.
+	allGoneSince time.Time
+	suspected    map[string]bool
+	// adoptedByAll is the latest view that every listed instance has adopted.
+	adoptedByAll int64
 }
 
-// run follows the membership until ctx is done.
+// run sends heartbeats, evaluates suspicions and proposes views until ctx is done.
 func (membership *membership) run(ctx context.Context) {
 	ticker := time.NewTicker(membershipInterval)
 	defer ticker.Stop()
-	var beat time.Time
+	var lastSent time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			if now.Sub(beat) >= watcher.HeartbeatInterval {
-				beat = now
+			if now.Sub(lastSent) >= watcher.HeartbeatInterval {
+				lastSent = now
 				membership.sendHeartbeat(now)
 			}
-			membership.followSuspicion(now)
-			membership.account(now)
+			membership.updateSuspects(now)
+			membership.checkAdoption(now)
 			membership.propose(ctx, now)
 			if membership.watcher.Excluded() {
 				close(membership.excluded)
@@ -89,11 +89,11 @@
 	}
 }
 
-// followList reads the instance list until ctx is done.
-func (membership *membership) followList(ctx context.Context) {
+// pollList reads the instance list until ctx is done.
+func (membership *membership) pollList(ctx context.Context) {
 	for ctx.Err() == nil {
 		if membership.lister == nil {
-			// Without a list this instance is alone in its failure domain.
+			// Without a list, this instance is alone in its failure domain.
 			membership.setList(nil)
 			return
 		}
@@ -109,51 +109,51 @@
 
 func (membership *membership) setList(instances []lister.Instance) {
 	membership.mu.Lock()
-	membership.listed, membership.read = instances, true
-	listed := membership.knownOnes()
+	membership.listed, membership.listRead = instances, true
+	listed := membership.listedMembers()
 	membership.mu.Unlock()
 	membership.watcher.SetList(listed, time.Now())
-	membership.linkUp()
+	membership.updateLinks()
 }
 
-// knownOnes returns the listed instances whose incarnation is known from a hello; the list itself does not
+// listedMembers returns the listed instances whose incarnation is known from a hello; the list itself does not
 // have it. The caller holds membership.mu.
-func (membership *membership) knownOnes() []watcher.Listed {
-	var known []watcher.Listed
+func (membership *membership) listedMembers() []watcher.Listed {
+	var members []watcher.Listed
 	for _, instance := range membership.listed {
 		leaving := instance.State == lister.Leaving
 		if instance.Address == membership.self.Address {
-			known = append(known, watcher.Listed{Member: membership.self, Leaving: leaving})
-		} else if hello, ok := membership.met[instance.Address]; ok {
-			known = append(known, watcher.Listed{Member: asMember(hello), Leaving: leaving})
+			members = append(members, watcher.Listed{Member: membership.self, Leaving: leaving})
+		} else if hello, ok := membership.known[instance.Address]; ok {
+			members = append(members, watcher.Listed{Member: helloMember(hello), Leaving: leaving})
 		}
 	}
-	return known
+	return members
 }
 
-func asMember(hello linker.Hello) watcher.Member {
+func helloMember(hello linker.Hello) watcher.Member {
 	return watcher.Member{Name: hello.Name, Incarnation: watcher.Incarnation(hello.Incarnation), Address: hello.Address}
 }
 
-// meet notes the hello of a link that came up.
-func (membership *membership) meet(hello linker.Hello) {
+// handleHello stores the hello of a link that was established.
+func (membership *membership) handleHello(hello linker.Hello) {
 	if hello.Domain != membership.domain {
 		return
 	}
 	membership.mu.Lock()
-	if len(membership.met) >= maxMet {
-		clear(membership.met)
+	if len(membership.known) >= maxKnownPeers {
+		clear(membership.known)
 	}
-	membership.met[hello.Address] = hello
-	listed, read := membership.knownOnes(), membership.read
+	membership.known[hello.Address] = hello
+	listed, listRead := membership.listedMembers(), membership.listRead
 	membership.mu.Unlock()
-	if read {
+	if listRead {
 		membership.watcher.SetList(listed, time.Now())
 	}
 }
 
-// hear takes a heartbeat.
-func (membership *membership) hear(from linker.Hello, heartbeat linker.Heartbeat) {
+// handleHeartbeat stores a heartbeat and passes it to the watcher.
+func (membership *membership) handleHeartbeat(from linker.Hello, heartbeat linker.Heartbeat) {
 	if from.Domain != membership.domain {
 		return
 	}
@@ -163,15 +163,15 @@
 		suspects[i] = watcher.Incarnation(suspect)
 	}
 	membership.mu.Lock()
-	if len(membership.heard) >= maxMet {
-		maps.DeleteFunc(membership.heard, func(_ string, last heard) bool { return now.Sub(last.at) >= watcher.SuspicionPeriod })
+	if len(membership.lastHeartbeat) >= maxKnownPeers {
+		maps.DeleteFunc(membership.lastHeartbeat, func(_ string, last lastHeartbeat) bool { return now.Sub(last.at) >= watcher.SuspicionPeriod })
 	}
-	membership.heard[from.Incarnation] = heard{at: now, view: heartbeat.View}
+	membership.lastHeartbeat[from.Incarnation] = lastHeartbeat{at: now, view: heartbeat.View}
 	membership.mu.Unlock()
-	membership.watcher.Hear(watcher.Heartbeat{From: asMember(from), View: heartbeat.View, Suspects: suspects, Leaving: heartbeat.Leaving}, now)
+	membership.watcher.Hear(watcher.Heartbeat{From: helloMember(from), View: heartbeat.View, Suspects: suspects, Leaving: heartbeat.Leaving}, now)
 }
 
-// setView passes a view in force on to the watcher and the links.
+// setView passes a view in force to the watcher and updates the links.
 func (membership *membership) setView(number int64, view keeper.View) {
 	next := watcher.View{Number: number}
 	for _, member := range view.Members {
@@ -181,7 +181,7 @@
 		next.Departing = append(next.Departing, watcher.Incarnation(member.Incarnation))
 	}
 	membership.watcher.SetView(next, time.Now())
-	membership.linkUp()
+	membership.updateLinks()
 }
 
 func watcherMember(member keeper.Member) watcher.Member {
@@ -196,8 +196,8 @@
 	return kept
 }
 
-// linkUp keeps links to the listed instances and to everybody in the view.
-func (membership *membership) linkUp() {
+// updateLinks maintains links to the listed instances and to all members of the view.
+func (membership *membership) updateLinks() {
 	_, view := membership.keeper.View()
 	var peers []linker.Peer
 	for _, member := range slices.Concat(view.Members, view.Departing) {
@@ -211,12 +211,13 @@
 	membership.linker.SetMembers(peers)
 }
 
-// leave tells the others at once that this instance begins a planned stop.
-func (membership *membership) leave() {
+// announceLeaving immediately tells the other instances that this one begins a planned shutdown.
+func (membership *membership) announceLeaving() {
 	membership.watcher.SetLeaving()
 	membership.sendHeartbeat(time.Now())
 }
 
+// sendHeartbeat sends a heartbeat to all connected instances of the failure domain.
 func (membership *membership) sendHeartbeat(now time.Time) {
 	own := membership.watcher.Heartbeat(now)
 	heartbeat := linker.Heartbeat{View: own.View, Leaving: own.Leaving}
@@ -227,8 +228,9 @@
 	membership.linker.Broadcast(membership.linker.ConnectedIn(membership.domain), heartbeat)
 }
 
-// followSuspicion tells the keeper whom to avoid, and the watcher who owes the answer to a sync request.
-func (membership *membership) followSuspicion(now time.Time) {
+// updateSuspects tells the keeper which members are suspected, and the watcher which members have not answered a sync
+// request.
+func (membership *membership) updateSuspects(now time.Time) {
 	suspects := make(map[string]bool)
 	for _, suspect := range membership.watcher.Suspects(now) {
 		suspects[string(suspect)] = true
@@ -239,10 +241,10 @@
 			membership.keeper.Suspect(suspect)
 		}
 	}
-	for former := range membership.suspected {
-		if !suspects[former] {
-			membership.logger.Info("suspicion is revoked", "incarnation", former)
-			membership.keeper.Restore(former)
+	for restored := range membership.suspected {
+		if !suspects[restored] {
+			membership.logger.Info("suspicion is revoked", "incarnation", restored)
+			membership.keeper.Restore(restored)
 		}
 	}
 	membership.suspected = suspects
@@ -254,33 +256,33 @@
 	}
 }
 
-// account tells the keeper when every listed instance has adopted the view in force, so that no earlier owner
-// can start anything any more.
-func (membership *membership) account(now time.Time) {
+// checkAdoption tells the keeper when every listed instance has adopted the view in force, so that no earlier owner can
+// start jobs any more.
+func (membership *membership) checkAdoption(now time.Time) {
 	number, _ := membership.keeper.View()
 	membership.mu.Lock()
-	adopted := membership.read && !slices.ContainsFunc(membership.listed, func(instance lister.Instance) bool {
+	adopted := membership.listRead && !slices.ContainsFunc(membership.listed, func(instance lister.Instance) bool {
 		if instance.Address == membership.self.Address {
 			return false
 		}
-		last, heard := membership.heard[membership.met[instance.Address].Incarnation]
+		last, heard := membership.lastHeartbeat[membership.known[instance.Address].Incarnation]
 		return !heard || last.view < number
 	})
 	membership.mu.Unlock()
-	if adopted && number > membership.accounted {
-		membership.accounted = number
+	if adopted && number > membership.adoptedByAll {
+		membership.adoptedByAll = number
 		membership.keeper.Accounted(number, now)
 	}
 }
 
-// propose appends the next view if one is due.
+// propose proposes the next view if one is due.
 func (membership *membership) propose(ctx context.Context, now time.Time) {
-	caughtUp, trimmed := membership.views.state()
+	caughtUp, trimmed := membership.viewLog.state()
 	if !caughtUp {
 		return
 	}
 	if view, due := membership.takeover(now, trimmed); due {
-		membership.views.propose(ctx, view)
+		membership.viewLog.propose(ctx, view)
 		return
 	}
 	if proposal, due := membership.watcher.Propose(now); due {
@@ -290,23 +292,24 @@
 			Departing: keeperMembers(proposal.Depart...),
 			Reset:     proposal.Previous == watcher.NoView && trimmed,
 		}
-		if !view.Reset || !membership.someoneHasView(now) {
-			membership.views.propose(ctx, view)
+		if !view.Reset || !membership.anyPeerHeardRecently(now) {
+			membership.viewLog.propose(ctx, view)
 		}
 		return
 	}
 	if age, ok := membership.renewalAge(); ok {
-		if view, due := membership.views.renewal(now, age); due {
-			membership.views.propose(ctx, view)
+		if view, due := membership.viewLog.renewal(now, age); due {
+			membership.viewLog.propose(ctx, view)
 		}
 	}
 }
 
-// someoneHasView says that a peer was heard lately: a reset is only for a failure domain in which nobody is left.
-func (membership *membership) someoneHasView(now time.Time) bool {
+// anyPeerHeardRecently reports whether a heartbeat arrived within the suspicion period. A reset is only allowed in a
+// failure domain without live instances.
+func (membership *membership) anyPeerHeardRecently(now time.Time) bool {
 	membership.mu.Lock()
 	defer membership.mu.Unlock()
-	for _, last := range membership.heard {
+	for _, last := range membership.lastHeartbeat {
 		if now.Sub(last.at) < watcher.SuspicionPeriod {
 			return true
 		}
@@ -314,19 +317,19 @@
 	return false
 }
 
-// renewalAge returns the age at which this member renews the view; later members of the view wait longer, so
-// that usually one renews.
+// renewalAge returns the age at which this member renews the view. Later members of the view wait longer, so that
+// usually only one renews it. It returns false if this instance is not a member.
 func (membership *membership) renewalAge() (time.Duration, bool) {
 	_, view := membership.keeper.View()
-	turn := slices.IndexFunc(view.Members, func(member keeper.Member) bool {
+	rank := slices.IndexFunc(view.Members, func(member keeper.Member) bool {
 		return member.Incarnation == string(membership.self.Incarnation)
 	})
-	return membership.retention + time.Duration(turn)*watcher.SuspicionPeriod, turn >= 0
+	return membership.retention + time.Duration(rank)*watcher.SuspicionPeriod, rank >= 0
 }
 
-// takeover returns the view that replaces one whose members have all gone, or the first view of an instance
-// that is alone by its settings. The watcher proposes only for members, and none is left to do so. It is
-// safe because the floor rule closes the epochs of the lost view.
+// takeover returns the view that replaces one whose members are all gone, or the first view of an instance that has no
+// instance list and is therefore alone. The watcher proposes views only for members, of which none is left. The
+// takeover is safe because the floor rule closes the epochs of the lost view.
 func (membership *membership) takeover(now time.Time, trimmed bool) (keeper.View, bool) {
 	number, view := membership.keeper.View()
 	self := keeperMembers(membership.self)
@@ -336,47 +339,48 @@
 	}
 	membership.mu.Lock()
 	defer membership.mu.Unlock()
-	if _, member := view.Member(self[0].Incarnation); member || !membership.read || membership.anyLeft(view, now) {
-		membership.goneSince = time.Time{}
+	if _, member := view.Member(self[0].Incarnation); member || !membership.listRead || membership.anyMemberPresent(view, now) {
+		membership.allGoneSince = time.Time{}
 		return keeper.View{}, false
 	}
-	if membership.goneSince.IsZero() {
-		membership.goneSince = now
+	if membership.allGoneSince.IsZero() {
+		membership.allGoneSince = now
 	}
-	if membership.lister != nil && now.Sub(membership.goneSince) < takeoverDelay {
+	if membership.lister != nil && now.Sub(membership.allGoneSince) < takeoverDelay {
 		return keeper.View{}, false
 	}
-	for address, hello := range membership.met {
+	for address, hello := range membership.known {
 		listed := slices.ContainsFunc(membership.listed, func(instance lister.Instance) bool { return instance.Address == address })
-		if listed && now.Sub(membership.heard[hello.Incarnation].at) < watcher.SuspicionPeriod {
-			self = append(self, keeperMembers(asMember(hello))...)
+		if listed && now.Sub(membership.lastHeartbeat[hello.Incarnation].at) < watcher.SuspicionPeriod {
+			self = append(self, keeperMembers(helloMember(hello))...)
 		}
 	}
 	return keeper.View{Prev: number, Members: self}, true
 }
 
-// anyLeft says that a member of the view is still listed, or was heard lately. The caller holds membership.mu.
-func (membership *membership) anyLeft(view keeper.View, now time.Time) bool {
+// anyMemberPresent reports whether a member of the view is still listed or sent a heartbeat within the suspicion
+// period. The caller holds membership.mu.
+func (membership *membership) anyMemberPresent(view keeper.View, now time.Time) bool {
 	return slices.ContainsFunc(slices.Concat(view.Members, view.Departing), func(member keeper.Member) bool {
-		if last, ok := membership.heard[member.Incarnation]; ok && now.Sub(last.at) < watcher.SuspicionPeriod {
+		if last, ok := membership.lastHeartbeat[member.Incarnation]; ok && now.Sub(last.at) < watcher.SuspicionPeriod {
 			return true
 		}
 		return slices.ContainsFunc(membership.listed, func(instance lister.Instance) bool {
-			hello, met := membership.met[instance.Address]
-			return instance.Address == member.Address && (!met || hello.Incarnation == member.Incarnation)
+			hello, known := membership.known[instance.Address]
+			return instance.Address == member.Address && (!known || hello.Incarnation == member.Incarnation)
 		})
 	})
 }
 
-// heardLately returns the incarnations of the own failure domain that sent a heartbeat within the suspicion period.
-func (membership *membership) heardLately(now time.Time) []string {
+// recentlyHeard returns the incarnations of this failure domain that sent a heartbeat within the suspicion period.
+func (membership *membership) recentlyHeard(now time.Time) []string {
 	membership.mu.Lock()
 	defer membership.mu.Unlock()
-	var lately []string
-	for incarnation, last := range membership.heard {
+	var recent []string
+	for incarnation, last := range membership.lastHeartbeat {
 		if now.Sub(last.at) < watcher.SuspicionPeriod {
-			lately = append(lately, incarnation)
+			recent = append(recent, incarnation)
 		}
 	}
-	return lately
+	return recent
 }
--- a/server/meter.go
+++ b/server/meter.go
@@ -17,10 +17,10 @@
 	forwards map[string]*metrics.Counter
 	fates    map[dispatcher.Fate]*metrics.Counter
 	retries  *metrics.Counter
-	took     *metrics.Histogram
+	duration *metrics.Histogram
 }
 
-// outcomeNames are the values of the label outcome; requests that carry no job's outcome count as other.
+// outcomeNames are the values of the label outcome. Requests without the outcome of a job are counted as other.
 var outcomeNames = []string{"complete", "failed", "refused", "unknown", "other"}
 
 func newMeter(inFlight func() float64) *meter {
@@ -32,7 +32,7 @@
 		forwards: make(map[string]*metrics.Counter),
 		fates:    make(map[dispatcher.Fate]*metrics.Counter),
 		retries:  set.NewCounter("hyssoplift_task_retries_total"),
-		took:     set.NewHistogram("hyssoplift_request_seconds"),
+		duration: set.NewHistogram("hyssoplift_request_seconds"),
 	}
 	for _, name := range outcomeNames {
 		meter.forwards[name] = set.NewCounter(`hyssoplift_forwards_served_total{outcome="` + name + `"}`)
@@ -45,8 +45,8 @@
 	return meter
 }
 
-// watch adds gauges of the controllers' state.
-func (meter *meter) watch(server *Server) {
+// registerGauges registers gauges of the controllers' state.
+func (meter *meter) registerGauges(server *Server) {
 	traffic := server.linker.Traffic()
 	for name, read := range map[string]func() int64{
 		"hyssoplift_link_frames_sent":      traffic.FramesSent,
@@ -65,14 +65,15 @@
 	}
 }
 
-func (meter *meter) request(outcome string, took time.Duration) {
+// request counts an answered request and records how long it took if it has the outcome of a job.
+func (meter *meter) request(outcome string, duration time.Duration) {
 	counter := meter.requests[outcome]
 	if counter == nil {
 		meter.requests["other"].Inc()
 		return
 	}
 	counter.Inc()
-	meter.took.Update(took.Seconds())
+	meter.duration.Update(duration.Seconds())
 }
 
 func (meter *meter) write(writer io.Writer) {
--- a/server/offers.go
+++ b/server/offers.go
@@ -12,36 +12,37 @@
 )
 
 const (
-	// offerInterval spaces the questions to peers while the log cannot be read: with the timeout of a read it stays
-	// below the 10 s in which a bundle must be in force.
-	offerInterval = 2 * time.Second
-	// offerTimeout bounds one question.
-	offerTimeout = time.Second
+	// peerRequestInterval is the delay between requests to peers while the log cannot be read. Together with the
+	// timeout of a read it stays below the 10 s in which a bundle must be in force.
+	peerRequestInterval = 2 * time.Second
+	// peerRequestTimeout bounds one request to a peer.
+	peerRequestTimeout = time.Second
 )
 
-// askPeers takes the bundle that another instance has in force, if it is newer. It asks one instance of the own
-// failure domain and, for the common part, one of another failure domain, since a whole one may be cut off from the log.
-func (server *Server) askPeers(ctx context.Context, bundles *bundler.Bundler) {
+// requestFromPeers asks other instances for a newer bundle. It asks one instance of its own failure domain and, for the
+// common part, one of another failure domain, because an entire failure domain may be cut off from the log.
+func (server *Server) requestFromPeers(ctx context.Context, bundles *bundler.Bundler) {
 	request := linker.BundleRequest{Stream: bundles.Stream(), After: -1}
 	if offer, ok := bundles.Offer(); ok {
 		request.After = offer.Offset
 	}
-	if near := server.membership.heardLately(time.Now()); len(near) > 0 {
-		callCtx, cancel := context.WithTimeout(ctx, offerTimeout)
-		response, err := server.linker.Call(callCtx, near[rand.IntN(len(near))], request)
+	if peers := server.membership.recentlyHeard(time.Now()); len(peers) > 0 {
+		callCtx, cancel := context.WithTimeout(ctx, peerRequestTimeout)
+		response, err := server.linker.Call(callCtx, peers[rand.IntN(len(peers))], request)
 		cancel()
-		server.takeOffer(bundles, response, err)
+		server.handleOffer(bundles, response, err)
 	}
-	if domain, ok := server.otherDomain(); ok && bundles.Stream() == bundler.Stream {
-		callCtx, cancel := context.WithTimeout(ctx, offerTimeout)
+	if domain, ok := server.randomOtherDomain(); ok && bundles.Stream() == bundler.Stream {
+		callCtx, cancel := context.WithTimeout(ctx, peerRequestTimeout)
 		response, err := server.callDomain(callCtx, domain, request)
 		cancel()
-		server.takeOffer(bundles, response, err)
+		server.handleOffer(bundles, response, err)
 	}
 }
 
-// otherDomain returns another failure domain of the bundle in force.
-func (server *Server) otherDomain() (string, bool) {
+// randomOtherDomain picks a random failure domain of the bundle in force. It returns false if that is this instance's
+// own or if no other can be reached.
+func (server *Server) randomOtherDomain() (string, bool) {
 	bundle := server.bundle.Load()
 	if bundle == nil || server.lister == nil || len(bundle.FailureDomains()) < 2 {
 		return "", false
@@ -51,10 +52,10 @@
 	return chosen, chosen != server.domain()
 }
 
-// takeOffer puts the offered bundle in force if its signatures prove it and it is newer.
-func (server *Server) takeOffer(bundles *bundler.Bundler, response linker.Response, err error) {
+// handleOffer puts the offered bundle in force if its signatures are valid and it is newer.
+func (server *Server) handleOffer(bundles *bundler.Bundler, response linker.Response, err error) {
 	if err != nil {
-		server.logger.Debug("peer gave no bundle", "stream", bundles.Stream(), "error", eris.ToString(err, false))
+		server.logger.Debug("no bundle received from peer", "stream", bundles.Stream(), "error", eris.ToString(err, false))
 		return
 	}
 	offered := response.(linker.BundleResponse)
@@ -65,15 +66,15 @@
 	if err == nil {
 		var events []bundler.Event
 		events, err = bundles.Take(bundler.Offer{Record: record, Offset: offered.Offset, Through: offered.Through}, time.Now())
-		server.show(bundles, events)
+		server.applyEvents(bundles, events)
 	}
 	if err != nil {
-		server.logger.Warn("bundle of a peer refused", "stream", bundles.Stream(), "offset", offered.Offset, "error", eris.ToString(err, false))
+		server.logger.Warn("bundle from peer rejected", "stream", bundles.Stream(), "offset", offered.Offset, "error", eris.ToString(err, false))
 	}
 }
 
-// serveBundle answers with the bundle in force of the stream, if it is newer than the one that the sender has.
-func (server *Server) serveBundle(from linker.Hello, request linker.BundleRequest) {
+// serveBundleRequest responds with the bundle in force of the stream, if it is newer than the sender's.
+func (server *Server) serveBundleRequest(from linker.Hello, request linker.BundleRequest) {
 	response := linker.BundleResponse{ID: request.ID}
 	for _, bundles := range server.composer.Bundlers() {
 		offer, ok := bundles.Offer()
--- a/server/offers_test.go
+++ b/server/offers_test.go
@@ -19,8 +19,8 @@
 	"github.com/hyssoplift/hyssoplift/emulator"
 )
 
-// Guards against an instance that has no bundle, or stays with an old one, because it cannot reach the log although
-// its peers can.
+// Guards against an instance that has no bundle, or keeps an old one, because it cannot reach the log although its
+// peers can.
 func TestBundleFromPeers(t *testing.T) {
 	is := is.New(t)
 	servers, _ := startDomains(t, emulator.NewRunner(8, 1))
--- a/server/page_test.go
+++ b/server/page_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 )
 
-// Guards against metrics, labels and label values that are missing in the operators' page, and rows of metrics that no
+// Guards against metrics, labels and label values that docs/operators.md lacks, and against rows of metrics that no
 // longer exist.
 func TestOperatorsPageListsMetrics(t *testing.T) {
 	is := is.New(t)
@@ -21,13 +21,13 @@
 	_, section, found := strings.Cut(string(page), "\n## Metrics\n")
 	is.True(found)
 	section, _, _ = strings.Cut(section, "\n## ")
-	labels := make(map[string]string) // the cell of the labels, by metric
+	labels := make(map[string]string) // the label column, by metric
 	for _, row := range regexp.MustCompile("(?m)^\\| `(hyssoplift_[a-z_]+)` \\| ([^|]+) \\|").FindAllStringSubmatch(section, -1) {
 		labels[row[1]] = row[2]
 	}
 
 	meter := newMeter(func() float64 { return 0 })
-	meter.request("complete", time.Millisecond) // an empty histogram writes nothing
+	meter.request("complete", time.Millisecond) // an empty histogram is not written
 	var text bytes.Buffer
 	meter.set.WritePrometheus(&text)
 	var exported []string
@@ -40,7 +40,7 @@
 		exported = append(exported, name)
 		for _, pair := range label.FindAllStringSubmatch(line, -1) {
 			named := strings.Contains(labels[name], "`"+pair[1]+"`")
-			if !named || pair[1] != "vmrange" && !strings.Contains(labels[name], pair[2]) { // ranges depend on what was measured
+			if !named || pair[1] != "vmrange" && !strings.Contains(labels[name], pair[2]) { // bucket ranges depend on the recorded values
 				t.Errorf("docs/operators.md, section Metrics, lacks %s in the row of %s", pair[0], name)
 			}
 		}
--- a/server/place.go
+++ b/server/place.go
@@ -14,24 +14,26 @@
 )
 
 const (
-	// leavingTime is how long a worker that said that it leaves gets nothing; the bundle drops it for good.
-	leavingTime = time.Minute
-	// usageTime is how long a usage report stands for other instances' tasks, most of which last under a second.
-	usageTime = time.Second
-	// usageTimeout bounds the request for a worker's usage.
+	// leavingSuspension is how long a worker that announced its shutdown is given no tasks. It is removed for good by a
+	// later bundle.
+	leavingSuspension = time.Minute
+	// usageValidity is how long a usage report accounts for the tasks of other instances, most of which take less than
+	// a second.
+	usageValidity = time.Second
+	// usageTimeout bounds a request for a worker's usage.
 	usageTimeout = 500 * time.Millisecond
 )
 
-// place is where one task is to run: runnerPlace or workerPlace.
+// place is where a task is to run: runnerPlace or workerPlace.
 type place interface{ isPlace() }
 
-// runnerPlace is a target that the router chose.
+// runnerPlace is a runner chosen by the router.
 type runnerPlace struct {
 	router *router.Router
 	choice router.Choice
 }
 
-// workerPlace is room on a worker.
+// workerPlace is capacity reserved on a worker.
 type workerPlace struct {
 	placer  *placer.Placer
 	placed  placer.Placed
@@ -41,29 +43,29 @@
 func (runnerPlace) isPlace() {}
 func (workerPlace) isPlace() {}
 
-// endPlace gives the place back and tells what became of its task.
-func endPlace(ended place, result router.Result, size placer.Ending, now time.Time) {
-	switch ended := ended.(type) {
+// releasePlace releases the place and reports how its task ended to the router or the placer.
+func releasePlace(released place, result router.Result, size placer.Ending, now time.Time) {
+	switch released := released.(type) {
 	case runnerPlace:
-		ended.router.Done(ended.choice, result, now)
+		released.router.Done(released.choice, result, now)
 	case workerPlace:
-		ended.placer.End(ended.placed, size, now)
+		released.placer.End(released.placed, size, now)
 	}
 }
 
-// workers is the fleet of one service whose targets are workers.
-type workers struct {
+// workerFleet holds the targets of a service whose targets are workers.
+type workerFleet struct {
 	placer    *placer.Placer
 	addresses map[string]string
 }
 
-func newWorkers(seed uint64) *workers {
-	return &workers{placer: placer.New(rand.New(rand.NewPCG(seed, seed)))}
+func newWorkerFleet(seed uint64) *workerFleet {
+	return &workerFleet{placer: placer.New(rand.New(rand.NewPCG(seed, seed)))}
 }
 
-// update returns the fleet with the given targets; reservations and learned sizes stay.
-func (fleet *workers) update(targets []bundler.Target) *workers {
-	next := &workers{placer: fleet.placer, addresses: make(map[string]string, len(targets))}
+// update returns the fleet with the given targets. Reservations and learned sizes are kept.
+func (fleet *workerFleet) update(targets []bundler.Target) *workerFleet {
+	next := &workerFleet{placer: fleet.placer, addresses: make(map[string]string, len(targets))}
 	list := make([]placer.Worker, len(targets))
 	for i, target := range targets {
 		list[i] = placer.NewWorker(target.Name(), target.Rack(), target.Size())
@@ -73,9 +75,9 @@
 	return next
 }
 
-// place reserves room for a task of the kind, near the rack where the last one went: a job's tasks are placed one
-// after another, and one whose tasks share a rack is lost to the failure of fewer racks.
-func (fleet *workers) place(kind bundler.Kind, now time.Time) (place, bool) {
+// place reserves capacity for a task of the kind, preferably on the rack of the previous one: the tasks of a job are
+// placed one after another, and a job on a single rack is affected by fewer rack failures.
+func (fleet *workerFleet) place(kind bundler.Kind, now time.Time) (place, bool) {
 	placed, ok := fleet.placer.Place(kind.Name(), kind.Size(), fleet.placer.LastRack(kind.Name()), now).(placer.Placed)
 	if !ok {
 		return nil, false
@@ -83,10 +85,10 @@
 	return workerPlace{placer: fleet.placer, placed: placed, address: fleet.addresses[placed.Worker().Name()]}, true
 }
 
-// startAt runs the task at its place and returns the result, with what the router and the placer learn from it.
-func (server *Server) startAt(ctx context.Context, request *request, task dispatcher.Task, at place) (starter.Result, router.Result, placer.Ending) {
+// runAt runs the task at its place. It returns the result, with what the router and the placer learn from it.
+func (server *Server) runAt(ctx context.Context, request *request, task dispatcher.Task, at place) (starter.Result, router.Result, placer.Ending) {
 	if worker, ok := at.(workerPlace); ok {
-		result, size := server.lease(ctx, request, task, worker)
+		result, size := server.runOnWorker(ctx, request, task, worker)
 		return result, nil, size
 	}
 	runner := at.(runnerPlace)
@@ -94,38 +96,38 @@
 	return result, routerResult(result), nil
 }
 
-// lease runs the task on a worker under a lease.
-func (server *Server) lease(ctx context.Context, request *request, task dispatcher.Task, at workerPlace) (starter.Result, placer.Ending) {
+// runOnWorker runs the task on a worker under a lease.
+func (server *Server) runOnWorker(ctx context.Context, request *request, task dispatcher.Task, at workerPlace) (starter.Result, placer.Ending) {
 	switch ending := server.leaser.Run(ctx, at.address, request.kind.Name(), at.placed.Granted(), task).(type) {
 	case leaser.Completed:
 		return starter.NewSuccess(ending.Result()), ending.Usage()
 	case leaser.TaskFailed:
 		return starter.NewTaskFailed(ending.Detail()), ending.Usage()
 	case leaser.NotStarted:
-		server.learnRefusal(ctx, at, ending.Leaving())
+		server.handleRefusal(ctx, at, ending.Leaving())
 		return starter.NewNotStarted(ending.Detail(), ending.Leaving()), placer.Unstarted{}
 	case leaser.Lost:
-		// A worker that answers nothing is as bad as one that fails what it starts.
+		// The placer treats a worker that does not respond like one whose tasks fail.
 		return starter.NewLost(ending.Detail()), placer.Failed{}
 	default:
-		panic("unreachable: leaser.Ending is sealed")
+		panic("unreachable: leaser.Result is sealed")
 	}
 }
 
-// learnRefusal keeps tasks from a worker that leaves, and asks one without room what others run there. Usage is asked
-// for only then: polling every worker would cost more messages than the refusals that it avoids.
-func (server *Server) learnRefusal(ctx context.Context, at workerPlace, leaving bool) {
+// handleRefusal suspends a worker that is leaving, and asks one without free capacity for its usage. Usage is requested
+// only then, because polling every worker would cost more messages than the refusals that it avoids.
+func (server *Server) handleRefusal(ctx context.Context, at workerPlace, leaving bool) {
 	name, now := at.placed.Worker().Name(), time.Now()
 	if leaving {
-		at.placer.Close(name, now.Add(leavingTime))
+		at.placer.Close(name, now.Add(leavingSuspension))
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, usageTimeout)
 	defer cancel()
 	report, err := server.leaser.Usage(ctx, at.address)
 	if err != nil {
-		at.placer.Close(name, now.Add(usageTime))
+		at.placer.Close(name, now.Add(usageValidity))
 		return
 	}
-	at.placer.Report(name, report.Used, now.Add(usageTime))
+	at.placer.Report(name, report.Used, now.Add(usageValidity))
 }
--- a/server/place_test.go
+++ b/server/place_test.go
@@ -39,8 +39,8 @@
 memory-mb = 1000
 `
 
-// Guards against a task on a worker that starts twice, is called not run although it started, or waits for a worker
-// that takes no more work.
+// Guards against a task on a worker that is started twice, is reported as not run although it started, or waits for a
+// worker that accepts no more tasks.
 func TestJobsOnWorkers(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -54,7 +54,7 @@
 		{"complete", [2]emulator.WorkerFault{emulator.WorkerHealthy, emulator.WorkerHealthy}, 100, 6, 200, "complete", 6},
 		{"more tasks than room", [2]emulator.WorkerFault{emulator.WorkerHealthy, emulator.WorkerHealthy}, 100, 20, 200, "complete", 20},
 		{"one worker leaves", [2]emulator.WorkerFault{emulator.WorkerLeaving, emulator.WorkerHealthy}, 100, 4, 200, "complete", 4},
-		{"answers to starts are lost", [2]emulator.WorkerFault{emulator.WorkerLosesAnswers, emulator.WorkerLosesAnswers}, 100, 4, 200, "complete", 4},
+		{"responses to starts are lost", [2]emulator.WorkerFault{emulator.WorkerLosesAnswers, emulator.WorkerLosesAnswers}, 100, 4, 200, "complete", 4},
 		{"tasks fail", [2]emulator.WorkerFault{emulator.WorkerFailing, emulator.WorkerFailing}, 100, 1, 502, "failed", 1},
 		{"the guard stops the task", [2]emulator.WorkerFault{emulator.WorkerHealthy, emulator.WorkerHealthy}, 3000, 1, 502, "failed", 1},
 	}
@@ -73,7 +73,7 @@
 			server, base := startServer(t, http.NotFoundHandler(), hclog.NewNullLogger())
 			bundle, err := bundler.Parse([]byte(fmt.Sprintf(testBundle, "127.0.0.1:1") + fmt.Sprintf(workerSections, addresses[:]...)))
 			is.NoErr(err)
-			server.install(bundle)
+			server.installBundle(bundle)
 
 			body := `{"kind":"circuit-plan","team":"demo","tasks":[`
 			for i := range test.tasks {
@@ -85,7 +85,7 @@
 			got := send(t, http.MethodPost, base+"/v1/jobs", body+"]}")
 			is.Equal(got.status, test.status)
 			is.Equal(got.answer.Outcome, test.outcome)
-			is.Equal(fleet[0].Starts()+fleet[1].Starts(), test.starts) // each task started once
+			is.Equal(fleet[0].Starts()+fleet[1].Starts(), test.starts) // each task was started once
 		})
 	}
 }
--- a/server/problem.go
+++ b/server/problem.go
@@ -11,7 +11,7 @@
 	"github.com/hyssoplift/hyssoplift/encoder"
 )
 
-// problem is an error that is not the outcome of a submitted job (RFC 9457).
+// problem is an error response that is not the outcome of a submitted job (RFC 9457).
 type problem struct {
 	status  int
 	kind    string
@@ -22,7 +22,7 @@
 	retryIn time.Duration
 }
 
-// writeProblem answers with a problem document.
+// writeProblem writes a problem document.
 func writeProblem(exchange *exchange, problem problem) {
 	outcome := "unknown"
 	if problem.notRun {
@@ -51,7 +51,7 @@
 	}
 	exchange.Header().Set("Content-Type", contentType)
 	exchange.WriteHeader(status)
-	// A failed write means that the caller has gone.
+	// A failed write means that the caller has disconnected.
 	_, _ = exchange.Write(append(body, '\n'))
 }
 
--- a/server/scheduler.go
+++ b/server/scheduler.go
@@ -15,53 +15,54 @@
 	"github.com/hyssoplift/hyssoplift/router"
 )
 
-// schedulerInterval is how often deadlines in the queue are looked at, and the queue is tried again for
-// targets that returned by themselves.
+// schedulerInterval is how often queued jobs are checked for passed deadlines. The queue is also retried then, for
+// targets that became available without a task ending.
 const schedulerInterval = 20 * time.Millisecond
 
-// granted is the permission to start one task at a chosen target.
-type granted struct {
+// taskGrant permits the start of one task at a chosen place.
+type taskGrant struct {
 	grant limiter.Grant
 	place place
 }
 
-// queued is a job that the limiter has admitted.
-type queued struct {
+// queuedJob is a job admitted by the limiter.
+type queuedJob struct {
 	ticket limiter.Ticket
-	// grants has room for every task, so that the scheduler never blocks on it.
-	grants  chan granted
+	// grants is buffered for every task, so that the scheduler never blocks on it.
+	grants  chan taskGrant
 	expired chan limiter.Expired
 }
 
-// scheduler hands the tasks of admitted jobs to targets: the limiter orders them, the routers choose.
+// scheduler assigns the tasks of admitted jobs to targets: the limiter determines their order, and the routers and
+// fleets choose the targets.
 type scheduler struct {
-	limiter *limiter.Limiter
-	self    string
-	domain  string
-	routers atomic.Pointer[routing]
+	limiter  *limiter.Limiter
+	self     string
+	domain   string
+	snapshot atomic.Pointer[routingTable]
 
 	mu   sync.Mutex
-	jobs map[limiter.Ticket]*queued
-	// members are the incarnations and names that share the targets' slots.
+	jobs map[limiter.Ticket]*queuedJob
+	// members are the instances that share the slots of the targets.
 	members []keeper.Member
 }
 
-// routing is an immutable snapshot of one router or fleet of workers per service, and of the service of each kind.
-type routing struct {
+// routingTable is an immutable snapshot of the bundle and of the router or the fleet of workers of each service.
+type routingTable struct {
 	bundle   *bundler.Bundle
 	services map[string]*router.Router
-	fleets   map[string]*workers
+	fleets   map[string]*workerFleet
 }
 
-// newScheduler returns a scheduler that follows deadlines until ctx is done.
+// newScheduler returns a scheduler that checks deadlines until ctx is done.
 func newScheduler(ctx context.Context, domain, self string) *scheduler {
 	scheduler := &scheduler{
 		limiter: limiter.New(limiter.Config{}),
 		self:    self,
 		domain:  domain,
-		jobs:    make(map[limiter.Ticket]*queued),
+		jobs:    make(map[limiter.Ticket]*queuedJob),
 	}
-	scheduler.routers.Store(&routing{})
+	scheduler.snapshot.Store(&routingTable{})
 	go func() {
 		ticker := time.NewTicker(schedulerInterval)
 		defer ticker.Stop()
@@ -70,20 +71,20 @@
 			case <-ctx.Done():
 				return
 			case now := <-ticker.C:
-				scheduler.expire(now)
-				scheduler.pump(now)
+				scheduler.notifyExpired(now)
+				scheduler.issueGrants(now)
 			}
 		}
 	}()
 	return scheduler
 }
 
-// configure puts the targets and limits of bundle in force; what the routers have learned stays.
+// configure applies the targets and limits of bundle. The routers keep what they have learned.
 func (scheduler *scheduler) configure(bundle *bundler.Bundle, now time.Time) {
 	scheduler.mu.Lock()
 	defer scheduler.mu.Unlock()
-	before := scheduler.routers.Load()
-	next := &routing{bundle: bundle, services: make(map[string]*router.Router), fleets: make(map[string]*workers)}
+	before := scheduler.snapshot.Load()
+	next := &routingTable{bundle: bundle, services: make(map[string]*router.Router), fleets: make(map[string]*workerFleet)}
 	targets := make(map[string][]bundler.Target)
 	for _, target := range bundle.Targets() {
 		if target.FailureDomain() == scheduler.domain {
@@ -95,19 +96,19 @@
 		if service.Protocol() == bundler.ProtocolWorker {
 			fleet := before.fleets[name]
 			if fleet == nil {
-				fleet = newWorkers(scheduler.seed(name))
+				fleet = newWorkerFleet(scheduler.seed(name))
 			}
 			next.fleets[name] = fleet.update(list)
 			continue
 		}
-		next.services[name] = scheduler.updateRouter(before.services[name], bundle, name, list, now)
+		next.services[name] = scheduler.configureRouter(before.services[name], bundle, name, list, now)
 	}
-	scheduler.routers.Store(next)
-	scheduler.limiter.Configure(limits(bundle))
+	scheduler.snapshot.Store(next)
+	scheduler.limiter.Configure(limiterConfig(bundle))
 }
 
-// updateRouter gives the service's router its targets; it makes the router if there is none.
-func (scheduler *scheduler) updateRouter(chosen *router.Router, bundle *bundler.Bundle, service string, list []bundler.Target, now time.Time) *router.Router {
+// configureRouter updates the targets and weights of the service's router, and creates the router if there is none.
+func (scheduler *scheduler) configureRouter(chosen *router.Router, bundle *bundler.Bundle, service string, list []bundler.Target, now time.Time) *router.Router {
 	if chosen == nil {
 		chosen = router.New(router.Config{Seed: scheduler.seed(service), Share: scheduler.share()})
 	}
@@ -120,15 +121,15 @@
 	return chosen
 }
 
-// seed differs between instances, so that they do not choose in step.
+// seed returns a seed that differs between instances, so that they do not make the same choices.
 func (scheduler *scheduler) seed(service string) uint64 {
 	seed := fnv.New64a()
 	_, _ = seed.Write([]byte(scheduler.self + service))
 	return seed.Sum64()
 }
 
-// limits returns the limits of the bundle's kinds and teams.
-func limits(bundle *bundler.Bundle) limiter.Config {
+// limiterConfig returns the limits of the kinds and teams in bundle.
+func limiterConfig(bundle *bundler.Bundle) limiter.Config {
 	config := limiter.Config{
 		Kinds:               make(map[string]limiter.Kind),
 		TeamQuotas:          make(map[string]int),
@@ -144,73 +145,73 @@
 	return config
 }
 
-// setMembers divides the targets' slots between the members of the view.
+// setMembers divides the slots of the targets between the members of the view.
 func (scheduler *scheduler) setMembers(members []keeper.Member) {
 	scheduler.mu.Lock()
 	defer scheduler.mu.Unlock()
 	scheduler.members = members
 	share := scheduler.share()
-	for _, chosen := range scheduler.routers.Load().services {
+	for _, chosen := range scheduler.snapshot.Load().services {
 		chosen.SetShare(share)
 	}
 }
 
-// share returns this instance's part of the slots; outside the view it takes the part of one more member. The
-// caller holds scheduler.mu.
+// share returns this instance's share of the slots. An instance outside the view counts as one more member. The caller
+// holds scheduler.mu.
 func (scheduler *scheduler) share() router.Share {
-	turn := slices.IndexFunc(scheduler.members, func(member keeper.Member) bool { return member.Incarnation == scheduler.self })
+	index := slices.IndexFunc(scheduler.members, func(member keeper.Member) bool { return member.Incarnation == scheduler.self })
 	weights := make([]float64, len(scheduler.members), len(scheduler.members)+1)
 	for i := range weights {
 		weights[i] = 1
 	}
-	if turn < 0 {
-		turn = len(weights)
+	if index < 0 {
+		index = len(weights)
 		weights = append(weights, 1)
 	}
-	return router.NewShare(weights, turn)
+	return router.NewShare(weights, index)
 }
 
 // hasTarget reports whether the failure domain has a target of the service.
 func (scheduler *scheduler) hasTarget(service string) bool {
-	routing := scheduler.routers.Load()
-	return routing.services[service] != nil || routing.fleets[service] != nil
+	routingTable := scheduler.snapshot.Load()
+	return routingTable.services[service] != nil || routingTable.fleets[service] != nil
 }
 
-// possible reports whether a task of the kind fits on any worker of its service; runners take every task.
-func (scheduler *scheduler) possible(kind bundler.Kind) bool {
-	fleet := scheduler.routers.Load().fleets[kind.Service()]
+// fitsAnyWorker reports whether a task of the kind fits on any worker of its service. Runners accept tasks of any size.
+func (scheduler *scheduler) fitsAnyWorker(kind bundler.Kind) bool {
+	fleet := scheduler.snapshot.Load().fleets[kind.Service()]
 	return fleet == nil || fleet.placer.Possible(kind.Size())
 }
 
-// admit asks the limiter for the job; the refusal is nil if the job waits for its grants.
-func (scheduler *scheduler) admit(request *request, now time.Time) (*queued, *limiter.Refused) {
+// admit submits the job to the limiter. It returns the refusal, or the admitted job, which then receives its grants.
+func (scheduler *scheduler) admit(request *request, now time.Time) (*queuedJob, *limiter.Refused) {
 	job := request.job
-	admitted := &queued{grants: make(chan granted, len(job.Tasks())), expired: make(chan limiter.Expired, 1)}
+	admitted := &queuedJob{grants: make(chan taskGrant, len(job.Tasks())), expired: make(chan limiter.Expired, 1)}
 	scheduler.mu.Lock()
-	switch verdict := scheduler.limiter.Admit(limiter.NewJob(job.Kind(), job.Team(), len(job.Tasks()), job.Deadline()), now).(type) {
+	switch decision := scheduler.limiter.Admit(limiter.NewJob(job.Kind(), job.Team(), len(job.Tasks()), job.Deadline()), now).(type) {
 	case limiter.Refused:
 		scheduler.mu.Unlock()
-		return nil, &verdict
+		return nil, &decision
 	case limiter.Run:
-		admitted.ticket = verdict.Ticket()
+		admitted.ticket = decision.Ticket()
 	case limiter.Queued:
-		admitted.ticket = verdict.Ticket()
+		admitted.ticket = decision.Ticket()
 	}
-	// Registered under the lock that grants are handed out under, so that none can come before.
+	// The lock is held until the job is registered, so that issueGrants finds the job.
 	scheduler.jobs[admitted.ticket] = admitted
 	scheduler.mu.Unlock()
-	scheduler.pump(now)
+	scheduler.issueGrants(now)
 	return admitted, nil
 }
 
-// pump hands out every grant that the limits and the targets allow.
-func (scheduler *scheduler) pump(now time.Time) {
+// issueGrants issues all grants that the limits and the targets currently allow.
+func (scheduler *scheduler) issueGrants(now time.Time) {
 	for {
-		routing := scheduler.routers.Load()
-		var next granted
+		routingTable := scheduler.snapshot.Load()
+		var next taskGrant
 		grant, ok := scheduler.limiter.Next(now, func(kind string) bool {
 			var found bool
-			next.place, found = routing.pick(kind, now)
+			next.place, found = routingTable.pick(kind, now)
 			return found
 		})
 		if !ok {
@@ -224,24 +225,24 @@
 		}
 		scheduler.mu.Unlock()
 		if job == nil {
-			scheduler.giveBack(next)
+			scheduler.returnUnused(next)
 		}
 	}
 }
 
 // pick chooses a place for a task of the kind.
-func (routing *routing) pick(kind string, now time.Time) (place, bool) {
-	if routing.bundle == nil {
+func (routingTable *routingTable) pick(kind string, now time.Time) (place, bool) {
+	if routingTable.bundle == nil {
 		return nil, false
 	}
-	found, ok := routing.bundle.Kind(kind)
+	found, ok := routingTable.bundle.Kind(kind)
 	if !ok {
 		return nil, false
 	}
-	if fleet := routing.fleets[found.Service()]; fleet != nil {
+	if fleet := routingTable.fleets[found.Service()]; fleet != nil {
 		return fleet.place(found, now)
 	}
-	chosen := routing.services[found.Service()]
+	chosen := routingTable.services[found.Service()]
 	if chosen == nil {
 		return nil, false
 	}
@@ -249,8 +250,8 @@
 	return runnerPlace{router: chosen, choice: choice}, ok
 }
 
-// expire tells jobs whose deadline passed in the queue.
-func (scheduler *scheduler) expire(now time.Time) {
+// notifyExpired notifies queued jobs whose deadline has passed.
+func (scheduler *scheduler) notifyExpired(now time.Time) {
 	for _, expired := range scheduler.limiter.Expire(now) {
 		scheduler.mu.Lock()
 		if job := scheduler.jobs[expired.Ticket()]; job != nil {
@@ -260,20 +261,20 @@
 	}
 }
 
-// release ends one granted task.
-func (scheduler *scheduler) release(granted granted, result router.Result, size placer.Ending) {
+// release ends a granted task.
+func (scheduler *scheduler) release(taskGrant taskGrant, result router.Result, size placer.Ending) {
 	now := time.Now()
-	endPlace(granted.place, result, size, now)
-	scheduler.limiter.Release(granted.grant, now)
+	releasePlace(taskGrant.place, result, size, now)
+	scheduler.limiter.Release(taskGrant.grant, now)
 }
 
-// giveBack ends a grant whose task was not started.
-func (scheduler *scheduler) giveBack(unused granted) {
+// returnUnused releases a grant whose task was not started.
+func (scheduler *scheduler) returnUnused(unused taskGrant) {
 	scheduler.release(unused, router.Unused{}, placer.Unstarted{})
 }
 
-// leave takes the job out: what was not granted is dropped, and grants that were not used are given back.
-func (scheduler *scheduler) leave(job *queued) {
+// remove removes the job: pending tasks are dropped and unused grants are returned.
+func (scheduler *scheduler) remove(job *queuedJob) {
 	scheduler.limiter.Drop(job.ticket)
 	scheduler.mu.Lock()
 	delete(scheduler.jobs, job.ticket)
@@ -281,11 +282,11 @@
 	for {
 		select {
 		case unused := <-job.grants:
-			scheduler.giveBack(unused)
+			scheduler.returnUnused(unused)
 			continue
 		default:
 		}
 		break
 	}
-	scheduler.pump(time.Now())
+	scheduler.issueGrants(time.Now())
 }
--- a/server/server.go
+++ b/server/server.go
@@ -27,48 +27,48 @@
 
 const (
 	readHeaderTimeout = 5 * time.Second
-	// idleTimeout is longer than that of common balancers, so that the balancer closes idle connections first.
+	// idleTimeout exceeds that of common load balancers, so that the balancer closes idle connections first.
 	idleTimeout = 2 * time.Minute
-	// ackTimeout is a hundred round trips inside a failure domain; it bounds the delay when a witness is gone.
+	// ackTimeout is about a hundred round trips within a failure domain. It bounds the delay when a witness is down.
 	ackTimeout = 100 * time.Millisecond
-	// syncTimeout leaves time for some 100,000 records of a slice.
+	// syncTimeout is enough for about 100,000 records of a slice.
 	syncTimeout = time.Second
-	// outcomeInterval batches ends of jobs; until it is over, a successor answers "unknown" for "finished".
+	// outcomeInterval is the interval at which outcomes are sent to witnesses in batches. Until then a successor
+	// reports the outcome of a finished job as unknown.
 	outcomeInterval = 50 * time.Millisecond
-	// viewPatience is how long a new instance waits for a view before it serves jobs under solo keys.
-	viewPatience = 15 * time.Second
+	// viewWait is how long a new instance waits for a view before it serves jobs under solo keys.
+	viewWait = 15 * time.Second
 )
 
-// Server is one entry instance.
+// Server is an entry instance.
 type Server struct {
-	settings   configurer.Settings
-	self       keeper.Member
-	started    time.Time
-	logger     hclog.Logger
-	log        *appender.Appender
-	lister     *lister.Lister
-	domains    *domains
-	starter    *starter.Starter
-	leaser     *leaser.Leaser
-	meter      *meter
-	drain      *drain
-	linker     *linker.Linker
-	keeper     *keeper.Keeper
-	decider    *decider
-	scheduler  *scheduler
-	views      *views
-	membership *membership
-	accountant *accountant.Accountant
-	http       *http.Server
-	bundle     atomic.Pointer[bundler.Bundle]
-	composer   *bundler.Composer
-	anonymous  atomic.Uint64
-	failed     chan struct{}
-	stop       context.CancelFunc
+	settings       configurer.Settings
+	self           keeper.Member
+	started        time.Time
+	logger         hclog.Logger
+	log            *appender.Appender
+	lister         *lister.Lister
+	domainCache    *domainCache
+	starter        *starter.Starter
+	leaser         *leaser.Leaser
+	meter          *meter
+	drainer        *drainer
+	linker         *linker.Linker
+	keeper         *keeper.Keeper
+	decider        *decider
+	scheduler      *scheduler
+	viewLog        *viewLog
+	membership     *membership
+	accountant     *accountant.Accountant
+	http           *http.Server
+	bundle         atomic.Pointer[bundler.Bundle]
+	composer       *bundler.Composer
+	anonymousCount atomic.Uint64
+	failed         chan struct{}
+	stop           context.CancelFunc
 }
 
-// New returns a server that listens on listener, follows the bundles and views of the log, and joins its
-// failure domain.
+// New returns a server that serves on listener, follows the bundles and views in the log, and joins its failure domain.
 func New(settings configurer.Settings, listener net.Listener, logger hclog.Logger) *Server {
 	ctx, stop := context.WithCancel(context.Background())
 	address := settings.Text("advertise")
@@ -77,7 +77,7 @@
 	}
 	server := &Server{
 		settings: settings,
-		// The incarnation is made here and not given, because a restarted process must never reuse one.
+		// The incarnation is generated and not configurable, because a restarted process must never reuse one.
 		self:     keeper.Member{Name: settings.Text("instance"), Incarnation: strconv.FormatUint(rand.Uint64(), 36), Address: address},
 		started:  time.Now(),
 		logger:   logger,
@@ -86,16 +86,16 @@
 		failed:   make(chan struct{}),
 		leaser:   leaser.New(),
 		composer: newComposer(settings),
-		drain:    newDrain(),
+		drainer:  newDrainer(),
 		stop:     stop,
 	}
 	if list := settings.Text("list"); list != "" {
 		server.lister = lister.New(list)
-		server.domains = newDomains(server.lister)
+		server.domainCache = newDomainCache(server.lister)
 	}
-	server.meter = newMeter(func() float64 { return float64(server.drain.inFlight()) })
-	server.join(ctx)
-	server.meter.watch(server)
+	server.meter = newMeter(func() float64 { return float64(server.drainer.inFlight()) })
+	server.setUpMembership(ctx)
+	server.meter.registerGauges(server)
 	server.http = &http.Server{Handler: server.handler(), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
 	go func() { server.followBundles(ctx) }()
 	go func() {
@@ -107,8 +107,8 @@
 	return server
 }
 
-// join sets up the parts that make the instance a member of its failure domain.
-func (server *Server) join(ctx context.Context) {
+// setUpMembership creates the components that make the instance a member of its failure domain.
+func (server *Server) setUpMembership(ctx context.Context) {
 	settings, logger := server.settings, server.logger
 	retention := time.Duration(settings.Count("retention")) * time.Millisecond
 	limits := keeper.Limits{
@@ -126,56 +126,59 @@
 	server.linker = linker.New(hello, linker.DefaultLimits(), logger, server.receive)
 	server.decider = newDecider(ctx, server.keeper, server.linker, logger)
 	server.scheduler = newScheduler(ctx, server.domain(), server.self.Incarnation)
-	server.views = newViews(server.log, server.domain(), server.decider, logger, func(number int64, view keeper.View) {
+	server.viewLog = newViewLog(server.log, server.domain(), server.decider, logger, func(number int64, view keeper.View) {
 		server.membership.setView(number, view)
 		server.scheduler.setMembers(view.Members)
 	})
 	self := watcherMember(server.self)
 	server.membership = &membership{
 		self: self, domain: server.domain(), watcher: watcher.New(self, server.started), linker: server.linker,
-		keeper: server.keeper, views: server.views, lister: server.lister, retention: retention, logger: logger,
+		keeper: server.keeper, viewLog: server.viewLog, lister: server.lister, retention: retention, logger: logger,
 		status: server.fillHeartbeat, excluded: make(chan struct{}),
-		met: make(map[string]linker.Hello), heard: make(map[string]heard), suspected: make(map[string]bool),
-		accounted: keeper.NoView,
+		known: make(map[string]linker.Hello), lastHeartbeat: make(map[string]lastHeartbeat), suspected: make(map[string]bool),
+		adoptedByAll: keeper.NoView,
 	}
-	go func() { server.views.follow(ctx) }()
-	go func() { server.membership.followList(ctx) }()
+	go func() { server.viewLog.follow(ctx) }()
+	go func() { server.membership.pollList(ctx) }()
 	go func() { server.membership.run(ctx) }()
 }
 
-// install puts a bundle in force.
-func (server *Server) install(bundle *bundler.Bundle) {
+// installBundle puts a bundle in force.
+func (server *Server) installBundle(bundle *bundler.Bundle) {
 	server.scheduler.configure(bundle, time.Now())
 	server.setObjectives(bundle)
 	server.bundle.Store(bundle)
 }
 
+// fillHeartbeat sets the fields of a heartbeat that describe this server.
 func (server *Server) fillHeartbeat(heartbeat *linker.Heartbeat) {
-	heartbeat.Load = int64(server.drain.inFlight())
+	heartbeat.Load = int64(server.drainer.inFlight())
 	heartbeat.Synced = server.keeper.Synced()
 	if bundle := server.bundle.Load(); bundle != nil {
 		heartbeat.BundleVersion = bundle.Version()
 	}
 }
 
-// Failed is closed when the listener has failed, so that no request arrives any more.
+// Failed returns a channel that is closed when the listener has failed, after which no request arrives.
 func (server *Server) Failed() <-chan struct{} { return server.failed }
 
-// Excluded is closed when the other instances have left this incarnation out; it can only stop.
+// Excluded returns a channel that is closed when the other instances have excluded this incarnation, which must then
+// stop.
 func (server *Server) Excluded() <-chan struct{} { return server.membership.excluded }
 
 func (server *Server) domain() string { return server.settings.Text("failure-domain") }
 
 func (server *Server) keyPrefix() string { return server.keeper.Prefix(time.Now()) }
 
-// anonymousKey returns a key for a job that came without one.
+// anonymousKey returns a new key for a job that was submitted without one.
 func (server *Server) anonymousKey() string {
-	return server.keeper.AnonymousKey(strconv.FormatUint(server.anonymous.Add(1), 36), time.Now())
+	return server.keeper.AnonymousKey(strconv.FormatUint(server.anonymousCount.Add(1), 36), time.Now())
 }
 
+// handler returns the HTTP handler of all paths.
 func (server *Server) handler() http.Handler {
 	outer := func(last handler, filters ...filter) handler {
-		common := []filter{server.recoverPanics, server.logRequests, server.setHeaders, server.takeTrace}
+		common := []filter{server.recoverPanics, server.logRequests, server.setHeaders, server.readTraceParent}
 		return chain(last, append(common, filters...)...)
 	}
 	mux := http.NewServeMux()
@@ -184,10 +187,10 @@
 		http.MethodPost: outer(server.submit, server.limitBody, server.decodeJob, server.snapshotBundle, server.trackJobs),
 	})
 	mux.Handle("/v1/jobs/{key}", methods{
-		http.MethodGet:    outer(server.handleLookup, server.takeKey),
-		http.MethodDelete: outer(server.handleCancel, server.takeKey),
+		http.MethodGet:    outer(server.handleLookup, server.readKey),
+		http.MethodDelete: outer(server.handleCancel, server.readKey),
 	})
-	mux.Handle("/v1/key-prefix", methods{http.MethodGet: outer(server.handlePrefix)})
+	mux.Handle("/v1/key-prefix", methods{http.MethodGet: outer(server.handleKeyPrefix)})
 	mux.Handle("/v1/status", methods{http.MethodGet: outer(server.handleStatus)})
 	mux.Handle("/healthz", methods{http.MethodGet: outer(func(exchange *exchange) { exchange.WriteHeader(http.StatusNoContent) })})
 	mux.Handle("/readyz", methods{http.MethodGet: outer(server.handleReady)})
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -42,7 +42,7 @@
 max-in-flight = 100000
 `
 
-// startServer returns a server on loopback whose bundle names handler as its only runner.
+// startServer starts a server on the loopback interface whose bundle has handler as its only runner.
 func startServer(tb testing.TB, handler http.Handler, logger hclog.Logger) (*Server, string) {
 	tb.Helper()
 	runner, records := httptest.NewServer(handler), emulator.NewLog()
@@ -105,13 +105,13 @@
 	return reply
 }
 
-const goodJob = `{"kind":"loop-check","team":"demo","tasks":[{"name":"a","payload":{"run-ms":1}}]}`
+const validJob = `{"kind":"loop-check","team":"demo","tasks":[{"name":"a","payload":{"run-ms":1}}]}`
 
-// Guards against bad input that is accepted, starts something, or is refused without saying what is wrong.
+// Guards against invalid input that is accepted, starts something, or is refused without naming the invalid field.
 func TestBadInputIsRefused(t *testing.T) {
 	runner := emulator.NewRunner(8, 1)
 	_, base := startServer(t, runner, hclog.NewNullLogger())
-	swap := func(old, new string) string { return strings.Replace(goodJob, old, new, 1) }
+	swap := func(old, new string) string { return strings.Replace(validJob, old, new, 1) }
 	tests := []struct {
 		name   string
 		method string
@@ -124,7 +124,7 @@
 		{"body too large", "POST", "/v1/jobs", swap(`1}`, `1,"echo":"`+strings.Repeat("x", 9000)+`"}`), nil, 413, "body"},
 		{"not JSON", "POST", "/v1/jobs", "{", nil, 400, "body"},
 		{"empty", "POST", "/v1/jobs", "", nil, 400, "body"},
-		{"data after the job", "POST", "/v1/jobs", goodJob + "{}", nil, 400, "body"},
+		{"data after the job", "POST", "/v1/jobs", validJob + "{}", nil, 400, "body"},
 		{"unknown field", "POST", "/v1/jobs", swap(`"kind"`, `"priority":1,"kind"`), nil, 400, "priority"},
 		{"wrong type", "POST", "/v1/jobs", swap(`"demo"`, `7`), nil, 400, "team"},
 		{"kind missing", "POST", "/v1/jobs", swap(`"loop-check"`, `""`), nil, 400, "kind"},
@@ -132,12 +132,12 @@
 		{"name used twice", "POST", "/v1/jobs", swap(`[`, `[{"name":"a"},`), nil, 400, "tasks[1].name"},
 		{"no tasks", "POST", "/v1/jobs", `{"kind":"loop-check","team":"demo","tasks":[]}`, nil, 400, "tasks"},
 		{"timeout out of bounds", "POST", "/v1/jobs", swap(`"tasks"`, `"timeout-ms":0,"tasks"`), nil, 400, "timeout-ms"},
-		{"key too long", "POST", "/v1/jobs", goodJob, []string{keyHeader, strings.Repeat("k", 129)}, 400, keyHeader},
-		{"two keys", "POST", "/v1/jobs", goodJob, []string{keyHeader, "a", keyHeader, "b"}, 400, keyHeader},
+		{"key too long", "POST", "/v1/jobs", validJob, []string{keyHeader, strings.Repeat("k", 129)}, 400, keyHeader},
+		{"two keys", "POST", "/v1/jobs", validJob, []string{keyHeader, "a", keyHeader, "b"}, 400, keyHeader},
 		{"unknown kind", "POST", "/v1/jobs", swap("loop-check", "other"), nil, 404, "kind"},
 		{"unknown team", "POST", "/v1/jobs", swap("demo", "other"), nil, 404, "team"},
 		{"too many tasks for the kind", "POST", "/v1/jobs", swap(`[`, `[{"name":"b"},{"name":"c"},`), nil, 422, "tasks"},
-		{"wrong method", "PUT", "/v1/jobs", goodJob, nil, 405, "method"},
+		{"wrong method", "PUT", "/v1/jobs", validJob, nil, 405, "method"},
 		{"unknown path", "GET", "/v2/jobs", "", nil, 404, "path"},
 	}
 	for _, test := range tests {
@@ -155,7 +155,8 @@
 	is.New(t).Equal(len(runner.Starts()), 0) // nothing started
 }
 
-// Guards against an answer that takes down the process or claims that nothing ran after a fault in a handler.
+// Guards against a panic in a handler that ends the process, and against a response to it which claims that nothing
+// ran.
 func TestPanicIsAnsweredUnknown(t *testing.T) {
 	is := is.New(t)
 	var lines lockedBuffer
@@ -171,7 +172,8 @@
 	is.True(strings.Contains(lines.String(), `"job":"k-1"`)) // the log line names the job
 }
 
-// Guards against a second start: net/http must not send the request again on a stale connection.
+// Guards against a second start: net/http must not send the request again on another connection when the first is
+// stale.
 func TestStaleConnectionStartsOnce(t *testing.T) {
 	is := is.New(t)
 	var starts atomic.Int64
@@ -181,19 +183,19 @@
 			_, _ = io.WriteString(writer, "1")
 			return
 		}
-		// The request arrived on the kept connection; closing it without an answer looks like a stale one.
+		// The request arrived on a reused connection. Closing it without a response makes it look stale.
 		conn, _, _ := writer.(http.Hijacker).Hijack()
 		_ = conn.Close()
 	})
 	_, base := startServer(t, closing, hclog.NewNullLogger())
-	is.Equal(send(t, "POST", base+"/v1/jobs", goodJob).status, 200)
-	reply := send(t, "POST", base+"/v1/jobs", goodJob)
+	is.Equal(send(t, "POST", base+"/v1/jobs", validJob).status, 200)
+	reply := send(t, "POST", base+"/v1/jobs", validJob)
 	is.Equal(reply.status, 502)
 	is.Equal(string(reply.answer.Fates[0].Fate), "unknown")
 	is.Equal(starts.Load(), int64(2)) // one start per job
 }
 
-// Guards against a trace that ends at the instance, and against one that is passed on malformed.
+// Guards against a trace that ends at the instance, and against passing on a malformed traceparent.
 func TestTraceParentReachesTheTarget(t *testing.T) {
 	is := is.New(t)
 	seen := make(chan string, 2)
@@ -202,13 +204,13 @@
 		_, _ = io.WriteString(writer, "1")
 	}), hclog.NewNullLogger())
 	const trace = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
-	send(t, "POST", base+"/v1/jobs", goodJob, "traceparent", trace)
+	send(t, "POST", base+"/v1/jobs", validJob, "traceparent", trace)
 	is.Equal(<-seen, trace)
-	send(t, "POST", base+"/v1/jobs", goodJob, "traceparent", strings.ToUpper(trace))
+	send(t, "POST", base+"/v1/jobs", validJob, "traceparent", strings.ToUpper(trace))
 	is.Equal(<-seen, "")
 }
 
-// lockedBuffer collects log lines that background goroutines of a server may still write while a test reads.
+// lockedBuffer collects log lines that background goroutines of a server may still write while a test reads them.
 type lockedBuffer struct {
 	mu    sync.Mutex
 	lines bytes.Buffer
@@ -221,7 +223,7 @@
 	return buffer.lines.Write(data)
 }
 
-// String returns what was written so far.
+// String returns the data written so far.
 func (buffer *lockedBuffer) String() string {
 	buffer.mu.Lock()
 	defer buffer.mu.Unlock()
--- a/server/status.go
+++ b/server/status.go
@@ -16,11 +16,11 @@
 	Stopping      bool   `json:"stopping"`
 	BundleVersion int64  `json:"bundle-version"`
 	JobsInFlight  int    `json:"jobs-in-flight"`
-	// View is the number of the view in force, -1 if none is known.
+	// View is the number of the view in force, or -1 if none is known.
 	View      int64    `json:"view"`
 	Members   []string `json:"members"`
 	Departing []string `json:"departing"`
-	// Synced says that every slice that this instance owns is served.
+	// Synced means that the instance serves every slice that it owns.
 	Synced  bool `json:"synced"`
 	Records int  `json:"records"`
 }
@@ -37,8 +37,8 @@
 		Incarnation:   server.self.Incarnation,
 		FailureDomain: server.domain(),
 		Ready:         server.ready(),
-		Stopping:      server.drain.started(),
-		JobsInFlight:  server.drain.inFlight(),
+		Stopping:      server.drainer.started(),
+		JobsInFlight:  server.drainer.inFlight(),
 		View:          number,
 		Members:       memberNames(view.Members),
 		Departing:     memberNames(view.Departing),
@@ -59,7 +59,7 @@
 	return names
 }
 
-func (server *Server) handlePrefix(exchange *exchange) {
-	// The prefix that every response carries is the one to show.
+func (server *Server) handleKeyPrefix(exchange *exchange) {
+	// Every response carries the current prefix in a header; return the same one.
 	writeJSON(exchange, http.StatusOK, encoder.ContentTypeJSON, KeyPrefix{Prefix: exchange.Header().Get(prefixHeader)})
 }
--- a/server/submit.go
+++ b/server/submit.go
@@ -16,40 +16,40 @@
 )
 
 const (
-	// notYetPatience covers a hand-over of slices, which takes a few round trips and a read of the log.
-	notYetPatience = time.Second
-	// notYetDelay spaces questions to a keeper that cannot decide yet.
-	notYetDelay = 5 * time.Millisecond
+	// undecidedTimeout covers a handover of slices, which takes a few round trips and a read of the log.
+	undecidedTimeout = time.Second
+	// undecidedRetryDelay is the delay between attempts while the keeper cannot decide.
+	undecidedRetryDelay = 5 * time.Millisecond
 )
 
-// retryAfter is when a retry may help after a refusal without a better estimate.
-const retryAfter = time.Second
+// defaultRetryAfter is the retry time of a refusal for which there is no better estimate.
+const defaultRetryAfter = time.Second
 
-// request is one job on its way to an outcome, from a caller or from another instance.
+// request is a job submitted by a caller or forwarded by another instance.
 type request struct {
 	job         dispatcher.Job
 	bundle      *bundler.Bundle
 	kind        bundler.Kind
 	traceParent string
-	// forwarded says that an instance of the own failure domain took the job for another owner than itself.
+	// forwarded means that another instance of this failure domain forwarded the job.
 	forwarded bool
-	// foreign says that an instance of another failure domain forwarded the job.
+	// foreign means that an instance of another failure domain forwarded the job.
 	foreign bool
-	// origin is the incarnation that the caller sent the job to, if it is not this one.
+	// origin is the incarnation to which the caller sent the job, or empty if it is this one.
 	origin string
-	// grant says whether this instance is to count the answer; forwarding sets it.
+	// grant tells whether this instance may count the answer. Forwarding sets it.
 	grant reporter.Grant
-	// patience is until when a decision that is not possible yet is asked for again; zero before the first.
-	patience time.Time
+	// retryUntil is when to stop retrying while the keeper cannot decide. It is zero before the first attempt.
+	retryUntil time.Time
 }
 
-// submit decides and runs the caller's job and answers with its outcome.
+// submit decides and runs the caller's job and writes its outcome.
 func (server *Server) submit(exchange *exchange) {
 	if exchange.key == "" {
 		exchange.key = server.anonymousKey()
 		exchange.job = exchange.job.WithKey(exchange.key)
 	}
-	// The job goes on when its caller has gone, so that a resubmission finds the answer.
+	// The job continues if its caller disconnects, so that a resubmission finds the answer.
 	ctx := context.WithoutCancel(exchange.request.Context())
 	request := &request{job: exchange.job, bundle: exchange.bundle, traceParent: exchange.traceParent}
 	outcome := server.resolve(ctx, request)
@@ -57,11 +57,11 @@
 	server.countAnswer(exchange, request, outcome)
 }
 
-// vet checks the job against the request's bundle and returns the refusal, if there is one.
-func (request *request) vet() *dispatcher.Refused {
+// validate checks the job against the request's bundle and returns the refusal, or nil.
+func (request *request) validate() *dispatcher.Refused {
 	job := request.job
 	if request.bundle == nil {
-		return newRefusal(dispatcher.ReasonUnavailable, "", "no bundle is in force yet", time.Now().Add(retryAfter))
+		return newRefusal(dispatcher.ReasonUnavailable, "", "no bundle is in force yet", time.Now().Add(defaultRetryAfter))
 	}
 	kind, ok := request.bundle.Kind(job.Kind())
 	if !ok {
@@ -83,7 +83,8 @@
 	return &refused
 }
 
-// resolve returns the job's outcome; it submits again when the slice moves to another owner meanwhile.
+// resolve returns the job's outcome. It submits the job again when the slice has moved to another owner in the
+// meantime.
 func (server *Server) resolve(ctx context.Context, request *request) dispatcher.Outcome {
 	for {
 		outcome := server.attempt(ctx, request)
@@ -96,50 +97,50 @@
 	}
 }
 
-// attempt decides the job once; a nil outcome means that it must be submitted again.
+// attempt decides the job once. A nil outcome means that the job must be submitted again.
 func (server *Server) attempt(ctx context.Context, request *request) dispatcher.Outcome {
 	request.grant = reporter.Own
-	if outcome := server.forwardPlain(ctx, request); outcome != nil {
+	if outcome := server.forwardToHome(ctx, request); outcome != nil {
 		return outcome
 	}
-	if refusal := request.vet(); refusal != nil {
+	if refusal := request.validate(); refusal != nil {
 		return server.refuse(ctx, request, *refusal)
 	}
 	if !server.scheduler.hasTarget(request.kind.Service()) {
 		detail := "kind: the failure domain has no target for the kind"
-		return server.refuse(ctx, request, *newRefusal(dispatcher.ReasonUnavailable, "kind", detail, time.Now().Add(retryAfter)))
+		return server.refuse(ctx, request, *newRefusal(dispatcher.ReasonUnavailable, "kind", detail, time.Now().Add(defaultRetryAfter)))
 	}
-	if !server.scheduler.possible(request.kind) {
+	if !server.scheduler.fitsAnyWorker(request.kind) {
 		detail := "kind: its size is larger than any worker of the failure domain"
 		return server.refuse(ctx, request, *newRefusal(dispatcher.ReasonImpossible, "kind", detail, time.Time{}))
 	}
-	if !server.isFresh(request) {
-		// Another instance decides, or the answer is known or on its way: the job needs no place in the queue.
-		return server.decide(ctx, request, nil, granted{})
+	if !server.wouldStart(request) {
+		// Another instance decides, or the answer is known or pending: the job needs no place in the queue.
+		return server.decide(ctx, request, nil, taskGrant{})
 	}
 	return server.enqueue(ctx, request)
 }
 
-// isFresh says that the job would start here now if it were submitted.
-func (server *Server) isFresh(request *request) bool {
-	decision, waiter := server.find(request.job.Key(), request.forwarded)
+// wouldStart reports whether the job would be started here if it were submitted now.
+func (server *Server) wouldStart(request *request) bool {
+	decision, waiter := server.findJob(request.job.Key(), request.forwarded)
 	if waiter != nil {
-		// The decision on the submission waits for the same confirmation again.
-		server.decider.forget(waiter)
+		// The submission will wait for the same confirmation.
+		server.decider.cancelWait(waiter)
 	}
 	_, fresh := decision.(keeper.Absent)
 	return fresh
 }
 
-// find asks the keeper what is known of the key.
-func (server *Server) find(key string, forwarded bool) (keeper.Decision, *waiter) {
+// findJob asks the keeper what is known about the key.
+func (server *Server) findJob(key string, forwarded bool) (keeper.Decision, *waiter) {
 	return server.decider.decide(key, func() (keeper.Decision, []keeper.Outgoing) {
 		return server.keeper.Find(key, forwarded, time.Now())
 	})
 }
 
-// enqueue waits for the job's first grant and then submits it to the keeper; until then it can be refused
-// truthfully.
+// enqueue waits for the job's first grant before submitting it to the keeper, because until then nothing has started
+// and the job can be refused.
 func (server *Server) enqueue(ctx context.Context, request *request) dispatcher.Outcome {
 	job, refused := server.scheduler.admit(request, time.Now())
 	if refused != nil {
@@ -149,38 +150,38 @@
 	case first := <-job.grants:
 		return server.decide(ctx, request, job, first)
 	case <-job.expired:
-		server.scheduler.leave(job)
+		server.scheduler.remove(job)
 		refusal := dispatcher.NewRefused(dispatcher.ReasonDeadline, "the deadline passed before the job started", "", time.Time{})
 		return server.refuse(ctx, request, refusal)
 	}
 }
 
-// decide submits the job to the keeper; job is nil if it has no place in the queue.
-func (server *Server) decide(ctx context.Context, request *request, job *queued, first granted) dispatcher.Outcome {
+// decide submits the job to the keeper. job is nil if it has no place in the queue.
+func (server *Server) decide(ctx context.Context, request *request, job *queuedJob, first taskGrant) dispatcher.Outcome {
 	submission := request.submission()
 	decision, waiter := server.decider.decide(submission.Key, func() (keeper.Decision, []keeper.Outgoing) {
 		return server.keeper.Submit(submission, time.Now())
 	})
-	start, outcome := server.follow(ctx, request, decision, waiter)
+	start, outcome := server.carryOut(ctx, request, decision, waiter)
 	if start {
 		return server.runGranted(ctx, request, job, first)
 	}
 	if job != nil {
-		server.scheduler.giveBack(first)
-		server.scheduler.leave(job)
+		server.scheduler.returnUnused(first)
+		server.scheduler.remove(job)
 	}
 	return outcome()
 }
 
-// refuse releases the refusal once the keeper has confirmed it, or returns the answer that it has instead.
+// refuse returns the refusal once the keeper has confirmed it, or the outcome that the keeper has instead.
 func (server *Server) refuse(ctx context.Context, request *request, refusal dispatcher.Refused) dispatcher.Outcome {
 	submission := request.submission()
 	decision, waiter := server.decider.decide(submission.Key, func() (keeper.Decision, []keeper.Outgoing) {
 		return server.keeper.Refuse(submission, refusal, time.Now())
 	})
-	start, outcome := server.follow(ctx, request, decision, waiter)
+	start, outcome := server.carryOut(ctx, request, decision, waiter)
 	if start {
-		return server.runGranted(ctx, request, nil, granted{})
+		return server.runGranted(ctx, request, nil, taskGrant{})
 	}
 	return outcome()
 }
@@ -191,15 +192,15 @@
 		Key:      job.Key(),
 		Digest:   job.Digest(),
 		Deadline: job.Deadline(),
-		// A kind that is not known may be one that is not repeatable.
+		// A job of an unknown kind counts as unrepeatable, because the kind may be.
 		Unrepeatable: !request.kind.Repeatable(),
 		Forwarded:    request.forwarded,
 	}
 }
 
-// follow carries out the keeper's decision and reports whether the job must be started now. If not, the outcome is
-// returned as a function, because a forward takes time in which the caller must not hold a place in the queue.
-func (server *Server) follow(ctx context.Context, request *request, decision keeper.Decision, waiter *waiter) (start bool, outcome func() dispatcher.Outcome) {
+// carryOut acts on the keeper's decision and reports whether the job must be started now. If not, it returns a function
+// for the outcome, because a forward takes time and the caller must first give up its place in the queue.
+func (server *Server) carryOut(ctx context.Context, request *request, decision keeper.Decision, waiter *waiter) (start bool, outcome func() dispatcher.Outcome) {
 	answer := func(outcome dispatcher.Outcome) (bool, func() dispatcher.Outcome) {
 		return false, func() dispatcher.Outcome { return outcome }
 	}
@@ -209,50 +210,51 @@
 	case keeper.Answer:
 		return answer(decision.Outcome)
 	case keeper.AnswerLost:
-		return answer(lostAnswer(request.job, decision.Fate))
+		return answer(lostOutcome(request.job, decision.Fate))
 	case keeper.NotYet:
-		return false, func() dispatcher.Outcome { return request.pause(ctx, decision.Outcome) }
+		return false, func() dispatcher.Outcome { return request.waitToRetry(ctx, decision.Outcome) }
 	case keeper.Forward:
 		return false, func() dispatcher.Outcome { return server.forward(ctx, request, decision.To) }
 	case keeper.ForwardDomain:
 		return false, func() dispatcher.Outcome { return server.forwardDomain(ctx, request, decision.Domain) }
 	case keeper.Joined:
-		return false, func() dispatcher.Outcome { return server.await(request, waiter) }
+		return false, func() dispatcher.Outcome { return server.awaitOutcome(request, waiter) }
 	case keeper.AwaitWitness, keeper.AwaitConfirmation:
 		event, ok := server.decider.wait(waiter, request.job.Deadline())
 		if _, granted := event.(keeper.StartGranted); granted {
 			return true, nil
 		}
-		return answer(conclude(event, ok))
+		return answer(eventOutcome(event, ok))
 	default:
-		panic(eris.Errorf("decision type %T is not handled", decision))
+		panic(eris.Errorf("unexpected decision type %T", decision))
 	}
 }
 
-// pause waits before the job is submitted again; it returns the outcome once the patience has ended.
-func (request *request) pause(ctx context.Context, outcome dispatcher.Unknown) dispatcher.Outcome {
+// waitToRetry waits before the job is submitted again. It returns the outcome once the time for retries is over.
+func (request *request) waitToRetry(ctx context.Context, outcome dispatcher.Unknown) dispatcher.Outcome {
 	now := time.Now()
-	if request.patience.IsZero() {
-		request.patience = now.Add(notYetPatience)
+	if request.retryUntil.IsZero() {
+		request.retryUntil = now.Add(undecidedTimeout)
 	}
-	if now.After(request.patience) || now.After(request.job.Deadline()) {
+	if now.After(request.retryUntil) || now.After(request.job.Deadline()) {
 		return outcome
 	}
-	sleeper.For(ctx, notYetDelay)
+	sleeper.For(ctx, undecidedRetryDelay)
 	return nil
 }
 
-// await waits for the end of a job that another request runs.
-func (server *Server) await(request *request, waiter *waiter) dispatcher.Outcome {
+// awaitOutcome waits for the outcome of a job that another request runs.
+func (server *Server) awaitOutcome(request *request, waiter *waiter) dispatcher.Outcome {
 	event, ok := server.decider.wait(waiter, request.job.Deadline())
 	if granted, start := event.(keeper.StartGranted); start {
 		panic(eris.Errorf("the start of job %s was granted to a request that joined it", granted.Key))
 	}
-	return conclude(event, ok)
+	return eventOutcome(event, ok)
 }
 
-// conclude returns the outcome that ends a wait; nil means that the job must be submitted again.
-func conclude(event keeper.Event, ok bool) dispatcher.Outcome {
+// eventOutcome returns the outcome for event, or nil if the job must be submitted again. ok is false if no event
+// arrived.
+func eventOutcome(event keeper.Event, ok bool) dispatcher.Outcome {
 	if !ok {
 		return dispatcher.NewUnknown("no decision was reached by the deadline")
 	}
@@ -267,19 +269,19 @@
 	case keeper.RefusalUnconfirmed:
 		return event.Outcome
 	case keeper.CancelConfirmed:
-		return cancelled()
+		return cancelledRefusal()
 	case keeper.AnswerFound:
 		return event.Outcome
 	case keeper.OutcomeKnown:
 		return event.Outcome
 	default:
-		panic(eris.Errorf("event type %T is not handled", event))
+		panic(eris.Errorf("unexpected event type %T", event))
 	}
 }
 
-// runGranted runs a job whose start record is in place, and stores its outcome. A job without a place in the
-// queue takes one now; if there is none, nothing of it starts.
-func (server *Server) runGranted(ctx context.Context, request *request, job *queued, first granted) dispatcher.Outcome {
+// runGranted runs a job whose start record is written, and stores its outcome. A job without a place in the queue is
+// enqueued now; if it is not admitted, no task is started.
+func (server *Server) runGranted(ctx context.Context, request *request, job *queuedJob, first taskGrant) dispatcher.Outcome {
 	ctx, cancel := context.WithDeadline(ctx, request.job.Deadline())
 	defer cancel()
 	outcome := server.runQueued(ctx, request, job, first)
@@ -287,24 +289,25 @@
 	return outcome
 }
 
-func (server *Server) runQueued(ctx context.Context, request *request, job *queued, first granted) dispatcher.Outcome {
+// runQueued runs the job, which it first enqueues if job is nil.
+func (server *Server) runQueued(ctx context.Context, request *request, job *queuedJob, first taskGrant) dispatcher.Outcome {
 	if job == nil {
 		var refused *limiter.Refused
 		if job, refused = server.scheduler.admit(request, time.Now()); refused != nil {
-			return dispatcher.NewFailed(refused.Detail(), notStarted(request.job))
+			return dispatcher.NewFailed(refused.Detail(), notStartedFates(request.job))
 		}
 		select {
 		case first = <-job.grants:
 		case <-job.expired:
-			server.scheduler.leave(job)
-			return dispatcher.NewFailed("the deadline passed before a task started", notStarted(request.job))
+			server.scheduler.remove(job)
+			return dispatcher.NewFailed("the deadline passed before a task started", notStartedFates(request.job))
 		}
 	}
 	return server.run(ctx, request, job, first)
 }
 
-// lostAnswer returns the answer to a job that started and whose answer nobody has.
-func lostAnswer(job dispatcher.Job, fate dispatcher.Fate) dispatcher.Outcome {
+// lostOutcome returns the outcome of a job that started and whose answer is lost.
+func lostOutcome(job dispatcher.Job, fate dispatcher.Fate) dispatcher.Outcome {
 	detail := "started, outcome unknown"
 	if fate == dispatcher.Finished {
 		detail = "answer lost"
@@ -316,6 +319,7 @@
 	return dispatcher.NewFailed(detail, fates)
 }
 
-func cancelled() dispatcher.Refused {
+// cancelledRefusal returns the outcome of a cancelled job.
+func cancelledRefusal() dispatcher.Refused {
 	return dispatcher.NewRefused(dispatcher.ReasonCancelled, "the job was cancelled before it started", "", time.Time{})
 }
--- a/server/views.go
+++ b/server/views.go
@@ -16,97 +16,97 @@
 
 const (
 	viewStreamPrefix = "views-"
-	// appendTimeout bounds one append of a view; its effect is seen when the stream is read.
+	// appendTimeout bounds one append of a view. Whether it took effect is learned by reading the stream.
 	appendTimeout = 3 * time.Second
-	// maxViewBytes bounds a record of the stream: a view of thousands of members takes some 100 KB.
+	// maxViewBytes bounds a record of the stream. A view of thousands of members takes about 100 KB.
 	maxViewBytes = 4 << 20
 )
 
-// views reads the views of the failure domain from the log and appends proposals.
-type views struct {
+// viewLog reads the views of the failure domain from the log and appends proposals to it.
+type viewLog struct {
 	log     *appender.Appender
 	stream  string
 	decider *decider
 	logger  hclog.Logger
-	// changed is called after each record that brought another view into force.
-	changed func(number int64, view keeper.View)
+	// onChange is called after each record that puts another view in force.
+	onChange func(number int64, view keeper.View)
 
 	mu sync.Mutex
-	// caughtUp says that the stream has been read to its end at least once.
+	// caughtUp is set once the stream has been read to its end.
 	caughtUp bool
-	// trimmed says that the log has dropped records of the stream.
+	// trimmed means that the log has dropped records of the stream.
 	trimmed   bool
 	appending bool
-	// adopted is when the view in force was read.
-	adopted time.Time
-	// period is the number of the last renewal, or of the first view.
-	period int64
+	// adoptedAt is the time at which the view in force was read.
+	adoptedAt time.Time
+	// lastRenewal is the number of the last renewal, or of the first view.
+	lastRenewal int64
 }
 
-func newViews(log *appender.Appender, domain string, decider *decider, logger hclog.Logger, changed func(int64, keeper.View)) *views {
-	return &views{log: log, stream: viewStreamPrefix + domain, decider: decider, logger: logger, changed: changed}
+func newViewLog(log *appender.Appender, domain string, decider *decider, logger hclog.Logger, onChange func(int64, keeper.View)) *viewLog {
+	return &viewLog{log: log, stream: viewStreamPrefix + domain, decider: decider, logger: logger, onChange: onChange}
 }
 
 // follow reads the stream until ctx is done.
-func (views *views) follow(ctx context.Context) {
+func (viewLog *viewLog) follow(ctx context.Context) {
 	var next int64
 	var wait time.Duration
 	opened := false
 	for ctx.Err() == nil {
-		page, err := readLog(ctx, views.log, views.stream, next, wait)
+		page, err := readLog(ctx, viewLog.log, viewLog.stream, next, wait)
 		if err != nil {
-			views.logger.Warn("reading views failed", "error", eris.ToString(err, false))
+			viewLog.logger.Warn("reading views failed", "error", eris.ToString(err, false))
 			sleeper.For(ctx, logRetryDelay)
 			continue
 		}
 		if !opened || page.Earliest > next {
-			views.decider.keeper.OpenLog(page.Earliest)
+			viewLog.decider.keeper.OpenLog(page.Earliest)
 			next, opened = max(next, page.Earliest), true
 		}
 		for _, record := range page.Records {
-			views.read(record)
+			viewLog.readRecord(record)
 			next = record.Offset + 1
 		}
-		views.mu.Lock()
-		views.trimmed = page.Earliest > 0
-		views.caughtUp = views.caughtUp || next >= page.Next
-		views.mu.Unlock()
+		viewLog.mu.Lock()
+		viewLog.trimmed = page.Earliest > 0
+		viewLog.caughtUp = viewLog.caughtUp || next >= page.Next
+		viewLog.mu.Unlock()
 		if next >= page.Next {
-			wait = logWait
+			wait = logPollWait
 		}
 	}
 }
 
-// read passes one record to the keeper.
-func (views *views) read(record appender.Record) {
+// readRecord passes one record to the keeper.
+func (viewLog *viewLog) readRecord(record appender.Record) {
 	var view keeper.View
 	if len(record.Data) > maxViewBytes {
-		views.logger.Error("view record ignored", "offset", record.Offset, "error", "record is too large")
+		viewLog.logger.Error("view record ignored", "offset", record.Offset, "error", "record is too large")
 		return
 	}
 	if err := json.Unmarshal(record.Data, &view); err != nil {
-		views.logger.Error("view record ignored", "offset", record.Offset, "error", err.Error())
+		viewLog.logger.Error("view record ignored", "offset", record.Offset, "error", err.Error())
 		return
 	}
-	before, old := views.decider.keeper.View()
+	before, old := viewLog.decider.keeper.View()
 	now := time.Now()
-	views.decider.apply(views.decider.keeper.Adopt(record.Offset, view, now))
-	number, current := views.decider.keeper.View()
+	viewLog.decider.apply(viewLog.decider.keeper.Adopt(record.Offset, view, now))
+	number, current := viewLog.decider.keeper.View()
 	if number == before {
-		views.logger.Info("view lost the race to an earlier record", "offset", record.Offset, "in-force", number)
+		viewLog.logger.Info("view superseded by an earlier record", "offset", record.Offset, "in-force", number)
 		return
 	}
-	views.mu.Lock()
-	views.adopted = now
+	viewLog.mu.Lock()
+	viewLog.adoptedAt = now
 	if before == keeper.NoView || current.Reset || isRenewal(old, current) {
-		views.period = number
+		viewLog.lastRenewal = number
 	}
-	views.mu.Unlock()
-	views.logger.Info("view in force", "view", number, "members", len(current.Members), "departing", len(current.Departing))
-	views.changed(number, current)
+	viewLog.mu.Unlock()
+	viewLog.logger.Info("view in force", "view", number, "members", len(current.Members), "departing", len(current.Departing))
+	viewLog.onChange(number, current)
 }
 
-// isRenewal says that next only repeats the members.
+// isRenewal reports whether next only repeats the members.
 func isRenewal(before, next keeper.View) bool {
 	if len(next.Departing) > 0 || len(before.Members) != len(next.Members) {
 		return false
@@ -119,48 +119,48 @@
 	return true
 }
 
-// state returns whether the stream has been read to its end, and whether it was trimmed.
-func (views *views) state() (caughtUp, trimmed bool) {
-	views.mu.Lock()
-	defer views.mu.Unlock()
-	return views.caughtUp, views.trimmed
+// state returns whether the stream has been read to its end and whether it was trimmed.
+func (viewLog *viewLog) state() (caughtUp, trimmed bool) {
+	viewLog.mu.Lock()
+	defer viewLog.mu.Unlock()
+	return viewLog.caughtUp, viewLog.trimmed
 }
 
-// renewal returns the view that repeats the members once the view in force is older than age.
-func (views *views) renewal(now time.Time, age time.Duration) (keeper.View, bool) {
-	number, current := views.decider.keeper.View()
-	views.mu.Lock()
-	defer views.mu.Unlock()
-	if number == keeper.NoView || now.Sub(views.adopted) < age {
+// renewal returns a view that repeats the members, if the view in force is older than age.
+func (viewLog *viewLog) renewal(now time.Time, age time.Duration) (keeper.View, bool) {
+	number, current := viewLog.decider.keeper.View()
+	viewLog.mu.Lock()
+	defer viewLog.mu.Unlock()
+	if number == keeper.NoView || now.Sub(viewLog.adoptedAt) < age {
 		return keeper.View{}, false
 	}
-	return keeper.View{Prev: number, Members: current.Members, ExpiryFloor: max(views.period, 0)}, true
+	return keeper.View{Prev: number, Members: current.Members, ExpiryFloor: max(viewLog.lastRenewal, 0)}, true
 }
 
-// propose appends view in the background, unless an append is under way; whether it comes into force shows
-// when the stream is read, also after a lost response.
-func (views *views) propose(ctx context.Context, view keeper.View) {
+// propose appends view in the background, unless an append is in progress. Whether it is put in force is learned by
+// reading the stream, even after a lost response.
+func (viewLog *viewLog) propose(ctx context.Context, view keeper.View) {
 	data, err := json.Marshal(view)
 	if err != nil {
 		panic(eris.Wrap(err, "encoding a view"))
 	}
-	views.mu.Lock()
-	defer views.mu.Unlock()
-	if views.appending {
+	viewLog.mu.Lock()
+	defer viewLog.mu.Unlock()
+	if viewLog.appending {
 		return
 	}
-	views.appending = true
+	viewLog.appending = true
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 		defer cancel()
-		offset, err := views.log.Append(ctx, views.stream, data)
+		offset, err := viewLog.log.Append(ctx, viewLog.stream, data)
 		if err != nil {
-			views.logger.Warn("append of a view without an answer", "error", eris.ToString(err, false))
+			viewLog.logger.Warn("append of a view not confirmed", "error", eris.ToString(err, false))
 		} else {
-			views.logger.Info("view proposed", "view", offset, "previous", view.Prev, "members", len(view.Members), "departing", len(view.Departing), "reset", view.Reset)
+			viewLog.logger.Info("view proposed", "view", offset, "previous", view.Prev, "members", len(view.Members), "departing", len(view.Departing), "reset", view.Reset)
 		}
-		views.mu.Lock()
-		defer views.mu.Unlock()
-		views.appending = false
+		viewLog.mu.Lock()
+		defer viewLog.mu.Unlock()
+		viewLog.appending = false
 	}()
 }
--- a/server/views_test.go
+++ b/server/views_test.go
@@ -15,7 +15,7 @@
 	"github.com/hyssoplift/hyssoplift/emulator"
 )
 
-// Guards against an instance that never reads another view or bundle because one connection to the log went silent.
+// Guards against an instance that reads no further view or bundle because one connection to the log stopped responding.
 func TestSilentConnectionToTheLog(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -34,8 +34,8 @@
 	defer close(silent)
 	client := appender.New(strings.TrimPrefix(server.URL, "http://"))
 	_, err := readLog(context.Background(), client, "views-ahd", 0, 0)
-	is.True(err != nil) // the silent read is given up
+	is.True(err != nil) // the unanswered read is abandoned
 	page, err := readLog(context.Background(), client, "views-ahd", 0, time.Second)
 	is.NoErr(err)
-	is.Equal(len(page.Records), 1) // the next one has a connection of its own
+	is.Equal(len(page.Records), 1) // the next read uses a connection of its own
 }
