--- a/server/dispatch.go
+++ b/server/dispatch.go
@@ -33,8 +33,8 @@
 	failed bool
 }
 
-// run starts each task of the job once, as the scheduler grants them, and returns the complete outcome. The first grant
-// was received before the start record was written.
+// run starts each task of the job once, as the scheduler grants them, and returns the outcome of the whole job. The
+// first grant was received before the start record was written.
 func (server *Server) run(ctx context.Context, request *request, job *queuedJob, first taskGrant) dispatcher.Outcome {
 	defer server.scheduler.remove(job)
 	tasks := request.job.Tasks()
@@ -60,7 +60,7 @@
 // hasMoreToStart reports whether further tasks are to be started.
 func (run *jobRun) hasMoreToStart() bool { return !run.failed && run.started < len(run.results) }
 
-// step waits for the next grant, the end of a task, or the end of the time for the job.
+// step waits for the next grant, the end of a task, or the expiry of the job.
 func (run *jobRun) step(ctx context.Context) {
 	var grants chan taskGrant
 	if run.hasMoreToStart() {
@@ -112,15 +112,15 @@
 // as the retry budget allows.
 func (server *Server) startTask(ctx context.Context, request *request, task dispatcher.Task, taskGrant taskGrant) starter.Result {
 	for {
-		result, learned, size := server.runAt(ctx, request, task, taskGrant.place)
+		result, learned, usage := server.runAt(ctx, request, task, taskGrant.place)
 		_, refused := result.(starter.NotStarted)
 		if !refused || ctx.Err() != nil || !server.scheduler.limiter.Retry(time.Now()) {
-			server.scheduler.release(taskGrant, learned, size)
+			server.scheduler.release(taskGrant, learned, usage)
 			server.scheduler.issueGrants(time.Now())
 			return result
 		}
 		server.meter.retries.Inc()
-		releasePlace(taskGrant.place, learned, size, time.Now())
+		releasePlace(taskGrant.place, learned, usage, time.Now())
 		if !server.pickOtherTarget(ctx, request.kind.Name(), &taskGrant) {
 			server.scheduler.limiter.Release(taskGrant.grant, time.Now())
 			server.scheduler.issueGrants(time.Now())
--- a/server/lookup.go
+++ b/server/lookup.go
@@ -158,11 +158,11 @@
 	var response linker.Response
 	var err error
 	decision := server.homeDecision(key, forwarded || foreign)
-	for patience := time.Now().Add(undecidedTimeout); decision == nil; {
+	for retryUntil := time.Now().Add(undecidedTimeout); decision == nil; {
 		decision, waiter = server.decider.decide(key, func() (keeper.Decision, []keeper.Outgoing) {
 			return server.keeper.Cancel(key, forwarded, time.Now())
 		})
-		if _, early := decision.(keeper.NotYet); early && time.Now().Before(patience) {
+		if _, early := decision.(keeper.NotYet); early && time.Now().Before(retryUntil) {
 			decision = nil
 			sleeper.For(ctx, undecidedRetryDelay)
 		}
--- a/server/membership.go
+++ b/server/membership.go
@@ -116,8 +116,8 @@
 	membership.updateLinks()
 }
 
-// listedMembers returns the listed instances whose incarnation is known from a hello; the list itself does not
-// have it. The caller holds membership.mu.
+// listedMembers returns the listed instances whose incarnation is known from a hello, since the list does not contain
+// incarnations. The caller holds membership.mu.
 func (membership *membership) listedMembers() []watcher.Listed {
 	var members []watcher.Listed
 	for _, instance := range membership.listed {
@@ -189,11 +189,11 @@
 }
 
 func keeperMembers(members ...watcher.Member) []keeper.Member {
-	kept := make([]keeper.Member, len(members))
+	converted := make([]keeper.Member, len(members))
 	for i, member := range members {
-		kept[i] = keeper.Member{Name: member.Name, Incarnation: string(member.Incarnation), Address: member.Address}
+		converted[i] = keeper.Member{Name: member.Name, Incarnation: string(member.Incarnation), Address: member.Address}
 	}
-	return kept
+	return converted
 }
 
 // updateLinks maintains links to the listed instances and to all members of the view.
@@ -248,10 +248,10 @@
 		}
 	}
 	membership.suspected = suspects
-	silent := membership.keeper.Silent(now)
+	unresponsive := membership.keeper.Silent(now)
 	_, view := membership.keeper.View()
 	for _, member := range view.Members {
-		answered := !slices.Contains(silent, member.Incarnation)
+		answered := !slices.Contains(unresponsive, member.Incarnation)
 		membership.watcher.SetSyncAnswered(watcher.Incarnation(member.Incarnation), answered, now)
 	}
 }
--- a/server/place.go
+++ b/server/place.go
@@ -44,12 +44,12 @@
 func (workerPlace) isPlace() {}
 
 // releasePlace releases the place and reports how its task ended to the router or the placer.
-func releasePlace(released place, result router.Result, size placer.Ending, now time.Time) {
+func releasePlace(released place, result router.Result, usage placer.Ending, now time.Time) {
 	switch released := released.(type) {
 	case runnerPlace:
 		released.router.Done(released.choice, result, now)
 	case workerPlace:
-		released.placer.End(released.placed, size, now)
+		released.placer.End(released.placed, usage, now)
 	}
 }
 
@@ -88,8 +88,8 @@
 // runAt runs the task at its place. It returns the result, with what the router and the placer learn from it.
 func (server *Server) runAt(ctx context.Context, request *request, task dispatcher.Task, at place) (starter.Result, router.Result, placer.Ending) {
 	if worker, ok := at.(workerPlace); ok {
-		result, size := server.runOnWorker(ctx, request, task, worker)
-		return result, nil, size
+		result, usage := server.runOnWorker(ctx, request, task, worker)
+		return result, nil, usage
 	}
 	runner := at.(runnerPlace)
 	result := server.starter.Start(ctx, runner.choice.Address(), request.kind.Name(), request.traceParent, task)
@@ -98,17 +98,17 @@
 
 // runOnWorker runs the task on a worker under a lease.
 func (server *Server) runOnWorker(ctx context.Context, request *request, task dispatcher.Task, at workerPlace) (starter.Result, placer.Ending) {
-	switch ending := server.leaser.Run(ctx, at.address, request.kind.Name(), at.placed.Granted(), task).(type) {
+	switch result := server.leaser.Run(ctx, at.address, request.kind.Name(), at.placed.Granted(), task).(type) {
 	case leaser.Completed:
-		return starter.NewSuccess(ending.Result()), ending.Usage()
+		return starter.NewSuccess(result.Result()), result.Usage()
 	case leaser.TaskFailed:
-		return starter.NewTaskFailed(ending.Detail()), ending.Usage()
+		return starter.NewTaskFailed(result.Detail()), result.Usage()
 	case leaser.NotStarted:
-		server.handleRefusal(ctx, at, ending.Leaving())
-		return starter.NewNotStarted(ending.Detail(), ending.Leaving()), placer.Unstarted{}
+		server.handleRefusal(ctx, at, result.Leaving())
+		return starter.NewNotStarted(result.Detail(), result.Leaving()), placer.Unstarted{}
 	case leaser.Lost:
 		// The placer treats a worker that does not respond like one whose tasks fail.
-		return starter.NewLost(ending.Detail()), placer.Failed{}
+		return starter.NewLost(result.Detail()), placer.Failed{}
 	default:
 		panic("unreachable: leaser.Result is sealed")
 	}
--- a/server/scheduler.go
+++ b/server/scheduler.go
@@ -49,9 +49,9 @@
 
 // routingTable is an immutable snapshot of the bundle and of the router or the fleet of workers of each service.
 type routingTable struct {
-	bundle   *bundler.Bundle
-	services map[string]*router.Router
-	fleets   map[string]*workerFleet
+	bundle  *bundler.Bundle
+	routers map[string]*router.Router
+	fleets  map[string]*workerFleet
 }
 
 // newScheduler returns a scheduler that checks deadlines until ctx is done.
@@ -84,7 +84,7 @@
 	scheduler.mu.Lock()
 	defer scheduler.mu.Unlock()
 	before := scheduler.snapshot.Load()
-	next := &routingTable{bundle: bundle, services: make(map[string]*router.Router), fleets: make(map[string]*workerFleet)}
+	next := &routingTable{bundle: bundle, routers: make(map[string]*router.Router), fleets: make(map[string]*workerFleet)}
 	targets := make(map[string][]bundler.Target)
 	for _, target := range bundle.Targets() {
 		if target.FailureDomain() == scheduler.domain {
@@ -101,24 +101,24 @@
 			next.fleets[name] = fleet.update(list)
 			continue
 		}
-		next.services[name] = scheduler.configureRouter(before.services[name], bundle, name, list, now)
+		next.routers[name] = scheduler.configureRouter(before.routers[name], bundle, name, list, now)
 	}
 	scheduler.snapshot.Store(next)
 	scheduler.limiter.Configure(limiterConfig(bundle))
 }
 
 // configureRouter updates the targets and weights of the service's router, and creates the router if there is none.
-func (scheduler *scheduler) configureRouter(chosen *router.Router, bundle *bundler.Bundle, service string, list []bundler.Target, now time.Time) *router.Router {
-	if chosen == nil {
-		chosen = router.New(router.Config{Seed: scheduler.seed(service), Share: scheduler.share()})
+func (scheduler *scheduler) configureRouter(serviceRouter *router.Router, bundle *bundler.Bundle, service string, list []bundler.Target, now time.Time) *router.Router {
+	if serviceRouter == nil {
+		serviceRouter = router.New(router.Config{Seed: scheduler.seed(service), Share: scheduler.share()})
 	}
-	chosen.SetWeights(float64(bundle.Policy().ResponseTimeWeight()), float64(bundle.Policy().WastedMessageWeight()))
+	serviceRouter.SetWeights(float64(bundle.Policy().ResponseTimeWeight()), float64(bundle.Policy().WastedMessageWeight()))
 	targets := make([]router.Target, len(list))
 	for i, target := range list {
 		targets[i] = router.NewTarget(target.Name(), target.Address(), target.Slots(), false)
 	}
-	chosen.Update(targets, now)
-	return chosen
+	serviceRouter.Update(targets, now)
+	return serviceRouter
 }
 
 // seed returns a seed that differs between instances, so that they do not make the same choices.
@@ -151,8 +151,8 @@
 	defer scheduler.mu.Unlock()
 	scheduler.members = members
 	share := scheduler.share()
-	for _, chosen := range scheduler.snapshot.Load().services {
-		chosen.SetShare(share)
+	for _, serviceRouter := range scheduler.snapshot.Load().routers {
+		serviceRouter.SetShare(share)
 	}
 }
 
@@ -174,7 +174,7 @@
 // hasTarget reports whether the failure domain has a target of the service.
 func (scheduler *scheduler) hasTarget(service string) bool {
 	routingTable := scheduler.snapshot.Load()
-	return routingTable.services[service] != nil || routingTable.fleets[service] != nil
+	return routingTable.routers[service] != nil || routingTable.fleets[service] != nil
 }
 
 // fitsAnyWorker reports whether a task of the kind fits on any worker of its service. Runners accept tasks of any size.
@@ -242,12 +242,12 @@
 	if fleet := routingTable.fleets[found.Service()]; fleet != nil {
 		return fleet.place(found, now)
 	}
-	chosen := routingTable.services[found.Service()]
-	if chosen == nil {
+	serviceRouter := routingTable.routers[found.Service()]
+	if serviceRouter == nil {
 		return nil, false
 	}
-	choice, ok := chosen.Pick(kind, now)
-	return runnerPlace{router: chosen, choice: choice}, ok
+	choice, ok := serviceRouter.Pick(kind, now)
+	return runnerPlace{router: serviceRouter, choice: choice}, ok
 }
 
 // notifyExpired notifies queued jobs whose deadline has passed.
@@ -262,9 +262,9 @@
 }
 
 // release ends a granted task.
-func (scheduler *scheduler) release(taskGrant taskGrant, result router.Result, size placer.Ending) {
+func (scheduler *scheduler) release(taskGrant taskGrant, result router.Result, usage placer.Ending) {
 	now := time.Now()
-	releasePlace(taskGrant.place, result, size, now)
+	releasePlace(taskGrant.place, result, usage, now)
 	scheduler.limiter.Release(taskGrant.grant, now)
 }
 
--- a/server/submit.go
+++ b/server/submit.go
@@ -31,7 +31,7 @@
 	bundle      *bundler.Bundle
 	kind        bundler.Kind
 	traceParent string
-	// forwarded means that another instance of this failure domain forwarded the job.
+	// forwarded means that another instance of this failure domain, which does not own the key, forwarded the job.
 	forwarded bool
 	// foreign means that an instance of another failure domain forwarded the job.
 	foreign bool
@@ -128,8 +128,8 @@
 		// The submission will wait for the same confirmation.
 		server.decider.cancelWait(waiter)
 	}
-	_, fresh := decision.(keeper.Absent)
-	return fresh
+	_, absent := decision.(keeper.Absent)
+	return absent
 }
 
 // findJob asks the keeper what is known about the key.
