--- a/executor/news.go
+++ b/executor/news.go
@@ -8,8 +8,8 @@
 	"github.com/hyssoplift/hyssoplift/scheduler"
 )
 
-// News takes what another instance tells.
-func (executor *Executor) News(from string, update linker.StateUpdate) {
+// HandleStateUpdate takes what another instance tells.
+func (executor *Executor) HandleStateUpdate(from string, update linker.StateUpdate) {
 	now := executor.now()
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
@@ -17,25 +17,25 @@
 		executor.claimed(from, claim, now)
 	}
 	for _, id := range update.Withdrawn {
-		executor.scheduler.PeerWithdrew(id.Target, runOf(id), now)
+		executor.scheduler.HandlePeerWithdrawal(id.Target, runOf(id), now)
 	}
 	for _, id := range update.Stops {
-		executor.scheduler.PeerStop(id.Target, runOf(id))
+		executor.scheduler.HandlePeerStop(id.Target, runOf(id))
 	}
 	for _, free := range update.FreeCapacity {
-		size := scheduler.Size{MilliCores: free.MilliCores, MemoryMB: free.MemoryMB, Accelerators: free.Accelerators}
-		executor.scheduler.PeerReported(scheduler.Report{Target: free.Target, Room: size, Lost: free.Unreachable}, now)
+		resources := scheduler.Resources{MilliCores: free.MilliCores, MemoryMB: free.MemoryMB, Accelerators: free.Accelerators}
+		executor.scheduler.HandlePeerReport(scheduler.CapacityReport{Target: free.Target, FreeCapacity: resources, Unreachable: free.Unreachable}, now)
 	}
 	if len(update.Waiting) > 0 {
 		var demand scheduler.Demand
 		copy(demand[:], update.Waiting)
-		executor.scheduler.PeerDemand(from, demand)
+		executor.scheduler.HandlePeerDemand(from, demand)
 	}
 	for _, end := range update.Ends {
 		run := scheduler.Run{Task: end.Task, Attempt: end.Attempt}
-		decoded := scheduler.End{Number: end.Number, Run: run, Cause: scheduler.Cause(end.Cause)}
+		decoded := scheduler.End{Seq: end.Number, Run: run, Cause: scheduler.Cause(end.Cause)}
 		executor.logEnd(end.Target, decoded, executor.self.Incarnation)
-		executor.scheduler.Ended(end.Target, decoded, now)
+		executor.scheduler.HandleEnd(end.Target, decoded, now)
 	}
 	for _, job := range update.Abandoned {
 		executor.abandonForeign(from, job)
@@ -47,13 +47,13 @@
 // claimed takes the claim of another instance, or answers it with the end that is known already.
 func (executor *Executor) claimed(from string, claim linker.Claim, now time.Time) {
 	decoded := scheduler.Claim{
-		Target:   claim.Target,
-		Run:      scheduler.Run{Task: claim.Task, Attempt: claim.Attempt},
-		Size:     scheduler.Size{MilliCores: claim.MilliCores, MemoryMB: claim.MemoryMB, Accelerators: claim.Accelerators},
-		Estimate: time.Duration(claim.EstimateMS) * time.Millisecond,
+		Target:    claim.Target,
+		Run:       scheduler.Run{Task: claim.Task, Attempt: claim.Attempt},
+		Resources: scheduler.Resources{MilliCores: claim.MilliCores, MemoryMB: claim.MemoryMB, Accelerators: claim.Accelerators},
+		Estimate:  time.Duration(claim.EstimateMS) * time.Millisecond,
 	}
-	if end, ended := executor.scheduler.PeerClaimed(from, decoded, now); ended {
-		executor.peers.End(from, claim.Target, end)
+	if end, ended := executor.scheduler.HandlePeerClaim(from, decoded, now); ended {
+		executor.peers.SendRunEnd(from, claim.Target, end)
 		return
 	}
 	executor.wake(claim.Target)
@@ -63,12 +63,12 @@
 	return scheduler.Run{Task: id.Task, Attempt: id.Attempt}
 }
 
-// Gone takes that another instance is not heard of any more.
-func (executor *Executor) Gone(from string) {
+// PeerLost takes that another instance is not heard of any more.
+func (executor *Executor) PeerLost(from string) {
 	executor.logger.Warn("instance is not heard of", "peer", from)
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
-	executor.scheduler.PeerGone(from)
+	executor.scheduler.RemovePeer(from)
 	executor.abandonForeign(from, "")
 	executor.delegateGone(from)
 	executor.settle()
@@ -84,19 +84,19 @@
 
 // assignReaders decides anew who reads each target, if the instances or targets have changed; the caller holds the lock.
 func (executor *Executor) assignReaders(now time.Time) {
-	version := executor.peers.Version()
+	version := executor.peers.PeersVersion()
 	if version == executor.assigned && !executor.reassign {
 		return
 	}
 	executor.assigned, executor.reassign = version, false
-	if delegates := executor.peers.Delegates(); delegates != executor.delegates {
+	if delegates := executor.peers.Delegating(); delegates != executor.delegates {
 		executor.delegates = delegates
 		executor.logger.Info("share of jobs changed", "passes-on", delegates, "weight", executor.self.Weight)
 		if delegates {
 			executor.orderer.CloseIdle()
 		}
 	}
-	staying := executor.peers.Staying()
+	staying := executor.peers.EligiblePeers()
 	for _, looker := range executor.lookers {
 		executor.assignReader(looker, staying, now)
 	}
@@ -119,7 +119,7 @@
 	if looker.reads.Swap(reads) != reads {
 		executor.logger.Debug("reader of target changed", "target", looker.id, "own", reads, "reader", best.Name)
 	}
-	executor.scheduler.Read(looker.id, reads, now)
+	executor.scheduler.SetReader(looker.id, reads, now)
 	executor.wake(looker.id)
 }
 
@@ -142,7 +142,7 @@
 
 // score returns the weighted rendezvous score of an instance for a target.
 func score(target string, instance *linker.Hello) float64 {
-	return -instance.EffectiveWeight() / math.Log(scheduler.Affinity(instance.Incarnation, target))
+	return -instance.EffectiveWeight() / math.Log(scheduler.RendezvousHash(instance.Incarnation, target))
 }
 
 // Leave hands the targets that this instance reads to the others, which hear that it is about to stop. A leaving
--- a/leaser/leaser.go
+++ b/leaser/leaser.go
@@ -62,7 +62,7 @@
 func (completed Completed) Result() json.RawMessage { return completed.status.Result }
 
 // Usage returns what the placer learns about the size of the task.
-func (completed Completed) Usage() placer.Ending { return observedUsage(completed.status) }
+func (completed Completed) Usage() placer.Result { return observedUsage(completed.status) }
 
 // Detail describes the failure.
 func (taskFailed TaskFailed) Detail() string {
@@ -70,7 +70,7 @@
 }
 
 // Usage returns what the placer learns about the size of the task.
-func (taskFailed TaskFailed) Usage() placer.Ending { return observedUsage(taskFailed.status) }
+func (taskFailed TaskFailed) Usage() placer.Result { return observedUsage(taskFailed.status) }
 
 // Detail returns why the task did not start.
 func (notStarted NotStarted) Detail() string { return notStarted.detail }
@@ -82,9 +82,9 @@
 func (lost Lost) Detail() string { return lost.detail }
 
 // observedUsage converts the worker's report to what the placer learns about the size of the task.
-func observedUsage(status LeaseStatus) placer.Ending {
+func observedUsage(status LeaseStatus) placer.Result {
 	if status.Guard != GuardNone {
-		return placer.NewGuarded(status.Peak)
+		return placer.NewResourcesExceeded(status.Peak)
 	}
 	if status.State == Finished {
 		return placer.NewDone(status.Peak)
@@ -119,10 +119,10 @@
 
 // Run starts task on the worker at address under a lease for size, and renews the lease until the task ends or ctx is
 // done. It starts the task at most once.
-func (leaser *Leaser) Run(ctx context.Context, address, kind string, size placer.Size, task dispatcher.Task) Result {
+func (leaser *Leaser) Run(ctx context.Context, address, kind string, resources placer.Resources, task dispatcher.Task) Result {
 	base := fmt.Sprintf("http://%s/leases/%s", address, uuid.NewString())
 	request := LeaseRequest{
-		Kind: kind, Payload: task.Payload(), Size: size,
+		Kind: kind, Payload: task.Payload(), Resources: resources,
 		LeaseMS: leaseDuration.Milliseconds(), WaitMS: renewInterval.Milliseconds(),
 	}
 	first := leaser.exchange(ctx, http.MethodPut, base, request)
--- a/leaser/leaser_test.go
+++ b/leaser/leaser_test.go
@@ -42,14 +42,14 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			worker := emulator.NewWorker(placer.Size{MilliCores: 4000, MemoryMB: 8192})
+			worker := emulator.NewWorker(placer.Resources{MilliCores: 4000, MemoryMB: 8192})
 			worker.SetFault(test.fault)
 			server := httptest.NewServer(worker)
 			defer server.Close()
 			ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 			defer cancel()
-			size := placer.Size{MilliCores: 1000, MemoryMB: 1000}
-			result := leaser.New().Run(ctx, server.Listener.Addr().String(), "plan", size, test.task)
+			resources := placer.Resources{MilliCores: 1000, MemoryMB: 1000}
+			result := leaser.New().Run(ctx, server.Listener.Addr().String(), "plan", resources, test.task)
 			is.Equal(fmt.Sprintf("%T", result), test.want)
 			is.Equal(worker.Starts(), test.starts)
 		})
@@ -63,7 +63,7 @@
 	is.NoErr(err)
 	address := listener.Addr().String()
 	is.NoErr(listener.Close())
-	result := leaser.New().Run(context.Background(), address, "plan", placer.Size{}, task(1, 1))
+	result := leaser.New().Run(context.Background(), address, "plan", placer.Resources{}, task(1, 1))
 	_, ok := result.(leaser.NotStarted)
 	is.True(ok)
 }
@@ -82,7 +82,7 @@
 	})
 	server := httptest.NewServer(handler)
 	defer server.Close()
-	result := leaser.New().Run(context.Background(), server.Listener.Addr().String(), "plan", placer.Size{}, task(1, 1))
+	result := leaser.New().Run(context.Background(), server.Listener.Addr().String(), "plan", placer.Resources{}, task(1, 1))
 	taskFailed, ok := result.(leaser.TaskFailed)
 	is.True(ok)
 	is.Equal(taskFailed.Detail(), "worker reports lapsed: the lease was not renewed")
--- a/leaser/wire.go
+++ b/leaser/wire.go
@@ -40,9 +40,9 @@
 
 // LeaseRequest is the request body of PUT /leases/{id}, which starts a task, and of POST /leases/{id}/renew.
 type LeaseRequest struct {
-	Kind    string          `json:"kind,omitempty"`
-	Payload json.RawMessage `json:"payload,omitempty"`
-	Size    placer.Size     `json:"size"`
+	Kind      string           `json:"kind,omitempty"`
+	Payload   json.RawMessage  `json:"payload,omitempty"`
+	Resources placer.Resources `json:"size"`
 	// LeaseMS is the validity of the lease in milliseconds, counted from when the worker receives the request.
 	LeaseMS int64 `json:"lease-ms"`
 	// WaitMS is the maximum time in milliseconds for which the worker may delay its response while the task runs.
@@ -51,15 +51,15 @@
 
 // LeaseStatus is the response body of a lease request.
 type LeaseStatus struct {
-	State  State           `json:"state"`
-	Guard  GuardAction     `json:"guard,omitempty"`
-	Peak   placer.Size     `json:"peak"`
-	Result json.RawMessage `json:"result,omitempty"`
-	Detail string          `json:"detail,omitempty"`
+	State  State            `json:"state"`
+	Guard  GuardAction      `json:"guard,omitempty"`
+	Peak   placer.Resources `json:"peak"`
+	Result json.RawMessage  `json:"result,omitempty"`
+	Detail string           `json:"detail,omitempty"`
 }
 
 // UsageReport is the response body of GET /usage. It describes the worker as it was AgeMS milliseconds ago.
 type UsageReport struct {
-	Used  placer.Size `json:"used"`
-	AgeMS int64       `json:"age-ms"`
+	Used  placer.Resources `json:"used"`
+	AgeMS int64            `json:"age-ms"`
 }
--- a/linker/codec.go
+++ b/linker/codec.go
@@ -245,7 +245,7 @@
 	texts := []string{delegation.Job, delegation.Route, delegation.Service}
 	for i := range delegation.Steps {
 		step := &delegation.Steps[i]
-		for _, earlier := range step.After {
+		for _, earlier := range step.DependsOn {
 			if earlier < 0 || earlier >= i {
 				return eris.Errorf("step %d of a delegated job depends on step %d, which is not an earlier step", i, earlier)
 			}
--- a/linker/linker_test.go
+++ b/linker/linker_test.go
@@ -89,7 +89,7 @@
 
 // sampleMessages returns one message of every type with its fields set.
 func sampleMessages() []Message {
-	outcome := EncodeOutcome(dispatcher.NewFailed("cut", []dispatcher.TaskFate{{Name: "t", Fate: dispatcher.Finished, Detail: "d"}}), time.Time{})
+	outcome := EncodeOutcome(dispatcher.NewFailed("cut", []dispatcher.TaskFate{{Name: "t", Fate: dispatcher.FateFinished, Detail: "d"}}), time.Time{})
 	return []Message{
 		Hello{Version: 1, Domain: "d", Name: "n", Incarnation: "i", Address: "a:1"},
 		Heartbeat{View: 7, Suspects: []string{"a"}, BundleVersion: 3, Load: 5, Synced: true, Leaving: true},
@@ -123,7 +123,7 @@
 		},
 		Delegation{
 			ID: 1, Job: "j", Route: "r", Service: "s", Body: "b", Priority: 1, MaxFailures: 2, AgeUS: 3, RemainingUS: 4, ObjectiveUS: 5,
-			Steps: []JobStep{{Tasks: []string{"k"}, MilliCores: 1, EstimateUS: 2, Label: "l"}, {Tasks: []string{"m"}, After: []int{0}, PerTarget: 3}},
+			Steps: []JobStep{{Tasks: []string{"k"}, MilliCores: 1, EstimateUS: 2, Label: "l"}, {Tasks: []string{"m"}, DependsOn: []int{0}, MaxPerTarget: 3}},
 		},
 		DelegationAnswer{ID: 1, Job: "j", Outcome: outcome},
 		part{Last: true, Data: []byte{1}},
--- a/linker/message.go
+++ b/linker/message.go
@@ -229,10 +229,10 @@
 	MemoryMB     int64
 	Accelerators int64
 	// EstimateUS is the declared run time of a task in microseconds.
-	EstimateUS int64
-	After      []int
-	Label      string
-	PerTarget  int
+	EstimateUS   int64
+	DependsOn    []int
+	Label        string
+	MaxPerTarget int
 }
 
 // Delegation asks an instance to run a job on behalf of the sender's caller.
--- a/server/decider.go
+++ b/server/decider.go
@@ -64,7 +64,7 @@
 			case <-ctx.Done():
 				return
 			case now := <-ticker.C:
-				decider.apply(decider.keeper.Expire(now))
+				decider.apply(decider.keeper.HandleDeadlines(now))
 			}
 		}
 	}()
@@ -193,7 +193,7 @@
 			// be finished here.
 			decider.finish(event.Key, dispatcher.NewFailed("the start record was acknowledged too late, nothing was started", nil))
 		}
-	case keeper.AttemptLost:
+	case keeper.AttemptFailed:
 		decider.notify(event.Key, event.Ticket, event)
 	case keeper.RefusalConfirmed:
 		decider.notify(event.Key, event.Ticket, event)
@@ -201,7 +201,7 @@
 		decider.notify(event.Key, event.Ticket, event)
 	case keeper.CancelConfirmed:
 		decider.notify(event.Key, event.Ticket, event)
-	case keeper.AnswerFound:
+	case keeper.RefusalSuperseded:
 		decider.notify(event.Key, event.Ticket, event)
 	case keeper.OutcomeKnown:
 		decider.notifyAll(event)
--- a/server/dispatch.go
+++ b/server/dispatch.go
@@ -114,7 +114,7 @@
 	for {
 		result, learned, usage := server.runAt(ctx, request, task, taskGrant.place)
 		_, refused := result.(starter.NotStarted)
-		if !refused || ctx.Err() != nil || !server.scheduler.limiter.Retry(time.Now()) {
+		if !refused || ctx.Err() != nil || !server.scheduler.limiter.AllowRetry(time.Now()) {
 			server.scheduler.release(taskGrant, learned, usage)
 			server.scheduler.issueGrants(time.Now())
 			return result
@@ -166,7 +166,7 @@
 			finished = append(finished, dispatcher.TaskResult{Name: job.Tasks()[i].Name(), Result: success.Result()})
 		}
 	}
-	server.meter.fates[dispatcher.Finished].Add(len(finished))
+	server.meter.fates[dispatcher.FateFinished].Add(len(finished))
 	if len(finished) == len(results) {
 		return dispatcher.NewComplete(finished)
 	}
@@ -174,14 +174,14 @@
 	for i, result := range results {
 		switch result := result.(type) {
 		case starter.Success:
-			fates[i].Fate = dispatcher.Finished
+			fates[i].Fate = dispatcher.FateFinished
 			continue
 		case starter.NotStarted:
 			fates[i].Detail = result.Detail()
 		case starter.TaskFailed:
-			fates[i].Fate, fates[i].Detail = dispatcher.TaskFailed, result.Detail()
+			fates[i].Fate, fates[i].Detail = dispatcher.FateFailed, result.Detail()
 		case starter.Lost:
-			fates[i].Fate, fates[i].Detail = dispatcher.OutcomeUnknown, result.Detail()
+			fates[i].Fate, fates[i].Detail = dispatcher.FateUnknown, result.Detail()
 		}
 		server.meter.fates[fates[i].Fate].Inc()
 	}
@@ -192,7 +192,7 @@
 func notStartedFates(job dispatcher.Job) []dispatcher.TaskFate {
 	fates := make([]dispatcher.TaskFate, len(job.Tasks()))
 	for i, task := range job.Tasks() {
-		fates[i] = dispatcher.TaskFate{Name: task.Name(), Fate: dispatcher.NotStarted}
+		fates[i] = dispatcher.TaskFate{Name: task.Name(), Fate: dispatcher.FateNotStarted}
 	}
 	return fates
 }
--- a/server/forward.go
+++ b/server/forward.go
@@ -136,7 +136,7 @@
 		origin:      forward.Origin,
 	}
 	outcome := server.resolve(context.Background(), request)
-	server.meter.forwards[dispatcher.ClassOf(outcome)].Inc()
+	server.meter.forwards[dispatcher.OutcomeClass(outcome)].Inc()
 	answer := linker.ForwardAnswer{
 		ID: forward.ID, Key: forward.Key, Outcome: linker.EncodeOutcome(outcome, time.Now()), CountGranted: server.grantCount(request),
 	}
@@ -144,7 +144,7 @@
 	if _, complete := outcome.(dispatcher.Complete); complete && err != nil {
 		// An answer above the size limit of links cannot be sent. The sender then learns at least that the tasks
 		// finished.
-		answer.Outcome = linker.EncodeOutcome(lostOutcome(request.job, dispatcher.Finished), time.Now())
+		answer.Outcome = linker.EncodeOutcome(lostOutcome(request.job, dispatcher.FateFinished), time.Now())
 		err = server.linker.Send(from.Incarnation, answer)
 	}
 	if err != nil {
--- a/server/lookup.go
+++ b/server/lookup.go
@@ -80,7 +80,7 @@
 		return stateAnswered, decision.Outcome
 	case keeper.AnswerLost:
 		return stateAnswered, dispatcher.NewFailed("the job started and its answer is lost", nil)
-	case keeper.NotYet:
+	case keeper.RetryLater:
 		return stateAnswered, decision.Outcome
 	case keeper.AwaitWitness, keeper.AwaitConfirmation:
 		deadline, _ := ctx.Deadline()
@@ -162,7 +162,7 @@
 		decision, waiter = server.decider.decide(key, func() (keeper.Decision, []keeper.Outgoing) {
 			return server.keeper.Cancel(key, forwarded, time.Now())
 		})
-		if _, early := decision.(keeper.NotYet); early && time.Now().Before(retryUntil) {
+		if _, early := decision.(keeper.RetryLater); early && time.Now().Before(retryUntil) {
 			decision = nil
 			sleeper.For(ctx, undecidedRetryDelay)
 		}
@@ -170,9 +170,9 @@
 	switch decision := decision.(type) {
 	case keeper.Answer:
 		return cancelResult(decision.Outcome)
-	case keeper.TooLate, keeper.AnswerLost:
+	case keeper.AlreadyStarted, keeper.AnswerLost:
 		return resultTooLate
-	case keeper.NotYet:
+	case keeper.RetryLater:
 		return resultUnknown
 	case keeper.AwaitWitness, keeper.AwaitConfirmation, keeper.Joined:
 		deadline, _ := ctx.Deadline()
@@ -217,7 +217,7 @@
 		return cancelResult(event.Refusal)
 	case keeper.OutcomeKnown:
 		return cancelResult(event.Outcome)
-	case keeper.AnswerFound:
+	case keeper.RefusalSuperseded:
 		return cancelResult(event.Outcome)
 	default:
 		return resultUnknown
--- a/server/membership.go
+++ b/server/membership.go
@@ -24,7 +24,7 @@
 	listInterval = time.Second
 	// takeoverDelay is how long every member of the view must be gone before an instance outside the view proposes the
 	// next one. It lets candidates connect to each other, so that they join the same view.
-	takeoverDelay = 2 * watcher.SuspicionPeriod
+	takeoverDelay = 2 * watcher.SuspicionTimeout
 	// maxKnownPeers bounds the number of instances whose hellos and heartbeats are remembered.
 	maxKnownPeers = 4096
 )
@@ -112,20 +112,20 @@
 	membership.listed, membership.listRead = instances, true
 	listed := membership.listedMembers()
 	membership.mu.Unlock()
-	membership.watcher.SetList(listed, time.Now())
+	membership.watcher.SetInstanceList(listed, time.Now())
 	membership.updateLinks()
 }
 
 // listedMembers returns the listed instances whose incarnation is known from a hello, since the list does not contain
 // incarnations. The caller holds membership.mu.
-func (membership *membership) listedMembers() []watcher.Listed {
-	var members []watcher.Listed
+func (membership *membership) listedMembers() []watcher.ListedInstance {
+	var members []watcher.ListedInstance
 	for _, instance := range membership.listed {
 		leaving := instance.State == lister.Leaving
 		if instance.Address == membership.self.Address {
-			members = append(members, watcher.Listed{Member: membership.self, Leaving: leaving})
+			members = append(members, watcher.ListedInstance{Member: membership.self, Leaving: leaving})
 		} else if hello, ok := membership.known[instance.Address]; ok {
-			members = append(members, watcher.Listed{Member: helloMember(hello), Leaving: leaving})
+			members = append(members, watcher.ListedInstance{Member: helloMember(hello), Leaving: leaving})
 		}
 	}
 	return members
@@ -148,7 +148,7 @@
 	listed, listRead := membership.listedMembers(), membership.listRead
 	membership.mu.Unlock()
 	if listRead {
-		membership.watcher.SetList(listed, time.Now())
+		membership.watcher.SetInstanceList(listed, time.Now())
 	}
 }
 
@@ -164,11 +164,11 @@
 	}
 	membership.mu.Lock()
 	if len(membership.lastHeartbeat) >= maxKnownPeers {
-		maps.DeleteFunc(membership.lastHeartbeat, func(_ string, last lastHeartbeat) bool { return now.Sub(last.at) >= watcher.SuspicionPeriod })
+		maps.DeleteFunc(membership.lastHeartbeat, func(_ string, last lastHeartbeat) bool { return now.Sub(last.at) >= watcher.SuspicionTimeout })
 	}
 	membership.lastHeartbeat[from.Incarnation] = lastHeartbeat{at: now, view: heartbeat.View}
 	membership.mu.Unlock()
-	membership.watcher.Hear(watcher.Heartbeat{From: helloMember(from), View: heartbeat.View, Suspects: suspects, Leaving: heartbeat.Leaving}, now)
+	membership.watcher.ReceiveHeartbeat(watcher.Heartbeat{From: helloMember(from), View: heartbeat.View, Suspects: suspects, Leaving: heartbeat.Leaving}, now)
 }
 
 // setView passes a view in force to the watcher and updates the links.
@@ -244,11 +244,11 @@
 	for restored := range membership.suspected {
 		if !suspects[restored] {
 			membership.logger.Info("suspicion is revoked", "incarnation", restored)
-			membership.keeper.Restore(restored)
+			membership.keeper.ClearSuspicion(restored)
 		}
 	}
 	membership.suspected = suspects
-	unresponsive := membership.keeper.Silent(now)
+	unresponsive := membership.keeper.UnresponsiveMembers(now)
 	_, view := membership.keeper.View()
 	for _, member := range view.Members {
 		answered := !slices.Contains(unresponsive, member.Incarnation)
@@ -271,7 +271,7 @@
 	membership.mu.Unlock()
 	if adopted && number > membership.adoptedByAll {
 		membership.adoptedByAll = number
-		membership.keeper.Accounted(number, now)
+		membership.keeper.SetAdoptedByAll(number, now)
 	}
 }
 
@@ -310,7 +310,7 @@
 	membership.mu.Lock()
 	defer membership.mu.Unlock()
 	for _, last := range membership.lastHeartbeat {
-		if now.Sub(last.at) < watcher.SuspicionPeriod {
+		if now.Sub(last.at) < watcher.SuspicionTimeout {
 			return true
 		}
 	}
@@ -324,7 +324,7 @@
 	rank := slices.IndexFunc(view.Members, func(member keeper.Member) bool {
 		return member.Incarnation == string(membership.self.Incarnation)
 	})
-	return membership.retention + time.Duration(rank)*watcher.SuspicionPeriod, rank >= 0
+	return membership.retention + time.Duration(rank)*watcher.SuspicionTimeout, rank >= 0
 }
 
 // takeover returns the view that replaces one whose members are all gone, or the first view of an instance that has no
@@ -351,7 +351,7 @@
 	}
 	for address, hello := range membership.known {
 		listed := slices.ContainsFunc(membership.listed, func(instance lister.Instance) bool { return instance.Address == address })
-		if listed && now.Sub(membership.lastHeartbeat[hello.Incarnation].at) < watcher.SuspicionPeriod {
+		if listed && now.Sub(membership.lastHeartbeat[hello.Incarnation].at) < watcher.SuspicionTimeout {
 			self = append(self, keeperMembers(helloMember(hello))...)
 		}
 	}
@@ -362,7 +362,7 @@
 // period. The caller holds membership.mu.
 func (membership *membership) anyMemberPresent(view keeper.View, now time.Time) bool {
 	return slices.ContainsFunc(slices.Concat(view.Members, view.Departing), func(member keeper.Member) bool {
-		if last, ok := membership.lastHeartbeat[member.Incarnation]; ok && now.Sub(last.at) < watcher.SuspicionPeriod {
+		if last, ok := membership.lastHeartbeat[member.Incarnation]; ok && now.Sub(last.at) < watcher.SuspicionTimeout {
 			return true
 		}
 		return slices.ContainsFunc(membership.listed, func(instance lister.Instance) bool {
@@ -378,7 +378,7 @@
 	defer membership.mu.Unlock()
 	var recent []string
 	for incarnation, last := range membership.lastHeartbeat {
-		if now.Sub(last.at) < watcher.SuspicionPeriod {
+		if now.Sub(last.at) < watcher.SuspicionTimeout {
 			recent = append(recent, incarnation)
 		}
 	}
--- a/server/place.go
+++ b/server/place.go
@@ -44,12 +44,12 @@
 func (workerPlace) isPlace() {}
 
 // releasePlace releases the place and reports how its task ended to the router or the placer.
-func releasePlace(released place, result router.Result, usage placer.Ending, now time.Time) {
+func releasePlace(released place, result router.Result, usage placer.Result, now time.Time) {
 	switch released := released.(type) {
 	case runnerPlace:
 		released.router.Done(released.choice, result, now)
 	case workerPlace:
-		released.placer.End(released.placed, usage, now)
+		released.placer.Release(released.placed, usage, now)
 	}
 }
 
@@ -68,7 +68,7 @@
 	next := &workerFleet{placer: fleet.placer, addresses: make(map[string]string, len(targets))}
 	list := make([]placer.Worker, len(targets))
 	for i, target := range targets {
-		list[i] = placer.NewWorker(target.Name(), target.Rack(), target.Size())
+		list[i] = placer.NewWorker(target.Name(), target.Rack(), target.Resources())
 		next.addresses[target.Name()] = target.Address()
 	}
 	fleet.placer.Update(list)
@@ -78,7 +78,7 @@
 // place reserves capacity for a task of the kind, preferably on the rack of the previous one: the tasks of a job are
 // placed one after another, and a job on a single rack is affected by fewer rack failures.
 func (fleet *workerFleet) place(kind bundler.Kind, now time.Time) (place, bool) {
-	placed, ok := fleet.placer.Place(kind.Name(), kind.Size(), fleet.placer.LastRack(kind.Name()), now).(placer.Placed)
+	placed, ok := fleet.placer.Place(kind.Name(), kind.Resources(), fleet.placer.LastRack(kind.Name()), now).(placer.Placed)
 	if !ok {
 		return nil, false
 	}
@@ -86,7 +86,7 @@
 }
 
 // runAt runs the task at its place. It returns the result, with what the router and the placer learn from it.
-func (server *Server) runAt(ctx context.Context, request *request, task dispatcher.Task, at place) (starter.Result, router.Result, placer.Ending) {
+func (server *Server) runAt(ctx context.Context, request *request, task dispatcher.Task, at place) (starter.Result, router.Result, placer.Result) {
 	if worker, ok := at.(workerPlace); ok {
 		result, usage := server.runOnWorker(ctx, request, task, worker)
 		return result, nil, usage
@@ -97,7 +97,7 @@
 }
 
 // runOnWorker runs the task on a worker under a lease.
-func (server *Server) runOnWorker(ctx context.Context, request *request, task dispatcher.Task, at workerPlace) (starter.Result, placer.Ending) {
+func (server *Server) runOnWorker(ctx context.Context, request *request, task dispatcher.Task, at workerPlace) (starter.Result, placer.Result) {
 	switch result := server.leaser.Run(ctx, at.address, request.kind.Name(), at.placed.Granted(), task).(type) {
 	case leaser.Completed:
 		return starter.NewSuccess(result.Result()), result.Usage()
@@ -105,7 +105,7 @@
 		return starter.NewTaskFailed(result.Detail()), result.Usage()
 	case leaser.NotStarted:
 		server.handleRefusal(ctx, at, result.Leaving())
-		return starter.NewNotStarted(result.Detail(), result.Leaving()), placer.Unstarted{}
+		return starter.NewNotStarted(result.Detail(), result.Leaving()), placer.NotStarted{}
 	case leaser.Lost:
 		// The placer treats a worker that does not respond like one whose tasks fail.
 		return starter.NewLost(result.Detail()), placer.Failed{}
@@ -119,15 +119,15 @@
 func (server *Server) handleRefusal(ctx context.Context, at workerPlace, leaving bool) {
 	name, now := at.placed.Worker().Name(), time.Now()
 	if leaving {
-		at.placer.Close(name, now.Add(leavingSuspension))
+		at.placer.Suspend(name, now.Add(leavingSuspension))
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, usageTimeout)
 	defer cancel()
 	report, err := server.leaser.Usage(ctx, at.address)
 	if err != nil {
-		at.placer.Close(name, now.Add(usageValidity))
+		at.placer.Suspend(name, now.Add(usageValidity))
 		return
 	}
-	at.placer.Report(name, report.Used, now.Add(usageValidity))
+	at.placer.ReportUsage(name, report.Used, now.Add(usageValidity))
 }
--- a/server/scheduler.go
+++ b/server/scheduler.go
@@ -131,13 +131,13 @@
 // limiterConfig returns the limits of the kinds and teams in bundle.
 func limiterConfig(bundle *bundler.Bundle) limiter.Config {
 	config := limiter.Config{
-		Kinds:               make(map[string]limiter.Kind),
+		Kinds:               make(map[string]limiter.KindLimits),
 		TeamQuotas:          make(map[string]int),
 		ResponseTimeWeight:  float64(bundle.Policy().ResponseTimeWeight()),
 		WastedMessageWeight: float64(bundle.Policy().WastedMessageWeight()),
 	}
 	for _, kind := range bundle.Kinds() {
-		config.Kinds[kind.Name()] = limiter.Kind{MaxTasks: kind.MaxTasks(), MaxInFlight: kind.MaxInFlight(), RunTime: kind.RunTime()}
+		config.Kinds[kind.Name()] = limiter.KindLimits{MaxTasks: kind.MaxTasks(), MaxInFlight: kind.MaxInFlight(), RunTime: kind.RunTime()}
 	}
 	for _, team := range bundle.Teams() {
 		config.TeamQuotas[team.Name()] = team.MaxInFlight()
@@ -180,7 +180,7 @@
 // fitsAnyWorker reports whether a task of the kind fits on any worker of its service. Runners accept tasks of any size.
 func (scheduler *scheduler) fitsAnyWorker(kind bundler.Kind) bool {
 	fleet := scheduler.snapshot.Load().fleets[kind.Service()]
-	return fleet == nil || fleet.placer.Possible(kind.Size())
+	return fleet == nil || fleet.placer.FitsAnyWorker(kind.Resources())
 }
 
 // admit submits the job to the limiter. It returns the refusal, or the admitted job, which then receives its grants.
@@ -192,7 +192,7 @@
 	case limiter.Refused:
 		scheduler.mu.Unlock()
 		return nil, &decision
-	case limiter.Run:
+	case limiter.Runnable:
 		admitted.ticket = decision.Ticket()
 	case limiter.Queued:
 		admitted.ticket = decision.Ticket()
@@ -262,7 +262,7 @@
 }
 
 // release ends a granted task.
-func (scheduler *scheduler) release(taskGrant taskGrant, result router.Result, usage placer.Ending) {
+func (scheduler *scheduler) release(taskGrant taskGrant, result router.Result, usage placer.Result) {
 	now := time.Now()
 	releasePlace(taskGrant.place, result, usage, now)
 	scheduler.limiter.Release(taskGrant.grant, now)
@@ -270,7 +270,7 @@
 
 // returnUnused releases a grant whose task was not started.
 func (scheduler *scheduler) returnUnused(unused taskGrant) {
-	scheduler.release(unused, router.Unused{}, placer.Unstarted{})
+	scheduler.release(unused, router.Unused{}, placer.NotStarted{})
 }
 
 // remove removes the job: pending tasks are dropped and unused grants are returned.
--- a/server/submit.go
+++ b/server/submit.go
@@ -211,7 +211,7 @@
 		return answer(decision.Outcome)
 	case keeper.AnswerLost:
 		return answer(lostOutcome(request.job, decision.Fate))
-	case keeper.NotYet:
+	case keeper.RetryLater:
 		return false, func() dispatcher.Outcome { return request.waitToRetry(ctx, decision.Outcome) }
 	case keeper.Forward:
 		return false, func() dispatcher.Outcome { return server.forward(ctx, request, decision.To) }
@@ -259,7 +259,7 @@
 		return dispatcher.NewUnknown("no decision was reached by the deadline")
 	}
 	switch event := event.(type) {
-	case keeper.AttemptLost:
+	case keeper.AttemptFailed:
 		if event.Resubmit {
 			return nil
 		}
@@ -270,7 +270,7 @@
 		return event.Outcome
 	case keeper.CancelConfirmed:
 		return cancelledRefusal()
-	case keeper.AnswerFound:
+	case keeper.RefusalSuperseded:
 		return event.Outcome
 	case keeper.OutcomeKnown:
 		return event.Outcome
@@ -309,7 +309,7 @@
 // lostOutcome returns the outcome of a job that started and whose answer is lost.
 func lostOutcome(job dispatcher.Job, fate dispatcher.Fate) dispatcher.Outcome {
 	detail := "started, outcome unknown"
-	if fate == dispatcher.Finished {
+	if fate == dispatcher.FateFinished {
 		detail = "answer lost"
 	}
 	fates := make([]dispatcher.TaskFate, len(job.Tasks()))
--- a/server/views.go
+++ b/server/views.go
@@ -60,7 +60,7 @@
 			continue
 		}
 		if !opened || page.Earliest > next {
-			viewLog.decider.keeper.OpenLog(page.Earliest)
+			viewLog.decider.keeper.SetEarliestOffset(page.Earliest)
 			next, opened = max(next, page.Earliest), true
 		}
 		for _, record := range page.Records {
