--- a/leaser/leaser.go
+++ b/leaser/leaser.go
@@ -61,7 +61,7 @@
 // Result returns the JSON value that the task returned.
 func (completed Completed) Result() json.RawMessage { return completed.status.Result }
 
-// Usage returns what the placer learns about the size of the task.
+// Usage returns the result that the placer needs to learn the resources of the task.
 func (completed Completed) Usage() placer.Result { return observedUsage(completed.status) }
 
 // Detail describes the failure.
@@ -69,7 +69,7 @@
 	return fmt.Sprintf("worker reports %s: %s", taskFailed.status.State, taskFailed.status.Detail)
 }
 
-// Usage returns what the placer learns about the size of the task.
+// Usage returns the result that the placer needs to learn the resources of the task.
 func (taskFailed TaskFailed) Usage() placer.Result { return observedUsage(taskFailed.status) }
 
 // Detail returns why the task did not start.
@@ -81,7 +81,7 @@
 // Detail describes the last error seen when contacting the worker.
 func (lost Lost) Detail() string { return lost.detail }
 
-// observedUsage converts the worker's report to what the placer learns about the size of the task.
+// observedUsage converts the worker's report to a result for the placer.
 func observedUsage(status LeaseStatus) placer.Result {
 	if status.Guard != GuardNone {
 		return placer.NewResourcesExceeded(status.Peak)
@@ -117,8 +117,8 @@
 	err  error
 }
 
-// Run starts task on the worker at address under a lease for size, and renews the lease until the task ends or ctx is
-// done. It starts the task at most once.
+// Run starts task on the worker at address under a lease for resources, and renews the lease until the task ends or ctx
+// is done. It starts the task at most once.
 func (leaser *Leaser) Run(ctx context.Context, address, kind string, resources placer.Resources, task dispatcher.Task) Result {
 	base := fmt.Sprintf("http://%s/leases/%s", address, uuid.NewString())
 	request := LeaseRequest{
--- a/leaser/wire.go
+++ b/leaser/wire.go
@@ -17,13 +17,13 @@
 	Finished State = "finished"
 	// Failed means that the task ended with an error.
 	Failed State = "failed"
-	// Stopped means that the worker stopped the task because it exceeded its size.
+	// Stopped means that the worker stopped the task because it exceeded its resources.
 	Stopped State = "stopped"
 	// Lapsed means that the lease expired and the worker stopped the task.
 	Lapsed State = "lapsed"
 )
 
-// GuardAction is the action that the worker took on a task that exceeded its size.
+// GuardAction is the action that the worker took on a task that exceeded its resources.
 type GuardAction string
 
 // Guard actions.
--- a/linker/link.go
+++ b/linker/link.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// write sends one frame. A peer that accepts no data for the I/O timeout is considered down.
+// write sends one frame. A peer that accepts no data within the I/O timeout is considered unresponsive.
 func (link *link) write(ctx context.Context, frame []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, link.limits.IOTimeout)
 	defer cancel()
@@ -192,7 +192,8 @@
 	return eris.Wrap(err, "receiving a frame")
 }
 
-// monitor pings the peer while it sends nothing, and ends the link if the ping is not answered or the link is idle.
+// monitor pings the peer while nothing is received from it. It ends the link if a ping is not answered or the link is
+// idle.
 func (link *link) monitor(ctx context.Context) error {
 	ticker := time.NewTicker(link.limits.PingInterval)
 	defer ticker.Stop()
@@ -205,7 +206,8 @@
 				_ = link.conn.Close(websocket.StatusNormalClosure, "link is idle")
 				return eris.New("link is idle")
 			}
-			// Any frame, such as a heartbeat, proves that the peer is alive, so only silent peers are pinged.
+			// Any frame, such as a heartbeat, proves that the peer is alive, so a peer is only pinged while it sends
+			// nothing.
 			if now.Sub(time.Unix(0, link.lastReceived.Load())) < link.limits.PingInterval {
 				continue
 			}
--- a/linker/linker.go
+++ b/linker/linker.go
@@ -30,7 +30,7 @@
 	// QueueMessages and QueueBytes bound the send queue of one link.
 	QueueMessages int
 	QueueBytes    int
-	// PingInterval is how long a link may be silent before the peer is pinged.
+	// PingInterval is how long a link may receive nothing before the peer is pinged.
 	PingInterval time.Duration
 	// IOTimeout bounds the response to a ping, the handshake, and a write.
 	IOTimeout time.Duration
--- a/linker/message.go
+++ b/linker/message.go
@@ -154,7 +154,7 @@
 	Record  []byte `cbor:"record,omitempty"`
 }
 
-// Claim announces that the sender starts a run on a target, with the resources that the run uses there.
+// Claim announces to the reader of a target that the sender starts a run there, with the resources that the run uses.
 type Claim struct {
 	_            struct{} `cbor:",toarray"`
 	Target       string
@@ -173,7 +173,7 @@
 	Target  string
 	Task    string
 	Attempt int64
-	// Number is the sequence number that the target gives to the ends of its runs.
+	// Number is the sequence number of the run end at its target.
 	Number int64
 	// Cause is a scheduler.Cause.
 	Cause int64
@@ -187,26 +187,28 @@
 	Attempt int64
 }
 
-// FreeCapacity is the free capacity of a target as known to its reader, the instance that polls the target.
+// FreeCapacity is the free capacity of a target as known to its reader, the instance that polls the target and renews
+// its lease.
 type FreeCapacity struct {
 	_            struct{} `cbor:",toarray"`
 	Target       string
 	MilliCores   int64
 	MemoryMB     int64
 	Accelerators int64
-	// Unreachable means that the target does not respond to its reader, which therefore no longer renews its lease.
+	// Unreachable means that the target does not respond to its reader, which therefore no longer renews the target's
+	// lease.
 	Unreachable bool
 }
 
 // StateUpdate reports what an instance did and observed on the targets since its last update.
 type StateUpdate struct {
 	// Claims, Withdrawn and Stops are sent to the reader of their targets: runs that the sender starts, claims that it
-	// withdraws because the runs do not use their targets, and runs that it asks the reader to stop because it cannot
-	// do so itself.
+	// withdraws because the runs do not use their targets, and runs that the reader is to stop because the sender
+	// cannot.
 	Claims    []Claim `cbor:"claims,omitempty"`
 	Withdrawn []RunID `cbor:"withdrawn,omitempty"`
 	Stops     []RunID `cbor:"stops,omitempty"`
-	// Abandoned lists jobs that the receiver runs for callers of the sender and that those callers no longer need.
+	// Abandoned lists delegated jobs that the callers of the sender no longer need. It is sent to the delegate.
 	Abandoned []string `cbor:"abandoned,omitempty"`
 	// Ends is sent to the owner of the runs.
 	Ends []RunEnd `cbor:"ends,omitempty"`
@@ -229,13 +231,14 @@
 	MemoryMB     int64
 	Accelerators int64
 	// EstimateUS is the declared run time of a task in microseconds.
-	EstimateUS   int64
+	EstimateUS int64
+	// DependsOn lists the indexes of the earlier steps on which this one depends.
 	DependsOn    []int
 	Label        string
 	MaxPerTarget int
 }
 
-// Delegation asks an instance to run a job on behalf of the sender's caller.
+// Delegation asks the receiver, the delegate, to run a job for a caller of the sender, its origin.
 type Delegation struct {
 	ID          uint64    `cbor:"id"`
 	Job         string    `cbor:"job"`
--- a/server/dispatch.go
+++ b/server/dispatch.go
@@ -10,7 +10,7 @@
 	"github.com/hyssoplift/hyssoplift/starter"
 )
 
-// retryDelay is the delay between attempts to find another target for a task that a target refused.
+// retryDelay is the delay between attempts to find another target for a task that a target rejected.
 const retryDelay = 5 * time.Millisecond
 
 // taskEnd is the result of one task.
@@ -112,15 +112,15 @@
 // as the retry budget allows.
 func (server *Server) startTask(ctx context.Context, request *request, task dispatcher.Task, taskGrant taskGrant) starter.Result {
 	for {
-		result, learned, usage := server.runAt(ctx, request, task, taskGrant.place)
-		_, refused := result.(starter.NotStarted)
-		if !refused || ctx.Err() != nil || !server.scheduler.limiter.AllowRetry(time.Now()) {
-			server.scheduler.release(taskGrant, learned, usage)
+		result, routerResult, placerResult := server.runAt(ctx, request, task, taskGrant.place)
+		_, rejected := result.(starter.NotStarted)
+		if !rejected || ctx.Err() != nil || !server.scheduler.limiter.AllowRetry(time.Now()) {
+			server.scheduler.release(taskGrant, routerResult, placerResult)
 			server.scheduler.issueGrants(time.Now())
 			return result
 		}
 		server.meter.retries.Inc()
-		releasePlace(taskGrant.place, learned, usage, time.Now())
+		releasePlace(taskGrant.place, routerResult, placerResult, time.Now())
 		if !server.pickOtherTarget(ctx, request.kind.Name(), &taskGrant) {
 			server.scheduler.limiter.Release(taskGrant.grant, time.Now())
 			server.scheduler.issueGrants(time.Now())
--- a/server/membership.go
+++ b/server/membership.go
@@ -304,7 +304,7 @@
 	}
 }
 
-// anyPeerHeardRecently reports whether a heartbeat arrived within the suspicion period. A reset is only allowed in a
+// anyPeerHeardRecently reports whether a heartbeat arrived within the suspicion timeout. A reset is only allowed in a
 // failure domain without live instances.
 func (membership *membership) anyPeerHeardRecently(now time.Time) bool {
 	membership.mu.Lock()
@@ -359,7 +359,7 @@
 }
 
 // anyMemberPresent reports whether a member of the view is still listed or sent a heartbeat within the suspicion
-// period. The caller holds membership.mu.
+// timeout. The caller holds membership.mu.
 func (membership *membership) anyMemberPresent(view keeper.View, now time.Time) bool {
 	return slices.ContainsFunc(slices.Concat(view.Members, view.Departing), func(member keeper.Member) bool {
 		if last, ok := membership.lastHeartbeat[member.Incarnation]; ok && now.Sub(last.at) < watcher.SuspicionTimeout {
@@ -372,7 +372,7 @@
 	})
 }
 
-// recentlyHeard returns the incarnations of this failure domain that sent a heartbeat within the suspicion period.
+// recentlyHeard returns the incarnations of this failure domain that sent a heartbeat within the suspicion timeout.
 func (membership *membership) recentlyHeard(now time.Time) []string {
 	membership.mu.Lock()
 	defer membership.mu.Unlock()
--- a/server/place.go
+++ b/server/place.go
@@ -44,12 +44,12 @@
 func (workerPlace) isPlace() {}
 
 // releasePlace releases the place and reports how its task ended to the router or the placer.
-func releasePlace(released place, result router.Result, usage placer.Result, now time.Time) {
+func releasePlace(released place, result router.Result, placerResult placer.Result, now time.Time) {
 	switch released := released.(type) {
 	case runnerPlace:
 		released.router.Done(released.choice, result, now)
 	case workerPlace:
-		released.placer.Release(released.placed, usage, now)
+		released.placer.Release(released.placed, placerResult, now)
 	}
 }
 
@@ -88,8 +88,8 @@
 // runAt runs the task at its place. It returns the result, with what the router and the placer learn from it.
 func (server *Server) runAt(ctx context.Context, request *request, task dispatcher.Task, at place) (starter.Result, router.Result, placer.Result) {
 	if worker, ok := at.(workerPlace); ok {
-		result, usage := server.runOnWorker(ctx, request, task, worker)
-		return result, nil, usage
+		result, placerResult := server.runOnWorker(ctx, request, task, worker)
+		return result, nil, placerResult
 	}
 	runner := at.(runnerPlace)
 	result := server.starter.Start(ctx, runner.choice.Address(), request.kind.Name(), request.traceParent, task)
@@ -104,7 +104,7 @@
 	case leaser.TaskFailed:
 		return starter.NewTaskFailed(result.Detail()), result.Usage()
 	case leaser.NotStarted:
-		server.handleRefusal(ctx, at, result.Leaving())
+		server.handleRejection(ctx, at, result.Leaving())
 		return starter.NewNotStarted(result.Detail(), result.Leaving()), placer.NotStarted{}
 	case leaser.Lost:
 		// The placer treats a worker that does not respond like one whose tasks fail.
@@ -114,9 +114,9 @@
 	}
 }
 
-// handleRefusal suspends a worker that is leaving, and asks one without free capacity for its usage. Usage is requested
-// only then, because polling every worker would cost more messages than the refusals that it avoids.
-func (server *Server) handleRefusal(ctx context.Context, at workerPlace, leaving bool) {
+// handleRejection suspends a worker that is leaving, and asks one without free capacity for its usage. Usage is
+// requested only then, because polling every worker would cost more messages than the rejected starts that it avoids.
+func (server *Server) handleRejection(ctx context.Context, at workerPlace, leaving bool) {
 	name, now := at.placed.Worker().Name(), time.Now()
 	if leaving {
 		at.placer.Suspend(name, now.Add(leavingSuspension))
--- a/server/place_test.go
+++ b/server/place_test.go
@@ -52,7 +52,7 @@
 		starts  int
 	}{
 		{"complete", [2]emulator.WorkerFault{emulator.WorkerHealthy, emulator.WorkerHealthy}, 100, 6, 200, "complete", 6},
-		{"more tasks than room", [2]emulator.WorkerFault{emulator.WorkerHealthy, emulator.WorkerHealthy}, 100, 20, 200, "complete", 20},
+		{"more tasks than free capacity", [2]emulator.WorkerFault{emulator.WorkerHealthy, emulator.WorkerHealthy}, 100, 20, 200, "complete", 20},
 		{"one worker leaves", [2]emulator.WorkerFault{emulator.WorkerLeaving, emulator.WorkerHealthy}, 100, 4, 200, "complete", 4},
 		{"responses to starts are lost", [2]emulator.WorkerFault{emulator.WorkerLosesAnswers, emulator.WorkerLosesAnswers}, 100, 4, 200, "complete", 4},
 		{"tasks fail", [2]emulator.WorkerFault{emulator.WorkerFailing, emulator.WorkerFailing}, 100, 1, 502, "failed", 1},
--- a/server/scheduler.go
+++ b/server/scheduler.go
@@ -177,7 +177,7 @@
 	return routingTable.routers[service] != nil || routingTable.fleets[service] != nil
 }
 
-// fitsAnyWorker reports whether a task of the kind fits on any worker of its service. Runners accept tasks of any size.
+// fitsAnyWorker reports whether a task of the kind fits on any worker of its service. Runners accept every task.
 func (scheduler *scheduler) fitsAnyWorker(kind bundler.Kind) bool {
 	fleet := scheduler.snapshot.Load().fleets[kind.Service()]
 	return fleet == nil || fleet.placer.FitsAnyWorker(kind.Resources())
@@ -262,9 +262,9 @@
 }
 
 // release ends a granted task.
-func (scheduler *scheduler) release(taskGrant taskGrant, result router.Result, usage placer.Result) {
+func (scheduler *scheduler) release(taskGrant taskGrant, result router.Result, placerResult placer.Result) {
 	now := time.Now()
-	releasePlace(taskGrant.place, result, usage, now)
+	releasePlace(taskGrant.place, result, placerResult, now)
 	scheduler.limiter.Release(taskGrant.grant, now)
 }
 
