--- a/server/bench_test.go
+++ b/server/bench_test.go
@@ -72,8 +72,8 @@
 	return direct, entry
 }
 
-// callersWithWitness is like callers, but submits jobs under issued keys to one of three instances, so that each start record
-// goes to a witness.
+// callersWithWitness is like callers, but submits jobs under issued keys to one of three instances, so that each start
+// record goes to a witness.
 func callersWithWitness(tb testing.TB) (direct, entry caller) {
 	runner := emulator.NewRunner(64, 1)
 	_, bases := startDomains(tb, runner)
--- a/server/place.go
+++ b/server/place.go
@@ -63,7 +63,7 @@
 	return &workerFleet{placer: placer.New(rand.New(rand.NewPCG(seed, seed)))}
 }
 
-// update returns the fleet with the given targets. Reservations and learned sizes are kept.
+// update returns the fleet with the given targets. Reservations and learned resources are kept.
 func (fleet *workerFleet) update(targets []bundler.Target) *workerFleet {
 	next := &workerFleet{placer: fleet.placer, addresses: make(map[string]string, len(targets))}
 	list := make([]placer.Worker, len(targets))
--- a/server/server.go
+++ b/server/server.go
@@ -177,26 +177,26 @@
 
 // handler returns the HTTP handler of all paths.
 func (server *Server) handler() http.Handler {
-	outer := func(last handler, filters ...filter) handler {
+	withCommonFilters := func(last handler, filters ...filter) handler {
 		common := []filter{server.recoverPanics, server.logRequests, server.setHeaders, server.readTraceParent}
 		return chain(last, append(common, filters...)...)
 	}
 	mux := http.NewServeMux()
 	mux.Handle(linker.Path, server.linker)
 	mux.Handle("/v1/jobs", methods{
-		http.MethodPost: outer(server.submit, server.limitBody, server.decodeJob, server.snapshotBundle, server.trackJobs),
+		http.MethodPost: withCommonFilters(server.submit, server.limitBody, server.decodeJob, server.snapshotBundle, server.trackJobs),
 	})
 	mux.Handle("/v1/jobs/{key}", methods{
-		http.MethodGet:    outer(server.handleLookup, server.readKey),
-		http.MethodDelete: outer(server.handleCancel, server.readKey),
+		http.MethodGet:    withCommonFilters(server.handleLookup, server.readKey),
+		http.MethodDelete: withCommonFilters(server.handleCancel, server.readKey),
 	})
-	mux.Handle("/v1/key-prefix", methods{http.MethodGet: outer(server.handleKeyPrefix)})
-	mux.Handle("/v1/status", methods{http.MethodGet: outer(server.handleStatus)})
-	mux.Handle("/healthz", methods{http.MethodGet: outer(func(exchange *exchange) { exchange.WriteHeader(http.StatusNoContent) })})
-	mux.Handle("/readyz", methods{http.MethodGet: outer(server.handleReady)})
-	mux.Handle("/metrics", methods{http.MethodGet: outer(func(exchange *exchange) { server.meter.write(exchange) })})
-	mux.Handle("/v1/burn", methods{http.MethodGet: outer(server.handleBurn())})
-	notFound := outer(server.handleNotFound)
+	mux.Handle("/v1/key-prefix", methods{http.MethodGet: withCommonFilters(server.handleKeyPrefix)})
+	mux.Handle("/v1/status", methods{http.MethodGet: withCommonFilters(server.handleStatus)})
+	mux.Handle("/healthz", methods{http.MethodGet: withCommonFilters(func(exchange *exchange) { exchange.WriteHeader(http.StatusNoContent) })})
+	mux.Handle("/readyz", methods{http.MethodGet: withCommonFilters(server.handleReady)})
+	mux.Handle("/metrics", methods{http.MethodGet: withCommonFilters(func(exchange *exchange) { server.meter.write(exchange) })})
+	mux.Handle("/v1/burn", methods{http.MethodGet: withCommonFilters(server.handleBurn())})
+	notFound := withCommonFilters(server.handleNotFound)
 	mux.HandleFunc("/", func(writer http.ResponseWriter, request *http.Request) {
 		notFound(&exchange{ResponseWriter: writer, request: request, received: time.Now()})
 	})
