--- a/executor/delegation.go
+++ b/executor/delegation.go
@@ -56,7 +56,7 @@
 	if tasks > maxDelegatedTasks {
 		return "", false
 	}
-	staying := executor.peers.Staying()
+	staying := executor.peers.EligiblePeers()
 	near := make([]linker.Hello, 0, len(staying))
 	for _, peer := range staying {
 		if peer.Domain == executor.self.Domain && executor.peers.Reachable(peer.Incarnation) {
@@ -176,8 +176,8 @@
 	executor.abandoned = kept
 }
 
-// Delegated runs a job for another instance; it returns at once.
-func (executor *Executor) Delegated(from string, request linker.Delegation) {
+// HandleDelegation runs a job for another instance; it returns at once.
+func (executor *Executor) HandleDelegation(from string, request linker.Delegation) {
 	job := decodeJob(&request, executor.now())
 	key := foreignJob{from, job.ID}
 	ctx, cancel := context.WithCancel(executor.ctx)
@@ -202,7 +202,7 @@
 		}
 		executor.mu.Unlock()
 		message := linker.DelegationAnswer{ID: request.ID, Job: job.ID, Outcome: linker.EncodeOutcome(outcome, executor.now())}
-		if err := executor.peers.Answer(from, message); err != nil {
+		if err := executor.peers.AnswerDelegation(from, message); err != nil {
 			executor.logger.Warn("outcome cannot be sent to the job's origin", "job", job.ID, "origin", from, "error", eris.ToString(err, false))
 		}
 	})
@@ -233,8 +233,8 @@
 	for i := range job.Steps {
 		step := &job.Steps[i]
 		steps[i] = linker.JobStep{
-			Tasks: step.Tasks, MilliCores: step.Size.MilliCores, MemoryMB: step.Size.MemoryMB, Accelerators: step.Size.Accelerators,
-			EstimateUS: step.Estimate.Microseconds(), After: step.After, Label: step.Label, PerTarget: step.PerTarget,
+			Tasks: step.Tasks, MilliCores: step.Resources.MilliCores, MemoryMB: step.Resources.MemoryMB, Accelerators: step.Resources.Accelerators,
+			EstimateUS: step.Estimate.Microseconds(), After: step.DependsOn, Label: step.Label, PerTarget: step.MaxPerTarget,
 		}
 	}
 	return linker.Delegation{
@@ -249,8 +249,8 @@
 	for i := range request.Steps {
 		step := &request.Steps[i]
 		steps[i] = scheduler.Step{
-			Tasks: step.Tasks, Size: scheduler.Size{MilliCores: step.MilliCores, MemoryMB: step.MemoryMB, Accelerators: step.Accelerators},
-			Estimate: time.Duration(step.EstimateUS) * time.Microsecond, After: step.After, Label: step.Label, PerTarget: step.PerTarget,
+			Tasks: step.Tasks, Resources: scheduler.Resources{MilliCores: step.MilliCores, MemoryMB: step.MemoryMB, Accelerators: step.Accelerators},
+			Estimate: time.Duration(step.EstimateUS) * time.Microsecond, DependsOn: step.After, Label: step.Label, MaxPerTarget: step.PerTarget,
 		}
 	}
 	return scheduler.Job{
--- a/executor/meter.go
+++ b/executor/meter.go
@@ -33,7 +33,7 @@
 }
 
 // count counts the outcome of a job that this instance ran or refused.
-func (meter *meter) count(answer scheduler.Answer) {
+func (meter *meter) count(answer scheduler.AnswerJob) {
 	labels := `outcome="` + dispatcher.ClassOf(answer.Outcome) + `"`
 	if refused, ok := answer.Outcome.(dispatcher.Refused); ok {
 		labels += `,reason="` + string(refused.Reason()) + `"`
@@ -62,7 +62,7 @@
 			return float64(value())
 		}
 	}
-	meter.set.NewGauge("hyssoplift_jobs_active", read(executor.scheduler.Active))
+	meter.set.NewGauge("hyssoplift_jobs_active", read(executor.scheduler.ActiveJobs))
 	meter.set.NewGauge("hyssoplift_tasks_waiting", read(func() int {
 		demand := executor.scheduler.Demand()
 		return int(demand[0] + demand[1] + demand[2] + demand[3])
--- a/executor/news.go
+++ b/executor/news.go
@@ -8,8 +8,8 @@
 	"github.com/hyssoplift/hyssoplift/scheduler"
 )
 
-// News takes what another instance tells.
-func (executor *Executor) News(from string, news linker.News) {
+// HandleNews takes what another instance tells.
+func (executor *Executor) HandleNews(from string, news linker.News) {
 	now := executor.now()
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
@@ -17,25 +17,25 @@
 		executor.claimed(from, claim, now)
 	}
 	for _, name := range news.Withdrawn {
-		executor.scheduler.PeerWithdrew(name.Target, runOf(name), now)
+		executor.scheduler.HandlePeerWithdrawal(name.Target, runOf(name), now)
 	}
 	for _, name := range news.Stops {
-		executor.scheduler.PeerStop(name.Target, runOf(name))
+		executor.scheduler.HandlePeerStop(name.Target, runOf(name))
 	}
 	for _, room := range news.Rooms {
-		size := scheduler.Size{MilliCores: room.MilliCores, MemoryMB: room.MemoryMB, Accelerators: room.Accelerators}
-		executor.scheduler.PeerReported(scheduler.Report{Target: room.Target, Room: size, Lost: room.Lost}, now)
+		resources := scheduler.Resources{MilliCores: room.MilliCores, MemoryMB: room.MemoryMB, Accelerators: room.Accelerators}
+		executor.scheduler.HandlePeerReport(scheduler.CapacityReport{Target: room.Target, FreeCapacity: resources, Unreachable: room.Lost}, now)
 	}
 	if len(news.Waiting) > 0 {
 		var demand scheduler.Demand
 		copy(demand[:], news.Waiting)
-		executor.scheduler.PeerDemand(from, demand)
+		executor.scheduler.HandlePeerDemand(from, demand)
 	}
 	for _, end := range news.Ends {
 		run := scheduler.Run{Task: end.Task, Attempt: end.Attempt}
-		decoded := scheduler.End{Number: end.Number, Run: run, Cause: scheduler.Cause(end.Cause)}
+		decoded := scheduler.End{Seq: end.Number, Run: run, Cause: scheduler.Cause(end.Cause)}
 		executor.logEnd(end.Target, decoded, executor.self.Incarnation)
-		executor.scheduler.Ended(end.Target, decoded, now)
+		executor.scheduler.HandleEnd(end.Target, decoded, now)
 	}
 	for _, job := range news.Abandoned {
 		executor.abandonForeign(from, job)
@@ -47,13 +47,13 @@
 // claimed takes the claim of another instance, or answers it with the end that is known already.
 func (executor *Executor) claimed(from string, claim linker.Claim, now time.Time) {
 	decoded := scheduler.Claim{
-		Target:   claim.Target,
-		Run:      scheduler.Run{Task: claim.Task, Attempt: claim.Attempt},
-		Size:     scheduler.Size{MilliCores: claim.MilliCores, MemoryMB: claim.MemoryMB, Accelerators: claim.Accelerators},
-		Estimate: time.Duration(claim.EstimateMS) * time.Millisecond,
+		Target:    claim.Target,
+		Run:       scheduler.Run{Task: claim.Task, Attempt: claim.Attempt},
+		Resources: scheduler.Resources{MilliCores: claim.MilliCores, MemoryMB: claim.MemoryMB, Accelerators: claim.Accelerators},
+		Estimate:  time.Duration(claim.EstimateMS) * time.Millisecond,
 	}
-	if end, ended := executor.scheduler.PeerClaimed(from, decoded, now); ended {
-		executor.peers.End(from, claim.Target, end)
+	if end, ended := executor.scheduler.HandlePeerClaim(from, decoded, now); ended {
+		executor.peers.SendRunEnd(from, claim.Target, end)
 		return
 	}
 	executor.wake(claim.Target)
@@ -63,12 +63,12 @@
 	return scheduler.Run{Task: name.Task, Attempt: name.Attempt}
 }
 
-// Gone takes that another instance is not heard of any more.
-func (executor *Executor) Gone(from string) {
+// PeerLost takes that another instance is not heard of any more.
+func (executor *Executor) PeerLost(from string) {
 	executor.logger.Warn("instance is not heard of", "peer", from)
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
-	executor.scheduler.PeerGone(from)
+	executor.scheduler.RemovePeer(from)
 	executor.abandonForeign(from, "")
 	executor.delegateGone(from)
 	executor.settle()
@@ -84,19 +84,19 @@
 
 // assignReaders decides anew who reads each target, if the instances or targets have changed; the caller holds the lock.
 func (executor *Executor) assignReaders(now time.Time) {
-	version := executor.peers.Version()
+	version := executor.peers.PeersVersion()
 	if version == executor.assigned && !executor.reassign {
 		return
 	}
 	executor.assigned, executor.reassign = version, false
-	if delegates := executor.peers.Delegates(); delegates != executor.delegates {
+	if delegates := executor.peers.Delegating(); delegates != executor.delegates {
 		executor.delegates = delegates
 		executor.logger.Info("share of jobs changed", "passes-on", delegates, "weight", executor.self.Weight)
 		if delegates {
 			executor.orderer.CloseIdle()
 		}
 	}
-	staying := executor.peers.Staying()
+	staying := executor.peers.EligiblePeers()
 	for _, looker := range executor.lookers {
 		executor.assignReader(looker, staying, now)
 	}
@@ -119,7 +119,7 @@
 	if looker.reads.Swap(reads) != reads {
 		executor.logger.Debug("reader of target changed", "target", looker.id, "own", reads, "reader", best.Name)
 	}
-	executor.scheduler.Read(looker.id, reads, now)
+	executor.scheduler.SetReader(looker.id, reads, now)
 	executor.wake(looker.id)
 }
 
@@ -142,7 +142,7 @@
 
 // score returns the weighted rendezvous score of an instance for a target.
 func score(target string, instance *linker.Hello) float64 {
-	return -instance.Share() / math.Log(scheduler.Affinity(instance.Incarnation, target))
+	return -instance.Share() / math.Log(scheduler.RendezvousHash(instance.Incarnation, target))
 }
 
 // Leave hands the targets that this instance reads to the others, which hear that it is about to stop. A leaving
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -22,9 +22,9 @@
 	minReportTime = 4 * time.Millisecond
 	// heartbeatTime is how often an instance is heard of without news.
 	heartbeatTime = 120 * time.Millisecond
-	// SilenceTime is how long an instance may not be heard of before it counts as gone: four heartbeats. Its runs are
+	// PeerTimeout is how long an instance may not be heard of before it counts as gone: four heartbeats. Its runs are
 	// stopped then, well before a caller that it lost sends its job again.
-	SilenceTime = 500 * time.Millisecond
+	PeerTimeout = 500 * time.Millisecond
 	// pauseTime is how late a heartbeat must be to show that this instance itself stood still.
 	pauseTime = 300 * time.Millisecond
 	// forgetTime is how long an instance that is gone stays known.
@@ -33,12 +33,12 @@
 
 // Receiver takes what other instances tell.
 type Receiver interface {
-	// News takes the news of one instance.
-	News(from string, news linker.News)
-	// Gone takes that an instance is not heard of any more.
-	Gone(from string)
-	// Delegated takes a job to run for another instance, and must not block.
-	Delegated(from string, delegation linker.Delegation)
+	// HandleNews takes the news of one instance.
+	HandleNews(from string, news linker.News)
+	// PeerLost takes that an instance is not heard of any more.
+	PeerLost(from string)
+	// HandleDelegation takes a job to run for another instance, and must not block.
+	HandleDelegation(from string, delegation linker.Delegation)
 	// LinkEnded takes that a link to an instance has ended; there may be another one.
 	LinkEnded(from string)
 }
@@ -72,9 +72,9 @@
 	direct map[string]*linker.News
 	urgent bool
 	// reports and demand are broadcast next.
-	reports map[string]scheduler.Report
+	reports map[string]scheduler.CapacityReport
 	// farReports are broadcast next to other failure domains, and farSent is when they were last.
-	farReports map[string]scheduler.Report
+	farReports map[string]scheduler.CapacityReport
 	farSent    time.Time
 	demand     scheduler.Demand
 	busy       bool
@@ -100,8 +100,8 @@
 		wake:       make(chan struct{}, 1),
 		changed:    make(chan struct{}, 1),
 		direct:     make(map[string]*linker.News),
-		reports:    make(map[string]scheduler.Report),
-		farReports: make(map[string]scheduler.Report),
+		reports:    make(map[string]scheduler.CapacityReport),
+		farReports: make(map[string]scheduler.CapacityReport),
 		ticked:     now(),
 		peers:      make(map[string]*peer),
 	}
@@ -110,8 +110,8 @@
 	return gossiper
 }
 
-// Use sets the links to send on; it is called once, before the first member is known.
-func (gossiper *Gossiper) Use(links *linker.Linker) {
+// SetLinks sets the links to send on; it is called once, before the first member is known.
+func (gossiper *Gossiper) SetLinks(links *linker.Linker) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	gossiper.links = links
@@ -150,7 +150,7 @@
 	news := gossiper.to(reader, false)
 	news.Claims = append(news.Claims, linker.Claim{
 		Target: claim.Target, Task: claim.Run.Task, Attempt: claim.Run.Attempt,
-		MilliCores: claim.Size.MilliCores, MemoryMB: claim.Size.MemoryMB, Accelerators: claim.Size.Accelerators,
+		MilliCores: claim.Resources.MilliCores, MemoryMB: claim.Resources.MemoryMB, Accelerators: claim.Resources.Accelerators,
 		EstimateMS: claim.Estimate.Milliseconds(),
 	})
 }
@@ -171,13 +171,13 @@
 	news.Stops = append(news.Stops, linker.RunName{Target: target, Task: run.Task, Attempt: run.Attempt})
 }
 
-// End tells the owner of a run of its end, at once, since a caller waits for it.
-func (gossiper *Gossiper) End(owner, target string, end scheduler.End) {
+// SendRunEnd tells the owner of a run of its end, at once, since a caller waits for it.
+func (gossiper *Gossiper) SendRunEnd(owner, target string, end scheduler.End) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	news := gossiper.to(owner, true)
 	news.Ends = append(news.Ends, linker.RunEnd{
-		Target: target, Task: end.Run.Task, Attempt: end.Run.Attempt, Number: end.Number, Cause: int64(end.Cause),
+		Target: target, Task: end.Run.Task, Attempt: end.Run.Attempt, Number: end.Seq, Cause: int64(end.Cause),
 	})
 }
 
@@ -198,9 +198,9 @@
 	return links.Call(ctx, incarnation, request)
 }
 
-// Answer sends the outcome of a delegated job to the instance that asked for it; if that fails, the link has ended and
+// AnswerDelegation sends the outcome of a delegated job to the instance that asked for it; if that fails, the link has ended and
 // the instance no longer waits.
-func (gossiper *Gossiper) Answer(incarnation string, answer linker.DelegationAnswer) error {
+func (gossiper *Gossiper) AnswerDelegation(incarnation string, answer linker.DelegationAnswer) error {
 	links := gossiper.linked()
 	if links == nil {
 		return linker.ErrNoLink
@@ -215,23 +215,23 @@
 }
 
 // Offer tells one instance at once of the room of a target.
-func (gossiper *Gossiper) Offer(to, target string, room scheduler.Size) {
+func (gossiper *Gossiper) Offer(to, target string, room scheduler.Resources) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	news := gossiper.to(to, true)
-	news.Rooms = append(news.Rooms, newRoom(scheduler.Report{Target: target, Room: room}))
+	news.Rooms = append(news.Rooms, newRoom(scheduler.CapacityReport{Target: target, FreeCapacity: room}))
 }
 
 // Report tells all instances of the room of a target.
-func (gossiper *Gossiper) Report(report scheduler.Report) {
+func (gossiper *Gossiper) Report(report scheduler.CapacityReport) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	gossiper.reports[report.Target], gossiper.farReports[report.Target] = report, report
 	poke(gossiper.changed)
 }
 
-// Waiting tells all instances how many tasks wait, and whether this instance has any jobs of its own.
-func (gossiper *Gossiper) Waiting(demand scheduler.Demand, busy bool) {
+// SetDemand tells all instances how many tasks wait, and whether this instance has any jobs of its own.
+func (gossiper *Gossiper) SetDemand(demand scheduler.Demand, busy bool) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	// Only an instance that passes its jobs on is treated by whether it is busy.
@@ -242,10 +242,10 @@
 	}
 }
 
-func newRoom(report scheduler.Report) linker.Room {
-	room := report.Room
+func newRoom(report scheduler.CapacityReport) linker.Room {
+	room := report.FreeCapacity
 	return linker.Room{
-		Target: report.Target, MilliCores: room.MilliCores, MemoryMB: room.MemoryMB, Accelerators: room.Accelerators, Lost: report.Lost,
+		Target: report.Target, MilliCores: room.MilliCores, MemoryMB: room.MemoryMB, Accelerators: room.Accelerators, Lost: report.Unreachable,
 	}
 }
 
@@ -374,7 +374,7 @@
 	return due
 }
 
-func withRooms(news linker.News, reports map[string]scheduler.Report) linker.News {
+func withRooms(news linker.News, reports map[string]scheduler.CapacityReport) linker.News {
 	for _, report := range reports {
 		news.Rooms = append(news.Rooms, newRoom(report))
 	}
@@ -399,7 +399,7 @@
 			// It sends nothing to this instance, and nothing depends on how soon its loss is known.
 			continue
 		}
-		if !peer.gone && now.Sub(peer.heard) > SilenceTime {
+		if !peer.gone && now.Sub(peer.heard) > PeerTimeout {
 			peer.gone = true
 			lost = append(lost, incarnation)
 		}
@@ -412,7 +412,7 @@
 	}
 	gossiper.mu.Unlock()
 	for _, incarnation := range lost {
-		gossiper.receiver.Gone(incarnation)
+		gossiper.receiver.PeerLost(incarnation)
 	}
 }
 
@@ -423,10 +423,10 @@
 		gossiper.receiver.LinkEnded(from.Incarnation)
 	case linker.News:
 		gossiper.hear(from, message)
-		gossiper.receiver.News(from.Incarnation, message)
+		gossiper.receiver.HandleNews(from.Incarnation, message)
 	case linker.Delegation:
 		gossiper.hear(from, linker.News{})
-		gossiper.receiver.Delegated(from.Incarnation, message)
+		gossiper.receiver.HandleDelegation(from.Incarnation, message)
 	default:
 		gossiper.hear(from, linker.News{})
 	}
@@ -453,8 +453,8 @@
 	}
 }
 
-// Silent returns the other failure domains with instances that stay, and whether none of them was heard of for a time.
-func (gossiper *Gossiper) Silent(duration time.Duration) map[string]bool {
+// SilentDomains returns the other failure domains with instances that stay, and whether none of them was heard of for a time.
+func (gossiper *Gossiper) SilentDomains(duration time.Duration) map[string]bool {
 	now := gossiper.now()
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
@@ -484,15 +484,15 @@
 	return links != nil && links.Connected(incarnation)
 }
 
-// Version returns a number that rises with each change of what Staying returns.
-func (gossiper *Gossiper) Version() int64 {
+// PeersVersion returns a number that rises with each change of what Staying returns.
+func (gossiper *Gossiper) PeersVersion() int64 {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	return gossiper.version
 }
 
-// Staying returns the hellos of the instances that are heard of, do not leave and do not pass their jobs on.
-func (gossiper *Gossiper) Staying() []linker.Hello {
+// EligiblePeers returns the hellos of the instances that are heard of, do not leave and do not pass their jobs on.
+func (gossiper *Gossiper) EligiblePeers() []linker.Hello {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	var staying []linker.Hello
--- a/gossiper/share.go
+++ b/gossiper/share.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// Delegates reports whether this instance passes its jobs on to larger ones.
-func (gossiper *Gossiper) Delegates() bool {
+// Delegating reports whether this instance passes its jobs on to larger ones.
+func (gossiper *Gossiper) Delegating() bool {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	return gossiper.delegates
--- a/supervisor/supervisor.go
+++ b/supervisor/supervisor.go
@@ -109,7 +109,7 @@
 	limits := linker.DefaultLimits()
 	limits.RemoteLinks, limits.IdleLimit, limits.SilenceLimit = remoteLinks, 0, linkSilence
 	links := linker.New(hello, limits, logger, running.Peers().Receive)
-	running.Peers().Use(links)
+	running.Peers().SetLinks(links)
 	supervisor := &Supervisor{
 		settings: settings,
 		lines:    lines,
