--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -215,11 +215,11 @@
 }
 
 // Offer tells one instance at once of the room of a target.
-func (gossiper *Gossiper) Offer(to, target string, room scheduler.Resources) {
+func (gossiper *Gossiper) Offer(to, target string, free scheduler.Resources) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	news := gossiper.to(to, true)
-	news.Rooms = append(news.Rooms, newRoom(scheduler.CapacityReport{Target: target, FreeCapacity: room}))
+	news.Rooms = append(news.Rooms, newRoom(scheduler.CapacityReport{Target: target, FreeCapacity: free}))
 }
 
 // Report tells all instances of the room of a target.
@@ -243,9 +243,9 @@
 }
 
 func newRoom(report scheduler.CapacityReport) linker.Room {
-	room := report.FreeCapacity
+	free := report.FreeCapacity
 	return linker.Room{
-		Target: report.Target, MilliCores: room.MilliCores, MemoryMB: room.MemoryMB, Accelerators: room.Accelerators, Lost: report.Unreachable,
+		Target: report.Target, MilliCores: free.MilliCores, MemoryMB: free.MemoryMB, Accelerators: free.Accelerators, Lost: report.Unreachable,
 	}
 }
 
--- a/scheduler/admit_test.go
+++ b/scheduler/admit_test.go
@@ -39,7 +39,7 @@
 	scheduler.Submit(testJob("j", 3, 100, 0), at(0))
 	first := drain(scheduler)
 	is.Equal(len(first.starts), 2)
-	take(scheduler, first.starts, at(2))
+	acceptStarts(scheduler, first.starts, at(2))
 	for now := 5; now < 3100; now += 5 {
 		scheduler.Tick(at(now))
 	}
@@ -53,7 +53,7 @@
 	is := is.New(t)
 	scheduler := newTestScheduler(1)
 	scheduler.Submit(testJob("long", 2, 100, 0), at(0))
-	take(scheduler, drain(scheduler).starts, at(2))
+	acceptStarts(scheduler, drain(scheduler).starts, at(2))
 	scheduler.Submit(testJob("next", 1, 400, 10), at(10))
 	given := 0
 	for now := 10; now < 3000 && given == 0; now += 5 {
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -35,30 +35,30 @@
 	failures int
 	// restarts counts the starts after a run that was lost or stopped.
 	restarts int
-	// on is the target of the latest run.
-	on *target
+	// target is the target of the latest run.
+	target *target
 	// notBefore keeps the task from starting while an earlier run may still be at work.
 	notBefore time.Time
-	started   time.Time
+	startedAt time.Time
 	predicted time.Duration
-	// missing is when the target first listed its runs without this one, zero if it did not.
-	missing time.Time
+	// missingSince is when the target first listed its runs without this one, zero if it did not.
+	missingSince time.Time
 	// avoided holds the targets that failed or rejected the task.
 	avoided map[string]bool
 }
 
 func (task *task) run() Run { return Run{task.name, task.attempt} }
 
-// latest reports whether a run on a target is the latest one of the task. The numbers of attempts begin anew when a job
+// isLatestRun reports whether a run on a target is the latest one of the task. The numbers of attempts begin anew when a job
 // is submitted again, so that news of runs of an earlier submission can name the same attempt on another target.
-func (task *task) latest(targetID string, run Run) bool {
-	return task.on != nil && task.on.ID == targetID && task.attempt == run.Attempt
+func (task *task) isLatestRun(targetID string, run Run) bool {
+	return task.target != nil && task.target.ID == targetID && task.attempt == run.Attempt
 }
 
 func (task *task) spec() *Step { return &task.job.Steps[task.step] }
 
-// occupies reports whether a run of the task may be at work.
-func (task *task) occupies() bool {
+// mayBeRunning reports whether a run of the task may be at work.
+func (task *task) mayBeRunning() bool {
 	switch task.state {
 	case starting, running, stopping, uncertain:
 		return true
@@ -78,19 +78,19 @@
 type job struct {
 	Job
 	tasks []*task
-	// open counts the tasks of each step that are not done.
-	open []int
-	// started means that a target has taken a start, or may have taken one.
-	started bool
-	load    Load
-	// giveUp is when the job is refused if no task has started.
-	giveUp time.Time
+	// unfinished counts the tasks of each step that are not done.
+	unfinished []int
+	// mayHaveStarted means that a target has taken a start, or may have taken one.
+	mayHaveStarted bool
+	load           Load
+	// startDeadline is when the job is refused if no task has started.
+	startDeadline time.Time
 }
 
 func newJob(info Job) *job {
-	job := &job{Job: info, open: make([]int, len(info.Steps))}
+	job := &job{Job: info, unfinished: make([]int, len(info.Steps))}
 	for number, step := range info.Steps {
-		job.open[number] = len(step.Tasks)
+		job.unfinished[number] = len(step.Tasks)
 		state := blocked
 		if len(step.DependsOn) == 0 {
 			state = waiting
@@ -102,26 +102,26 @@
 	return job
 }
 
-// untouched reports whether certainly no task of the job has run or is about to.
-func (job *job) untouched() bool {
-	if job.started {
+// neverStarted reports whether certainly no task of the job has run or is about to.
+func (job *job) neverStarted() bool {
+	if job.mayHaveStarted {
 		return false
 	}
 	for _, task := range job.tasks {
-		if task.occupies() {
+		if task.mayBeRunning() {
 			return false
 		}
 	}
 	return true
 }
 
-// chain returns the declared run time of the longest chain of steps that are not done.
-func (job *job) chain() time.Duration {
-	return longestChain(job.Steps, func(step int) bool { return job.open[step] > 0 })
+// remainingCriticalPath returns the declared run time of the longest chain of steps that are not done.
+func (job *job) remainingCriticalPath() time.Duration {
+	return criticalPath(job.Steps, func(step int) bool { return job.unfinished[step] > 0 })
 }
 
-// longestChain returns the declared run time of the longest chain of the steps that count.
-func longestChain(steps []Step, counts func(step int) bool) time.Duration {
+// criticalPath returns the declared run time of the longest chain of the steps that count.
+func criticalPath(steps []Step, counts func(step int) bool) time.Duration {
 	ends := make([]time.Duration, len(steps))
 	longest := time.Duration(0)
 	for number := range steps {
@@ -136,10 +136,10 @@
 	return longest
 }
 
-// ready reports whether all steps that the step waits for are done.
-func (job *job) ready(step int) bool {
+// stepReady reports whether all steps that the step waits for are done.
+func (job *job) stepReady(step int) bool {
 	for _, earlier := range job.Steps[step].DependsOn {
-		if job.open[earlier] > 0 {
+		if job.unfinished[earlier] > 0 {
 			return false
 		}
 	}
@@ -147,7 +147,7 @@
 }
 
 func (job *job) finished() bool {
-	for _, open := range job.open {
+	for _, open := range job.unfinished {
 		if open > 0 {
 			return false
 		}
--- a/scheduler/lease_test.go
+++ b/scheduler/lease_test.go
@@ -16,7 +16,7 @@
 		earliest int
 	}{
 		{"stop taken", true, 120 + int(MaxStopDuration/time.Millisecond)},
-		{"stop not answered", false, int((LeaseDuration + leaseSlack) / time.Millisecond)},
+		{"stop not answered", false, int((LeaseDuration + leaseMargin) / time.Millisecond)},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -71,7 +71,7 @@
 	scheduler.HandlePoll(start.Target, PollResult{Incarnation: 1, Sent: at(100), Answered: at(102)})
 	scheduler.Tick(at(105))
 	is.Equal(len(drain(scheduler).starts), 0) // its end may be on the way
-	scheduler.Tick(at(102 + int(missingTime/time.Millisecond)))
+	scheduler.Tick(at(102 + int(missingTimeout/time.Millisecond)))
 	is.Equal(len(drain(scheduler).starts), 1)
 }
 
@@ -101,12 +101,12 @@
 	}
 	look(10)
 	is.Equal(len(drain(scheduler).stops), 0)
-	look(20 + int(orphanTime/time.Millisecond))
+	look(20 + int(orphanGrace/time.Millisecond))
 	stops := drain(scheduler).stops
 	is.Equal(len(stops), 1)
 	is.Equal(stops[0].Run, unknown)
 	alive["peer"] = false
-	look(30 + int(orphanTime/time.Millisecond))
+	look(30 + int(orphanGrace/time.Millisecond))
 	stops = drain(scheduler).stops
 	is.Equal(len(stops), 1)
 	is.Equal(stops[0].Run, claimed)
@@ -121,7 +121,7 @@
 	end, ended := scheduler.HandlePeerClaim("peer", Claim{Target: "t0", Run: run, Resources: Resources{MilliCores: 14000}}, at(12))
 	is.True(ended)
 	is.Equal(end.Cause, Done)
-	scheduler.Sweep(at(12 + int(endsKept/time.Millisecond)))
+	scheduler.Sweep(at(12 + int(endRetention/time.Millisecond)))
 	_, ended = scheduler.HandlePeerClaim("peer", Claim{Target: "t0", Run: run, Resources: Resources{MilliCores: 14000}}, at(5000))
 	is.True(!ended)
 }
@@ -133,7 +133,7 @@
 	start := startOne(scheduler, testJob("j", 1, 900, 0))
 	scheduler.NoteRenewal(start.Target, at(400))
 	scheduler.MarkUnreachable(start.Target)
-	end := 400 + int((LeaseDuration+leaseSlack)/time.Millisecond)
+	end := 400 + int((LeaseDuration+leaseMargin)/time.Millisecond)
 	again := 0
 	for now := 400; now < 2500 && again == 0; now += 5 {
 		scheduler.Tick(at(now))
@@ -167,7 +167,7 @@
 	scheduler.HandlePeerReport(CapacityReport{Target: start.Target, Unreachable: true}, at(500))
 	scheduler.Submit(testJob("k", 1, 100, 500), at(500))
 	is.True(drain(scheduler).starts[0].Target != start.Target)
-	scheduler.Tick(at(int((LeaseDuration + leaseSlack) / time.Millisecond)))
+	scheduler.Tick(at(int((LeaseDuration + leaseMargin) / time.Millisecond)))
 	is.Equal(len(drain(scheduler).starts), 1) // started again 1.06 s after the only order that set the lease
 }
 
@@ -184,7 +184,7 @@
 		scheduler.Tick(at(now))
 		is.Equal(len(drain(scheduler).starts), 0)
 	}
-	scheduler.Tick(at(45 + 800 + int((LeaseDuration+leaseSlack)/time.Millisecond)))
+	scheduler.Tick(at(45 + 800 + int((LeaseDuration+leaseMargin)/time.Millisecond)))
 	is.Equal(len(drain(scheduler).starts), 1)
 }
 
@@ -197,10 +197,10 @@
 	scheduler.SetTargets(testTargets(2), at(0))
 	scheduler.Submit(testJob("j", 1, 900, 0), at(0))
 	starts := drain(scheduler).starts
-	take(scheduler, starts, at(2))
+	acceptStarts(scheduler, starts, at(2))
 	active := ActiveRun{Run: starts[0].Run, MilliCores: 14000}
 	scheduler.HandlePoll(starts[0].Target, PollResult{Incarnation: 1, Running: []ActiveRun{active}, Sent: at(649), Answered: at(650)})
-	end := 650 + int((LeaseDuration+leaseSlack)/time.Millisecond)
+	end := 650 + int((LeaseDuration+leaseMargin)/time.Millisecond)
 	for now := 660; now < end; now += 10 {
 		scheduler.Tick(at(now))
 	}
@@ -210,8 +210,8 @@
 	is.Equal(len(drain(scheduler).starts), 1)
 }
 
-// resubmitted returns a scheduler that gave a job up on t0 and starts it anew, with the same numbers of attempts, on t1.
-func resubmitted(t *testing.T) *Scheduler {
+// newResubmittedScheduler returns a scheduler that gave a job up on t0 and starts it anew, with the same numbers of attempts, on t1.
+func newResubmittedScheduler(t *testing.T) *Scheduler {
 	t.Helper()
 	is := is.New(t)
 	scheduler := New("self", "a")
@@ -246,7 +246,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			scheduler := resubmitted(t)
+			scheduler := newResubmittedScheduler(t)
 			test.news(scheduler)
 			scheduler.HandleStartResult("t1", run, StartTaken, at(5))
 			for now := 10; now < 300; now += 10 {
@@ -279,7 +279,7 @@
 // have been lost, and its reader renews the lease of all that runs on the target.
 func TestRunOfAnEarlierSubmissionIsAnOrphan(t *testing.T) {
 	is := is.New(t)
-	scheduler := resubmitted(t)
+	scheduler := newResubmittedScheduler(t)
 	scheduler.SetReader("t0", true, at(5))
 	active := ActiveRun{Run: Run{Task: "j.0.0.0", Attempt: 1}, MilliCores: 14000}
 	stopped := 0
--- a/scheduler/model.go
+++ b/scheduler/model.go
@@ -14,18 +14,18 @@
 }
 
 // Fits reports whether size fits into room.
-func (resources Resources) Fits(room Resources) bool {
-	return resources.MilliCores <= room.MilliCores && resources.MemoryMB <= room.MemoryMB && resources.Accelerators <= room.Accelerators
+func (resources Resources) Fits(free Resources) bool {
+	return resources.MilliCores <= free.MilliCores && resources.MemoryMB <= free.MemoryMB && resources.Accelerators <= free.Accelerators
 }
 
 // countIn returns how many tasks of a size fit into room.
-func (resources Resources) countIn(room Resources) int64 {
-	count := room.MilliCores / max(resources.MilliCores, 1)
+func (resources Resources) countIn(free Resources) int64 {
+	count := free.MilliCores / max(resources.MilliCores, 1)
 	if resources.MemoryMB > 0 {
-		count = min(count, room.MemoryMB/resources.MemoryMB)
+		count = min(count, free.MemoryMB/resources.MemoryMB)
 	}
 	if resources.Accelerators > 0 {
-		count = min(count, room.Accelerators/resources.Accelerators)
+		count = min(count, free.Accelerators/resources.Accelerators)
 	}
 	return max(count, 0)
 }
@@ -100,7 +100,7 @@
 
 // CriticalPath returns the declared run time of the longest chain of the job's steps.
 func (job *Job) CriticalPath() time.Duration {
-	return longestChain(job.Steps, func(int) bool { return true })
+	return criticalPath(job.Steps, func(int) bool { return true })
 }
 
 // Run is one start of a task.
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -10,19 +10,19 @@
 const (
 	// startOverhead is the time of an order to start and of the word of the end, beside the run time.
 	startOverhead = 6 * time.Millisecond
-	// otherDomainCost is what a target in another failure domain must be faster to be chosen: its round trips are
+	// crossDomainCost is what a target in another failure domain must be faster to be chosen: its round trips are
 	// longer and its bytes cost.
-	otherDomainCost = 4 * time.Millisecond
-	// unreadCost is what a target that another instance reads must be faster to be chosen: its room is known only as of
+	crossDomainCost = 4 * time.Millisecond
+	// nonReaderCost is what a target that another instance reads must be faster to be chosen: its room is known only as of
 	// the last broadcast. unreadSpread is the part of the run time that is added at most, another one for each instance
 	// and target, so that instances which hear of the same room do not all start on the same target; declared run
 	// times are off by up to 40%. At 40 ms for all unread targets the median of the shortest kind rose from 93 to 102 ms.
-	unreadCost   = 8 * time.Millisecond
-	unreadSpread = 0.25
-	// unknownShare is how much shorter a run counts on a target whose speed is not known yet, so that it is learned.
-	unknownShare = 0.1
-	// lateCost weighs each unit of time past the objective against a longer run time.
-	lateCost = 4
+	nonReaderCost   = 8 * time.Millisecond
+	nonReaderSpread = 0.25
+	// explorationDiscount is how much shorter a run counts on a target whose speed is not known yet, so that it is learned.
+	explorationDiscount = 0.1
+	// latenessWeight weighs each unit of time past the objective against a longer run time.
+	latenessWeight = 4
 )
 
 // place starts waiting tasks in the order of the queue on the targets with the least cost.
@@ -40,13 +40,13 @@
 			kept = append(kept, task)
 			continue
 		}
-		best := scheduler.choose(task, candidates, now)
+		best := scheduler.chooseTarget(task, candidates, now)
 		if best == nil {
 			kept = append(kept, task)
 			continue
 		}
 		best.free = best.free.Minus(task.spec().Resources)
-		scheduler.start(task, best.target, now)
+		scheduler.startTask(task, best.target, now)
 	}
 	clear(scheduler.queue[len(kept):])
 	scheduler.queue = kept
@@ -68,27 +68,27 @@
 }
 
 func (scheduler *Scheduler) candidatesFor(least Resources, now time.Time) []candidate {
-	found := scheduler.found[:0]
-	scheduler.turned++
+	found := scheduler.candidateBuffer[:0]
+	scheduler.rotation++
 	for index := range scheduler.ordered {
-		target := scheduler.ordered[(index+scheduler.turned)%len(scheduler.ordered)]
+		target := scheduler.ordered[(index+scheduler.rotation)%len(scheduler.ordered)]
 		if !target.usable(now) {
 			continue
 		}
-		if free := target.room(now); least.Fits(free) {
+		if free := target.freeCapacity(now); least.Fits(free) {
 			found = append(found, candidate{target, free})
 		}
 	}
-	scheduler.found = found
+	scheduler.candidateBuffer = found
 	return found
 }
 
-// choose returns the candidate with the least cost for the task, or nil.
-func (scheduler *Scheduler) choose(task *task, candidates []candidate, now time.Time) *candidate {
+// chooseTarget returns the candidate with the least cost for the task, or nil.
+func (scheduler *Scheduler) chooseTarget(task *task, candidates []candidate, now time.Time) *candidate {
 	step := task.spec()
-	rate := scheduler.release(task.job.Service, now)
+	rate := scheduler.releaseRateOf(task.job.Service, now)
 	// A task that can still be in time somewhere does not go where it would be late.
-	hopeful := now.Add(startOverhead + time.Duration(float64(step.Estimate)/rate.best)).Before(task.job.Objective)
+	hopeful := now.Add(startOverhead + time.Duration(float64(step.Estimate)/rate.bestSpeed)).Before(task.job.Objective)
 	var best *candidate
 	bestCost := time.Duration(0)
 	for i := range candidates {
@@ -96,7 +96,7 @@
 		if candidate.Service != task.job.Service || !step.Resources.Fits(candidate.free) || !candidate.hasLabel(step.Label) || task.avoided[candidate.ID] {
 			continue
 		}
-		if candidate.trial && len(candidate.occupants) > 0 || step.MaxPerTarget > 0 && scheduler.siblings(task, candidate.target) >= step.MaxPerTarget {
+		if candidate.probation && len(candidate.allocations) > 0 || step.MaxPerTarget > 0 && scheduler.siblingRuns(task, candidate.target) >= step.MaxPerTarget {
 			continue
 		}
 		cost := candidate.predict(step.Estimate)
@@ -104,16 +104,16 @@
 			if hopeful {
 				continue
 			}
-			cost += lateCost * late
+			cost += latenessWeight * late
 		}
-		if candidate.speed.runs < ownRuns {
-			cost -= time.Duration(unknownShare * float64(cost))
+		if candidate.speed.runs < priorRuns {
+			cost -= time.Duration(explorationDiscount * float64(cost))
 		}
 		if candidate.Domain != scheduler.domain {
-			cost += otherDomainCost
+			cost += crossDomainCost
 		}
-		if !candidate.reader {
-			cost += unreadCost + time.Duration(candidate.unreadBias*float64(cost))
+		if !candidate.isReader {
+			cost += nonReaderCost + time.Duration(candidate.nonReaderBias*float64(cost))
 		}
 		if best == nil || cost < bestCost {
 			best, bestCost = candidate, cost
@@ -137,67 +137,67 @@
 	return (float64(sum>>11) + 0.5) / mantissa
 }
 
-// siblings counts the runs of the task's step on the target.
-func (scheduler *Scheduler) siblings(task *task, target *target) int {
+// siblingRuns counts the runs of the task's step on the target.
+func (scheduler *Scheduler) siblingRuns(task *task, target *target) int {
 	count := 0
 	for _, sibling := range task.job.tasks {
-		if sibling.step == task.step && sibling.on == target && sibling.occupies() {
+		if sibling.step == task.step && sibling.target == target && sibling.mayBeRunning() {
 			count++
 		}
 	}
 	return count
 }
 
-// start claims room on the target and orders the start.
-func (scheduler *Scheduler) start(task *task, on *target, now time.Time) {
+// startTask claims room on the target and orders the start.
+func (scheduler *Scheduler) startTask(task *task, on *target, now time.Time) {
 	step := task.spec()
-	room := on.room(now)
+	free := on.freeCapacity(now)
 	task.state = starting
 	task.attempt++
-	task.on = on
-	task.started = now
-	task.missing = time.Time{}
+	task.target = on
+	task.startedAt = now
+	task.missingSince = time.Time{}
 	task.predicted = on.predict(step.Estimate)
-	on.occupy(task.run(), &occupant{owner: scheduler.self, size: step.Resources, estimate: step.Estimate, claimed: now})
+	on.allocate(task.run(), &allocation{owner: scheduler.self, resources: step.Resources, estimate: step.Estimate, claimedAt: now})
 	on.extendLease(now)
-	scheduler.noteSize(step.Resources)
-	if on.reader {
-		scheduler.changed[on.ID] = true
+	scheduler.recordRunSize(step.Resources)
+	if on.isReader {
+		scheduler.changedTargets[on.ID] = true
 	}
-	scheduler.act(StartTask{
+	scheduler.emit(StartTask{
 		Claim:           Claim{Target: on.ID, Run: task.run(), Resources: step.Resources, Estimate: step.Estimate},
 		On:              on.Target,
 		Job:             task.job.ID,
 		Body:            task.job.Body,
 		Arrived:         task.job.Arrived,
 		Issued:          now,
-		FreeCapacity:    room,
-		FreeCapacityAge: on.roomAge(now),
+		FreeCapacity:    free,
+		FreeCapacityAge: on.freeCapacityAge(now),
 		Predicted:       task.predicted,
 	})
 }
 
-// turnTime is how long room that was offered to an instance is kept back from the others: its claim arrives within it.
-const turnTime = 8 * time.Millisecond
+// offerTimeout is how long room that was offered to an instance is kept back from the others: its claim arrives within it.
+const offerTimeout = 8 * time.Millisecond
 
-// offer decides who may claim the room of a target first, if more tasks wait than find room anywhere: one of those with the
+// offerCapacity decides who may claim the room of a target first, if more tasks wait than find room anywhere: one of those with the
 // best priority, drawn by the number of its waiting tasks. The others do not hear of the room until it was claimed or the
 // turn is over. Without it all of them start on the same target at once, and all but one are rejected. Only the reader
 // of the target calls it.
-func (scheduler *Scheduler) offer(target *target, now time.Time) {
+func (scheduler *Scheduler) offerCapacity(target *target, now time.Time) {
 	delete(scheduler.offered, target.ID)
 	target.heldUntil = time.Time{}
-	if !target.reader || target.unreachable || target.Draining || target.room(now).MilliCores < scheduler.usualSize/2 {
+	if !target.isReader || target.unreachable || target.Draining || target.freeCapacity(now).MilliCores < scheduler.typicalMilliCores/2 {
 		return
 	}
 	own := scheduler.Demand()
 	total := own
-	for _, demand := range scheduler.demands {
+	for _, demand := range scheduler.peerDemands {
 		for priority, waiting := range demand {
 			total[priority] += waiting
 		}
 	}
-	if total.upTo(priorities-1) <= scheduler.release(target.Service, now).free {
+	if total.upTo(priorityLevels-1) <= scheduler.releaseRateOf(target.Service, now).freeSlots {
 		// There is room for all who wait, and turns would only delay them.
 		return
 	}
@@ -205,18 +205,18 @@
 		if waiting == 0 {
 			continue
 		}
-		target.draws++
-		if winner := scheduler.draw(target.ID, target.draws, priority, waiting, own[priority]); winner != scheduler.self {
-			target.heldUntil = now.Add(turnTime)
+		target.offerCount++
+		if winner := scheduler.drawRecipient(target.ID, target.offerCount, priority, waiting, own[priority]); winner != scheduler.self {
+			target.heldUntil = now.Add(offerTimeout)
 			scheduler.offered[target.ID] = true
-			scheduler.act(OfferCapacity{To: winner, Target: target.ID, FreeCapacity: target.room(now)})
+			scheduler.emit(OfferCapacity{To: winner, Target: target.ID, FreeCapacity: target.freeCapacity(now)})
 		}
 		return
 	}
 }
 
-// nextTurns offers the room anew whose turn has passed without a claim.
-func (scheduler *Scheduler) nextTurns(now time.Time) {
+// repeatExpiredOffers offers the room anew whose turn has passed without a claim.
+func (scheduler *Scheduler) repeatExpiredOffers(now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(scheduler.offered)) {
 		target, ok := scheduler.targets[id]
 		if !ok {
@@ -224,14 +224,14 @@
 			continue
 		}
 		if !now.Before(target.heldUntil) {
-			scheduler.offer(target, now)
-			scheduler.changed[id] = true
+			scheduler.offerCapacity(target, now)
+			scheduler.changedTargets[id] = true
 		}
 	}
 }
 
-// draw returns an instance by its share of the waiting tasks of a priority.
-func (scheduler *Scheduler) draw(target string, number int64, priority int, total, own int64) string {
+// drawRecipient returns an instance by its share of the waiting tasks of a priority.
+func (scheduler *Scheduler) drawRecipient(target string, number int64, priority int, total, own int64) string {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(target))
 	_, _ = hash.Write([]byte{byte(number), byte(number >> 8), byte(number >> 16)})
@@ -239,8 +239,8 @@
 	if drawn < 0 {
 		return scheduler.self
 	}
-	for _, incarnation := range slices.Sorted(maps.Keys(scheduler.demands)) {
-		if drawn -= scheduler.demands[incarnation][priority]; drawn < 0 {
+	for _, incarnation := range slices.Sorted(maps.Keys(scheduler.peerDemands)) {
+		if drawn -= scheduler.peerDemands[incarnation][priority]; drawn < 0 {
 			return incarnation
 		}
 	}
--- a/scheduler/place_test.go
+++ b/scheduler/place_test.go
@@ -26,7 +26,7 @@
 	is.Equal(offers[0].FreeCapacity.MilliCores, int64(16000))
 	is.Equal(len(scheduler.DueReports(at(51))), 0) // not told to the others yet
 	scheduler.HandlePeerDemand("peer", Demand{})
-	scheduler.ExpireOffers(at(50 + int(turnTime/time.Millisecond)))
+	scheduler.ExpireOffers(at(50 + int(offerTimeout/time.Millisecond)))
 	is.Equal(len(scheduler.DueReports(at(60))), 1) // nobody took it
 }
 
@@ -72,7 +72,7 @@
 		now += 10
 		scheduler.Submit(testJob(fmt.Sprintf("j%d", number), 1, 100, now), at(now))
 		start := drain(scheduler).starts[0]
-		take(scheduler, []StartTask{start}, at(now))
+		acceptStarts(scheduler, []StartTask{start}, at(now))
 		if number >= 30 {
 			counts[start.Target]++
 		}
@@ -106,7 +106,7 @@
 	scheduler.SetTargets(nil, at(100))
 	scheduler.Submit(testJob("soon", 1, 100, 1000), at(1000))
 	is.Equal(len(drain(scheduler).starts), 1)
-	late := 100 + int(deletedUse/time.Millisecond) + 1
+	late := 100 + int(deletedGrace/time.Millisecond) + 1
 	scheduler.Submit(testJob("late", 1, 100, late), at(late))
 	is.Equal(len(drain(scheduler).starts), 0)
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// answersKept is how long a complete answer is kept for a caller that sends the same job again.
-	answersKept = 10 * time.Second
-	// minRetryWait is the shortest time to return that a refusal names, the resolution of Retry-After.
-	minRetryWait = time.Second
-	// waitShare is the part of a job's time to its objective that it may wait for its first start: a refusal after
+	// completedRetention is how long a complete answer is kept for a caller that sends the same job again.
+	completedRetention = 10 * time.Second
+	// minRetryAfter is the shortest time to return that a refusal names, the resolution of Retry-After.
+	minRetryAfter = time.Second
+	// maxWaitDivisor is the part of a job's time to its objective that it may wait for its first start: a refusal after
 	// that comes too late for the caller to do something else in time.
-	waitShare = 4
-	// missingTime is how long a run may be missing from the list of its target before it is taken to be lost: its
+	maxWaitDivisor = 4
+	// missingTimeout is how long a run may be missing from the list of its target before it is taken to be lost: its
 	// end may be on the way through another instance.
-	missingTime = 150 * time.Millisecond
+	missingTimeout = 150 * time.Millisecond
 	// stragglerFactor and stragglerSlack tell a run that stands still from one whose declared time was too short:
 	// declared times are off by up to 40%, and tasks of a step by 15%.
 	stragglerFactor = 2.2
@@ -27,30 +27,30 @@
 	stragglerWeight = 0.5
 	// maxRestarts bounds how often a task starts anew after a run that was lost or stopped.
 	maxRestarts = 4
-	// claimTime is how long the claim of another instance counts if it is not repeated.
-	claimTime = 4 * ClaimRepeatInterval
+	// claimTTL is how long the claim of another instance counts if it is not repeated.
+	claimTTL = 4 * ClaimRepeatInterval
 	// ClaimRepeatInterval is how often an instance repeats its claims to the readers of their targets, which may have changed.
 	ClaimRepeatInterval = 250 * time.Millisecond
-	// endsKept is how long a reader keeps the ends of other instances' runs, for claims that arrive or are repeated
+	// endRetention is how long a reader keeps the ends of other instances' runs, for claims that arrive or are repeated
 	// after them.
-	endsKept = 3 * time.Second
-	// priorities is the number of priorities that are told apart between instances.
-	priorities = 4
+	endRetention = 3 * time.Second
+	// priorityLevels is the number of priorities that are told apart between instances.
+	priorityLevels = 4
 )
 
 // Demand is the number of waiting tasks of an instance by priority; the last entry counts all lower ones.
-type Demand [priorities]int64
+type Demand [priorityLevels]int64
 
 // upTo returns the number of tasks that come no later than those of priority.
 func (demand Demand) upTo(priority int) int64 {
 	total := int64(0)
-	for _, waiting := range demand[:rank(priority)+1] {
+	for _, waiting := range demand[:priorityLevel(priority)+1] {
 		total += waiting
 	}
 	return total
 }
 
-func rank(priority int) int { return min(max(priority, 0), priorities-1) }
+func priorityLevel(priority int) int { return min(max(priority, 0), priorityLevels-1) }
 
 // targetRun names a run on a target.
 type targetRun struct {
@@ -58,10 +58,10 @@
 	run    Run
 }
 
-// pastEnd is the end of another instance's run, and when it was seen.
-type pastEnd struct {
+// recordedEnd is the end of another instance's run, and when it was seen.
+type recordedEnd struct {
 	End
-	at time.Time
+	seenAt time.Time
 }
 
 // Scheduler holds the jobs of one instance and what it believes of the targets; it is not safe for concurrent use.
@@ -71,65 +71,65 @@
 	targets map[string]*target
 	// ordered lists the targets in the order of their IDs, and turned counts the placements: each begins at another
 	// target, so that like targets get like work.
-	ordered []*target
-	turned  int
+	ordered  []*target
+	rotation int
 	// byService lists the targets of each service in the order of their IDs.
-	byService map[string][]*target
-	groups    map[string]*learnedSpeed
-	jobs      map[string]*job
+	byService   map[string][]*target
+	groupSpeeds map[string]*learnedSpeed
+	jobs        map[string]*job
 	// tasks holds the tasks of all own jobs by name.
 	tasks map[string]*task
 	// queue holds the waiting tasks in the order in which they start.
 	queue []*task
-	// ended holds the late ends of other instances' runs on the targets that this instance reads.
-	ended map[targetRun]pastEnd
-	// changed holds the targets that this instance reads and whose room has changed since its last report.
-	changed map[string]bool
-	// demands holds the waiting tasks of other instances by incarnation.
-	demands  map[string]Demand
-	answered map[string]time.Time
-	releases map[string]releaseRate
-	// suspended holds the failure domains of which nothing is heard.
-	suspended map[string]bool
-	// awake is the time from which runs may be taken to be lost.
-	awake time.Time
+	// foreignEnds holds the late ends of other instances' runs on the targets that this instance reads.
+	foreignEnds map[targetRun]recordedEnd
+	// changedTargets holds the targets that this instance reads and whose room has changed since its last report.
+	changedTargets map[string]bool
+	// peerDemands holds the waiting tasks of other instances by incarnation.
+	peerDemands  map[string]Demand
+	completedAt  map[string]time.Time
+	releaseRates map[string]releaseRate
+	// suspendedDomains holds the failure domains of which nothing is heard.
+	suspendedDomains map[string]bool
+	// lossDetectionFrom is the time from which runs may be taken to be lost.
+	lossDetectionFrom time.Time
 	// offered holds the targets whose room was offered to another instance and not claimed yet.
 	offered map[string]bool
-	// usualSize is a mean of the processor share of claims in thousandths of a core.
-	usualSize int64
-	actions   []Action
-	// found is reused for the candidates of a placement.
-	found []candidate
+	// typicalMilliCores is a mean of the processor share of claims in thousandths of a core.
+	typicalMilliCores int64
+	actions           []Action
+	// candidateBuffer is reused for the candidates of a placement.
+	candidateBuffer []candidate
 }
 
 // releaseRate is what is expected of the targets of a service.
 type releaseRate struct {
 	// perHour is the expected number of ends, a whole number so that the order of the sum does not matter.
 	perHour int64
-	// best is the best learned speed.
-	best float64
-	// free is how many tasks of the usual size find room.
-	free  int64
-	until time.Time
+	// bestSpeed is the best learned speed.
+	bestSpeed float64
+	// freeSlots is how many tasks of the usual size find room.
+	freeSlots  int64
+	validUntil time.Time
 }
 
 // New returns a scheduler of the instance with the incarnation self in a failure domain.
 func New(self, domain string) *Scheduler {
 	return &Scheduler{
-		self:      self,
-		domain:    domain,
-		targets:   make(map[string]*target),
-		byService: make(map[string][]*target),
-		groups:    make(map[string]*learnedSpeed),
-		jobs:      make(map[string]*job),
-		tasks:     make(map[string]*task),
-		ended:     make(map[targetRun]pastEnd),
-		changed:   make(map[string]bool),
-		offered:   make(map[string]bool),
-		suspended: make(map[string]bool),
-		demands:   make(map[string]Demand),
-		answered:  make(map[string]time.Time),
-		releases:  make(map[string]releaseRate),
+		self:             self,
+		domain:           domain,
+		targets:          make(map[string]*target),
+		byService:        make(map[string][]*target),
+		groupSpeeds:      make(map[string]*learnedSpeed),
+		jobs:             make(map[string]*job),
+		tasks:            make(map[string]*task),
+		foreignEnds:      make(map[targetRun]recordedEnd),
+		changedTargets:   make(map[string]bool),
+		offered:          make(map[string]bool),
+		suspendedDomains: make(map[string]bool),
+		peerDemands:      make(map[string]Demand),
+		completedAt:      make(map[string]time.Time),
+		releaseRates:     make(map[string]releaseRate),
 	}
 }
 
@@ -147,7 +147,7 @@
 func (scheduler *Scheduler) Pending(route string) int {
 	pending := 0
 	for _, job := range scheduler.jobs {
-		if job.Route == route && job.untouched() {
+		if job.Route == route && job.neverStarted() {
 			pending++
 		}
 	}
@@ -158,7 +158,7 @@
 func (scheduler *Scheduler) Demand() Demand {
 	var demand Demand
 	for _, task := range scheduler.queue {
-		demand[rank(task.job.Priority)]++
+		demand[priorityLevel(task.job.Priority)]++
 	}
 	return demand
 }
@@ -179,49 +179,49 @@
 	for id, target := range scheduler.targets {
 		switch {
 		case seen[id]:
-		case target.deleted.IsZero():
-			target.deleted = now
-		case target.expired(now) && len(target.occupants) == 0:
+		case target.deletedAt.IsZero():
+			target.deletedAt = now
+		case target.expired(now) && len(target.allocations) == 0:
 			delete(scheduler.targets, id)
 		}
 	}
-	scheduler.index()
+	scheduler.rebuildIndexes()
 	scheduler.place(now)
 }
 
 func (scheduler *Scheduler) setTarget(info Target, now time.Time) {
 	known, ok := scheduler.targets[info.ID]
 	if !ok {
-		added := newTarget(info, scheduler.group(info))
-		added.suspended = scheduler.suspended[info.Domain]
-		added.unreadBias = unreadSpread * RendezvousHash(scheduler.self, info.ID)
+		added := newTarget(info, scheduler.groupSpeed(info))
+		added.suspended = scheduler.suspendedDomains[info.Domain]
+		added.nonReaderBias = nonReaderSpread * RendezvousHash(scheduler.self, info.ID)
 		scheduler.targets[info.ID] = added
 		return
 	}
 	if info.Incarnation != 0 && info.Incarnation > known.Incarnation {
-		scheduler.restarted(known, info.Incarnation, now)
+		scheduler.handleTargetRestart(known, info.Incarnation, now)
 	}
 	info.Incarnation = known.Incarnation
 	known.Target = info
-	known.group = scheduler.group(info)
-	known.deleted = time.Time{}
+	known.group = scheduler.groupSpeed(info)
+	known.deletedAt = time.Time{}
 }
 
-// group returns the learned speed of the targets of one make: of one service, kind and capacity.
-func (scheduler *Scheduler) group(info Target) *learnedSpeed {
+// groupSpeed returns the learned speed of the targets of one make: of one service, kind and capacity.
+func (scheduler *Scheduler) groupSpeed(info Target) *learnedSpeed {
 	key := info.Service + "/" + time.Duration(info.Capacity.MilliCores).String()
 	if len(info.Labels) > 0 {
 		key += "/" + info.Labels[0]
 	}
-	speed, ok := scheduler.groups[key]
+	speed, ok := scheduler.groupSpeeds[key]
 	if !ok {
 		speed = &learnedSpeed{}
-		scheduler.groups[key] = speed
+		scheduler.groupSpeeds[key] = speed
 	}
 	return speed
 }
 
-func (scheduler *Scheduler) index() {
+func (scheduler *Scheduler) rebuildIndexes() {
 	clear(scheduler.byService)
 	scheduler.ordered = scheduler.ordered[:0]
 	for _, id := range slices.Sorted(maps.Keys(scheduler.targets)) {
@@ -229,18 +229,18 @@
 		scheduler.ordered = append(scheduler.ordered, target)
 		scheduler.byService[target.Service] = append(scheduler.byService[target.Service], target)
 	}
-	clear(scheduler.releases)
+	clear(scheduler.releaseRates)
 }
 
 // Submit takes a job on or answers it with a refusal.
 func (scheduler *Scheduler) Submit(info Job, now time.Time) {
-	if at, ok := scheduler.answered[info.ID]; ok && now.Sub(at) < answersKept {
-		scheduler.act(AnswerJob{Job: info.ID, Outcome: dispatcher.NewComplete(nil), Started: true, Arrived: info.Arrived, Objective: info.Objective})
+	if at, ok := scheduler.completedAt[info.ID]; ok && now.Sub(at) < completedRetention {
+		scheduler.emit(AnswerJob{Job: info.ID, Outcome: dispatcher.NewComplete(nil), Started: true, Arrived: info.Arrived, Objective: info.Objective})
 		return
 	}
 	job := newJob(info)
 	if refusal, ok := scheduler.admit(job, now); !ok {
-		scheduler.act(AnswerJob{Job: info.ID, Outcome: refusal, Arrived: job.Arrived, Objective: job.Objective, Load: job.load})
+		scheduler.emit(AnswerJob{Job: info.ID, Outcome: refusal, Arrived: job.Arrived, Objective: job.Objective, Load: job.load})
 		return
 	}
 	scheduler.jobs[job.ID] = job
@@ -263,33 +263,35 @@
 
 // finish answers the job, stops what still runs of it and forgets it.
 func (scheduler *Scheduler) finish(job *job, outcome dispatcher.Outcome, reason string, now time.Time) {
-	untouched := job.untouched()
+	untouched := job.neverStarted()
 	for _, task := range job.tasks {
-		if task.occupies() {
-			scheduler.act(StopRun{On: task.on.Target, Run: task.run(), Reason: reason})
+		if task.mayBeRunning() {
+			scheduler.emit(StopRun{On: task.target.Target, Run: task.run(), Reason: reason})
 		}
 		delete(scheduler.tasks, task.name)
 	}
 	scheduler.queue = slices.DeleteFunc(scheduler.queue, func(task *task) bool { return task.job == job })
 	delete(scheduler.jobs, job.ID)
 	if _, ok := outcome.(dispatcher.Complete); ok {
-		scheduler.answered[job.ID] = now
+		scheduler.completedAt[job.ID] = now
 	}
-	scheduler.act(AnswerJob{
+	scheduler.emit(AnswerJob{
 		Job: job.ID, Outcome: outcome, Started: !untouched, Arrived: job.Arrived, Objective: job.Objective, Load: job.load,
 	})
 }
 
-// giveUp answers a job that cannot be served any more: a true refusal if nothing of it has started.
-func (scheduler *Scheduler) giveUp(job *job, reason dispatcher.Reason, detail string, now time.Time) {
-	if !job.untouched() {
+// abort answers a job that cannot be served any more: a true refusal if nothing of it has started.
+func (scheduler *Scheduler) abort(job *job, reason dispatcher.Reason, detail string, now time.Time) {
+	if !job.neverStarted() {
 		scheduler.finish(job, dispatcher.NewUnknown(detail), detail, now)
 		return
 	}
 	scheduler.finish(job, scheduler.refusal(job, reason, detail, now), detail, now)
 }
 
-func (scheduler *Scheduler) act(action Action) { scheduler.actions = append(scheduler.actions, action) }
+func (scheduler *Scheduler) emit(action Action) {
+	scheduler.actions = append(scheduler.actions, action)
+}
 
 // enqueue inserts a waiting task by priority and then by the latest start that meets its objective.
 func (scheduler *Scheduler) enqueue(added *task) {
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -84,8 +84,8 @@
 	return drained
 }
 
-// take answers starts with success.
-func take(scheduler *Scheduler, starts []StartTask, now time.Time) {
+// acceptStarts answers starts with success.
+func acceptStarts(scheduler *Scheduler, starts []StartTask, now time.Time) {
 	for _, start := range starts {
 		scheduler.HandleStartResult(start.Target, start.Run, StartTaken, now)
 	}
@@ -95,7 +95,7 @@
 func startOne(scheduler *Scheduler, job Job) StartTask {
 	scheduler.Submit(job, at(0))
 	start := drain(scheduler).starts[0]
-	take(scheduler, []StartTask{start}, at(2))
+	acceptStarts(scheduler, []StartTask{start}, at(2))
 	return start
 }
 
@@ -126,7 +126,7 @@
 	}
 	is.Equal(perTarget["t0"], 2)
 	is.Equal(perTarget["t1"], 2)
-	take(scheduler, first.starts, at(2))
+	acceptStarts(scheduler, first.starts, at(2))
 	for index, start := range first.starts {
 		scheduler.HandleEnd(start.Target, End{Seq: int64(index + 1), Run: start.Run, Cause: Done}, at(100+index))
 		is.Equal(len(drain(scheduler).answers) == 1, index == 3)
@@ -160,7 +160,7 @@
 	scheduler.Submit(job, at(0))
 	first := drain(scheduler).starts
 	is.Equal(len(first), 2)
-	take(scheduler, first, at(2))
+	acceptStarts(scheduler, first, at(2))
 	scheduler.HandleEnd(first[0].Target, End{Run: first[0].Run, Cause: Done}, at(100))
 	is.Equal(len(drain(scheduler).starts), 0)
 	scheduler.HandleEnd(first[1].Target, End{Run: first[1].Run, Cause: Done}, at(110))
--- /dev/null
+++ b/scheduler/simulation_test.go
@@ -0,0 +1,493 @@
+package scheduler
+
+import (
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"sort"
+	"testing"
+	"time"
+
+	"github.com/hyssoplift/hyssoplift/dispatcher"
+)
+
+// The world runs schedulers of several instances against targets in virtual time, with lost and late orders, targets
+// that go dark, instances that die or stand still, and cut links, and checks what callers and targets see:
+//
+//   - no task runs twice at the same time on targets that are up;
+//   - a refused job has never started;
+//   - each job of a live instance is answered by its deadline;
+//   - no target runs more than it has room for.
+//
+// The naive variant starts a task elsewhere as soon as an order gets no answer, and shows that the checks can fail.
+
+const (
+	simulatedInstances = 3
+	simulatedTargets   = 6
+	simulationEndMS    = 6000
+	simulationStepMS   = 5
+)
+
+type simulatedRun struct {
+	run  Run
+	size int64
+	ends int
+}
+
+type simulatedTarget struct {
+	id              string
+	used            int64
+	runs            map[string]*simulatedRun
+	highestAttempt  map[string]int64
+	ended           []End
+	lastSeq         int64
+	leaseEnd        int
+	unreachableFrom int
+	unreachableTo   int
+	speed           float64
+}
+
+type simulatedInstance struct {
+	scheduler    *Scheduler
+	name         string
+	crashed      bool
+	pausedUntil  int
+	acknowledged map[string]int64
+}
+
+type simulatedEvent struct {
+	at  int
+	seq int
+	do  func()
+}
+
+type simulation struct {
+	seed          uint64
+	random        *rand.Rand
+	now           int
+	seq           int
+	events        []simulatedEvent
+	targets       []*simulatedTarget
+	instances     []*simulatedInstance
+	naive         bool
+	losingOrders  bool
+	started       map[string]bool
+	outcomes      map[string]dispatcher.Outcome
+	deadlines     map[string]int
+	origin        map[string]int
+	duplicateRuns int
+	violations    []string
+}
+
+func newSimulation(seed uint64, naive bool) *simulation {
+	simulation := &simulation{
+		seed:   seed,
+		random: rand.New(rand.NewPCG(seed, 1)), naive: naive, started: make(map[string]bool),
+		outcomes: make(map[string]dispatcher.Outcome), deadlines: make(map[string]int), origin: make(map[string]int),
+	}
+	infos := testTargets(simulatedTargets)
+	for _, info := range infos {
+		simulation.targets = append(simulation.targets, &simulatedTarget{
+			id: info.ID, runs: make(map[string]*simulatedRun), highestAttempt: make(map[string]int64), speed: 0.6 + simulation.random.Float64(), unreachableFrom: simulationEndMS * 2,
+		})
+	}
+	for number := range simulatedInstances {
+		instance := &simulatedInstance{name: fmt.Sprintf("n%d", number), acknowledged: make(map[string]int64)}
+		instance.scheduler = New(instance.name, "a")
+		instance.scheduler.SetTargets(infos, at(0))
+		simulation.instances = append(simulation.instances, instance)
+	}
+	return simulation
+}
+
+func (simulation *simulation) after(delay int, do func()) {
+	simulation.seq++
+	simulation.events = append(simulation.events, simulatedEvent{simulation.now + delay, simulation.seq, do})
+}
+
+func (simulation *simulation) recordViolation(format string, arguments ...any) {
+	simulation.violations = append(simulation.violations, fmt.Sprintf("%d ms: ", simulation.now)+fmt.Sprintf(format, arguments...))
+}
+
+func (simulation *simulation) up(instance int) bool {
+	return !simulation.instances[instance].crashed && simulation.now >= simulation.instances[instance].pausedUntil
+}
+
+func (target *simulatedTarget) unreachable(now int) bool {
+	return now >= target.unreachableFrom && now < target.unreachableTo
+}
+
+// reader returns the instance that reads a target: the first that is up, beginning with the target's own.
+func (simulation *simulation) reader(target int) int {
+	for offset := range simulatedInstances {
+		if instance := (target + offset) % simulatedInstances; simulation.up(instance) {
+			return instance
+		}
+	}
+	return -1
+}
+
+func (simulation *simulation) run(jobs int) {
+	for number := range jobs {
+		simulation.after(simulation.random.IntN(simulationEndMS/2), func() { simulation.submit(number) })
+	}
+	simulation.after(500+simulation.random.IntN(2000), func() { simulation.instances[0].crashed = true })
+	simulation.after(500+simulation.random.IntN(2000), func() { simulation.instances[1].pausedUntil = simulation.now + 1500 })
+	for _, target := range simulation.targets[:2] {
+		target.unreachableFrom = 500 + simulation.random.IntN(2500)
+		target.unreachableTo = target.unreachableFrom + 300 + simulation.random.IntN(2000)
+	}
+	lossyFrom := simulation.random.IntN(2500)
+	for ; simulation.now < simulationEndMS; simulation.now++ {
+		simulation.losingOrders = simulation.now >= lossyFrom && simulation.now < lossyFrom+1500
+		simulation.runEvents()
+		simulation.endRuns()
+		if simulation.now%simulationStepMS == 0 {
+			simulation.step()
+		}
+	}
+	simulation.checkOutcomes()
+}
+
+func (simulation *simulation) runEvents() {
+	var due []simulatedEvent
+	rest := simulation.events[:0]
+	for _, event := range simulation.events {
+		if event.at <= simulation.now {
+			due = append(due, event)
+		} else {
+			rest = append(rest, event)
+		}
+	}
+	simulation.events = rest
+	sort.Slice(due, func(i, j int) bool { return due[i].at < due[j].at || due[i].at == due[j].at && due[i].seq < due[j].seq })
+	for _, event := range due {
+		event.do()
+	}
+}
+
+func (simulation *simulation) submit(number int) {
+	id := fmt.Sprintf("j%d", number)
+	entry := simulation.random.IntN(simulatedInstances)
+	if !simulation.up(entry) {
+		return
+	}
+	simulation.origin[id] = entry
+	simulation.deadlines[id] = simulation.now + 3000
+	instance := simulation.instances[entry]
+	instance.scheduler.Submit(testJob(id, 1+simulation.random.IntN(4), 50+simulation.random.IntN(800), simulation.now), at(simulation.now))
+	simulation.runActions(entry)
+}
+
+// step lets each instance that is up do what is due by time, look at the targets that it reads, and tell the others.
+func (simulation *simulation) step() {
+	for number, instance := range simulation.instances {
+		if instance.crashed || simulation.now < instance.pausedUntil {
+			continue
+		}
+		if instance.pausedUntil != 0 {
+			instance.scheduler.NotePause(at(simulation.now))
+			instance.pausedUntil = 0
+		}
+		instance.scheduler.Tick(at(simulation.now))
+		instance.scheduler.ExpireOffers(at(simulation.now))
+		if simulation.now%100 == 0 {
+			instance.scheduler.Sweep(at(simulation.now))
+		}
+		if simulation.now%50 == 0 {
+			simulation.pollTargets(number)
+		}
+		if simulation.now%int(ClaimRepeatInterval/time.Millisecond) == 0 {
+			for _, claim := range instance.scheduler.Claims() {
+				simulation.claim(number, claim)
+			}
+		}
+		simulation.runActions(number)
+	}
+}
+
+func (simulation *simulation) pollTargets(number int) {
+	instance := simulation.instances[number]
+	for index, target := range simulation.targets {
+		reads := simulation.reader(index) == number
+		instance.scheduler.SetReader(target.id, reads, at(simulation.now))
+		if !reads {
+			continue
+		}
+		state := instance.scheduler.TargetState(target.id)
+		if target.unreachable(simulation.now) || simulation.losingOrders && simulation.random.IntN(10) == 0 {
+			if target.unreachable(simulation.now) {
+				instance.scheduler.MarkUnreachable(target.id)
+			}
+			continue
+		}
+		if state.Occupied && !state.Unreachable {
+			instance.scheduler.NoteRenewal(target.id, at(simulation.now))
+			target.leaseEnd = max(target.leaseEnd, simulation.now+1000)
+		}
+		poll := PollResult{Incarnation: 1, Sent: at(simulation.now - 1), Answered: at(simulation.now)}
+		for _, running := range target.sorted() {
+			poll.Running = append(poll.Running, ActiveRun{Run: running.run})
+		}
+		for _, end := range target.ended {
+			if end.Seq > instance.acknowledged[target.id] {
+				poll.Ended = append(poll.Ended, end)
+			}
+		}
+		instance.scheduler.HandlePoll(target.id, poll)
+		for _, end := range poll.Ended {
+			owner := instance.scheduler.Owner(target.id, end.Run)
+			instance.acknowledged[target.id] = end.Seq
+			instance.scheduler.HandleEnd(target.id, end, at(simulation.now))
+			simulation.send(owner, func(peer *Scheduler) { peer.HandleEnd(target.id, end, at(simulation.now)) })
+		}
+		alive := func(owner string) bool {
+			for other := range simulation.instances {
+				if simulation.instances[other].name == owner {
+					return simulation.up(other)
+				}
+			}
+			return false
+		}
+		instance.scheduler.StopOrphans(target.id, alive, at(simulation.now))
+		if report, due := instance.scheduler.RenewalReport(target.id, at(simulation.now)); due {
+			simulation.broadcastReport(number, report)
+		}
+	}
+}
+
+// send passes news to an instance a little later, if it is up then.
+func (simulation *simulation) send(name string, do func(*Scheduler)) {
+	for number := range simulation.instances {
+		if simulation.instances[number].name != name {
+			continue
+		}
+		simulation.after(1+simulation.random.IntN(3), func() {
+			if simulation.up(number) {
+				do(simulation.instances[number].scheduler)
+				simulation.runActions(number)
+			}
+		})
+	}
+}
+
+func (simulation *simulation) broadcastReport(from int, report CapacityReport) {
+	for number, instance := range simulation.instances {
+		if number != from {
+			simulation.send(instance.name, func(peer *Scheduler) { peer.HandlePeerReport(report, at(simulation.now)) })
+		}
+	}
+}
+
+func (simulation *simulation) claim(from int, claim Claim) {
+	reader := simulation.reader(simulation.index(claim.Target))
+	if reader < 0 || reader == from {
+		return
+	}
+	owner := simulation.instances[from].name
+	simulation.send(simulation.instances[reader].name, func(peer *Scheduler) {
+		if end, ended := peer.HandlePeerClaim(owner, claim, at(simulation.now)); ended {
+			simulation.send(owner, func(back *Scheduler) { back.HandleEnd(claim.Target, end, at(simulation.now)) })
+		}
+	})
+}
+
+func (simulation *simulation) index(id string) int {
+	for index, target := range simulation.targets {
+		if target.id == id {
+			return index
+		}
+	}
+	panic("unknown target " + id)
+}
+
+// runActions carries out the actions of an instance.
+func (simulation *simulation) runActions(number int) {
+	scheduler := simulation.instances[number].scheduler
+	for _, action := range scheduler.TakeActions() {
+		switch action := action.(type) {
+		case StartTask:
+			simulation.claim(number, action.Claim)
+			simulation.order(number, action.Target, func(target *simulatedTarget) StartResult { return simulation.start(target, number, action) },
+				func(result StartResult, answered bool) {
+					if !answered && simulation.naive {
+						result = StartRefused
+					}
+					scheduler.HandleStartResult(action.Target, action.Run, result, at(simulation.now))
+				})
+		case StopRun:
+			simulation.order(number, action.On.ID, func(target *simulatedTarget) StartResult { return simulation.stop(target, action.Run) },
+				func(_ StartResult, answered bool) {
+					scheduler.HandleStopResult(action.On.ID, action.Run, answered, at(simulation.now))
+				})
+		case RelayStop:
+			if reader := simulation.reader(simulation.index(action.Target)); reader >= 0 && reader != number {
+				simulation.send(simulation.instances[reader].name, func(peer *Scheduler) { peer.HandlePeerStop(action.Target, action.Run) })
+			}
+		case AnswerJob:
+			simulation.outcomes[action.Job] = action.Outcome
+			if _, refused := action.Outcome.(dispatcher.Refused); refused && simulation.started[action.Job] {
+				simulation.recordViolation("job %s is refused though it has started", action.Job)
+			}
+		case WithdrawClaim, OfferCapacity:
+		}
+	}
+	for _, report := range scheduler.DueReports(at(simulation.now)) {
+		simulation.broadcastReport(number, report)
+	}
+}
+
+// order carries an order to a target and its answer back; an order without answer may be carried out seconds later.
+func (simulation *simulation) order(from int, id string, carryOut func(*simulatedTarget) StartResult, answer func(StartResult, bool)) {
+	target := simulation.targets[simulation.index(id)]
+	reply := func(delay int, result StartResult, answered bool) {
+		simulation.after(delay, func() {
+			if !simulation.instances[from].crashed {
+				answer(result, answered)
+				simulation.runActions(from)
+			}
+		})
+	}
+	const timeout = 60
+	late := simulation.losingOrders && simulation.random.IntN(10) == 0
+	if target.unreachable(simulation.now) || late {
+		if late {
+			simulation.after(2000+simulation.random.IntN(2000), func() {
+				if !target.unreachable(simulation.now) {
+					carryOut(target)
+				}
+			})
+		}
+		reply(timeout, StartUnanswered, false)
+		return
+	}
+	simulation.after(1, func() {
+		result := carryOut(target)
+		if simulation.losingOrders && simulation.random.IntN(10) == 0 {
+			reply(timeout, StartUnanswered, false)
+			return
+		}
+		reply(1, result, true)
+	})
+}
+
+func (simulation *simulation) start(target *simulatedTarget, owner int, start StartTask) StartResult {
+	ordered := int(start.Issued.Sub(origin) / time.Millisecond)
+	running, ok := target.runs[start.Run.Task]
+	switch {
+	case ok && running.run == start.Run:
+		return StartTaken
+	case start.Run.Attempt <= target.highestAttempt[start.Run.Task]:
+		return StartStale
+	case simulation.now > ordered+1000:
+		return StartLate
+	case target.used+start.Resources.MilliCores > 32000:
+		return StartNoRoom
+	}
+	for _, other := range simulation.targets {
+		if other != target && other.runs[start.Run.Task] != nil {
+			simulation.duplicateRuns++
+			if !simulation.naive {
+				simulation.recordViolation("task %s starts on %s by %d beside %s", start.Run.Task, target.id, owner, other.id)
+			}
+		}
+	}
+	simulation.started[start.Job] = true
+	target.leaseEnd = max(target.leaseEnd, ordered+1000)
+	target.highestAttempt[start.Run.Task] = start.Run.Attempt
+	target.used += start.Resources.MilliCores
+	ends := simulation.now + int(float64(start.Estimate/time.Millisecond)/target.speed*(0.8+0.4*simulation.random.Float64()))
+	target.runs[start.Run.Task] = &simulatedRun{run: start.Run, size: start.Resources.MilliCores, ends: ends}
+	return StartTaken
+}
+
+func (simulation *simulation) stop(target *simulatedTarget, run Run) StartResult {
+	target.highestAttempt[run.Task] = max(target.highestAttempt[run.Task], run.Attempt)
+	if running, ok := target.runs[run.Task]; ok && running.run.Attempt <= run.Attempt {
+		simulation.after(simulation.random.IntN(50), func() {
+			if target.runs[run.Task] == running {
+				target.end(running, Stopped)
+			}
+		})
+	}
+	return StartTaken
+}
+
+// sorted returns the runs in the order of their tasks, so that a seed always plays the same schedule.
+func (target *simulatedTarget) sorted() []*simulatedRun {
+	var runs []*simulatedRun
+	for _, task := range slices.Sorted(maps.Keys(target.runs)) {
+		runs = append(runs, target.runs[task])
+	}
+	return runs
+}
+
+func (target *simulatedTarget) end(running *simulatedRun, cause Cause) {
+	delete(target.runs, running.run.Task)
+	target.used -= running.size
+	target.lastSeq++
+	target.ended = append(target.ended, End{Seq: target.lastSeq, Run: running.run, Cause: cause})
+}
+
+// endRuns ends runs that are done, and those of targets whose leases are over.
+func (simulation *simulation) endRuns() {
+	for _, target := range simulation.targets {
+		for _, running := range target.sorted() {
+			switch {
+			case simulation.now >= running.ends:
+				target.end(running, Done)
+			case simulation.now >= target.leaseEnd+20:
+				target.end(running, Lapsed)
+			}
+		}
+	}
+}
+
+func (simulation *simulation) checkOutcomes() {
+	for id, deadline := range simulation.deadlines {
+		entry := simulation.instances[simulation.origin[id]]
+		if _, answered := simulation.outcomes[id]; !answered && !entry.crashed && deadline < simulationEndMS-500 {
+			simulation.recordViolation("job %s of %s has no answer", id, entry.name)
+		}
+	}
+	if simulation.duplicateRuns > 0 {
+		simulation.recordViolation("%d tasks ran twice at once", simulation.duplicateRuns)
+	}
+}
+
+// simulationSeeds is the number of schedules that each run of the tests plays.
+const simulationSeeds = 150
+
+// Guards the promises above under faults that come together, in schedules drawn from seeds.
+func TestPromisesHoldInRandomSchedules(t *testing.T) {
+	complete := 0
+	for seed := range uint64(simulationSeeds) {
+		simulation := newSimulation(seed, false)
+		simulation.run(60)
+		for _, problem := range simulation.violations {
+			t.Errorf("seed %d: %s", seed, problem)
+		}
+		for _, outcome := range simulation.outcomes {
+			if _, ok := outcome.(dispatcher.Complete); ok {
+				complete++
+			}
+		}
+	}
+	if complete < simulationSeeds*20 {
+		t.Errorf("only %d jobs are complete; the schedules show little", complete)
+	}
+}
+
+// Guards against checks that cannot fail: a scheduler that takes a lost answer for a refusal runs tasks twice.
+func TestNaiveRetryRunsTasksTwice(t *testing.T) {
+	doubles := 0
+	for seed := range uint64(simulationSeeds / 5) {
+		simulation := newSimulation(seed, true)
+		simulation.run(60)
+		doubles += simulation.duplicateRuns
+	}
+	if doubles == 0 {
+		t.Error("the naive variant ran no task twice")
+	}
+}
--- a/scheduler/target_test.go
+++ b/scheduler/target_test.go
@@ -18,7 +18,7 @@
 		drained := drain(scheduler)
 		for len(drained.starts) > 0 {
 			start := drained.starts[0]
-			take(scheduler, drained.starts, at(now))
+			acceptStarts(scheduler, drained.starts, at(now))
 			now += 5
 			cause := Done
 			if start.Target == "t0" {
@@ -35,15 +35,15 @@
 	for number := range 12 {
 		is.Equal(run(fmt.Sprintf("j%d", number)), "complete")
 	}
-	is.True(failed <= failureStreak+1)
-	now += int(lastExclusion / time.Millisecond)
+	is.True(failed <= maxFailureStreak+1)
+	now += int(maxExclusion / time.Millisecond)
 	before := failed
 	for number := range 40 {
 		// Two tasks fill the sound target, so that a third one goes to the other.
 		job := testJob(fmt.Sprintf("k%d", number), 3, 100, now)
 		scheduler.Submit(job, at(now))
 		for drained := drain(scheduler); len(drained.starts) > 0; drained = drain(scheduler) {
-			take(scheduler, drained.starts, at(now))
+			acceptStarts(scheduler, drained.starts, at(now))
 			now += 100
 			for _, start := range drained.starts {
 				cause := Done
@@ -66,7 +66,7 @@
 	drained := drain(scheduler)
 	now := 0
 	for len(drained.starts) > 0 {
-		take(scheduler, drained.starts, at(now))
+		acceptStarts(scheduler, drained.starts, at(now))
 		now += 10
 		for _, start := range drained.starts {
 			scheduler.HandleEnd(start.Target, End{Run: start.Run, Cause: Failed}, at(now))
@@ -98,7 +98,7 @@
 		reader.HandlePeerClaim("peer", Claim{Target: "t0", Run: run, Resources: Resources{MilliCores: 14000}, Estimate: 100 * time.Millisecond}, at(now))
 		reader.HandleEnd("t0", End{Seq: int64(number), Run: run, Cause: Failed}, at(now+5))
 	}
-	for number := 1; number <= failureStreak; number++ {
+	for number := 1; number <= maxFailureStreak; number++ {
 		fail(number, 10*number)
 	}
 	peer := newPeerOfReader(reader, 1, at(50))
--- a/scheduler/tick.go
+++ b/scheduler/tick.go
@@ -12,23 +12,25 @@
 // Tick handles what is due by time: jobs out of time, runs that stand still, and tasks that may start again.
 func (scheduler *Scheduler) Tick(now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(scheduler.jobs)) {
-		scheduler.tickJob(scheduler.jobs[id], now)
+		scheduler.checkJob(scheduler.jobs[id], now)
 	}
 	scheduler.place(now)
 }
 
 // NotePause notes that the instance itself stood still before now: news of renewed leases may wait to be read.
-func (scheduler *Scheduler) NotePause(now time.Time) { scheduler.awake = now.Add(awakeTime) }
+func (scheduler *Scheduler) NotePause(now time.Time) {
+	scheduler.lossDetectionFrom = now.Add(pauseGrace)
+}
 
-// awakeTime is how long after a pause no run is taken to be lost.
-const awakeTime = 300 * time.Millisecond
+// pauseGrace is how long after a pause no run is taken to be lost.
+const pauseGrace = 300 * time.Millisecond
 
 // SetDomainSuspended keeps work back from the targets of a failure domain of which nothing is heard, or allows it again.
 func (scheduler *Scheduler) SetDomainSuspended(domain string, suspended bool) {
 	if suspended {
-		scheduler.suspended[domain] = true
+		scheduler.suspendedDomains[domain] = true
 	} else {
-		delete(scheduler.suspended, domain)
+		delete(scheduler.suspendedDomains, domain)
 	}
 	for _, target := range scheduler.targets {
 		if target.Domain == domain {
@@ -47,7 +49,7 @@
 // ExpireOffers offers room anew that the instance whose turn it was did not claim; it is due as often as a turn takes.
 func (scheduler *Scheduler) ExpireOffers(now time.Time) {
 	if len(scheduler.offered) > 0 {
-		scheduler.nextTurns(now)
+		scheduler.repeatExpiredOffers(now)
 		scheduler.place(now)
 	}
 }
@@ -55,42 +57,42 @@
 // Sweep drops what is out of date; it is due some times a second.
 func (scheduler *Scheduler) Sweep(now time.Time) {
 	for _, target := range scheduler.targets {
-		scheduler.dropGhosts(target, now)
+		scheduler.dropStaleAllocations(target, now)
 	}
-	for id, at := range scheduler.answered {
-		if now.Sub(at) >= answersKept {
-			delete(scheduler.answered, id)
+	for id, at := range scheduler.completedAt {
+		if now.Sub(at) >= completedRetention {
+			delete(scheduler.completedAt, id)
 		}
 	}
-	for run, past := range scheduler.ended {
-		if now.Sub(past.at) >= endsKept {
-			delete(scheduler.ended, run)
+	for run, recorded := range scheduler.foreignEnds {
+		if now.Sub(recorded.seenAt) >= endRetention {
+			delete(scheduler.foreignEnds, run)
 		}
 	}
 }
 
-func (scheduler *Scheduler) tickJob(job *job, now time.Time) {
+func (scheduler *Scheduler) checkJob(job *job, now time.Time) {
 	if !now.Before(job.Deadline) {
-		scheduler.giveUp(job, dispatcher.ReasonDeadline, "the deadline has passed", now)
+		scheduler.abort(job, dispatcher.ReasonDeadline, "the deadline has passed", now)
 		return
 	}
 	if scheduler.refuseOverdue(job, now) {
 		return
 	}
-	rate := scheduler.release(job.Service, now)
+	rate := scheduler.releaseRateOf(job.Service, now)
 	for _, task := range job.tasks {
 		switch task.state {
 		case waiting, uncertain:
-			least := time.Duration(float64(task.spec().Estimate) / rate.best)
+			least := time.Duration(float64(task.spec().Estimate) / rate.bestSpeed)
 			if now.Add(least).After(job.Deadline) {
-				scheduler.giveUp(job, dispatcher.ReasonDeadline, "too little time is left for a task", now)
+				scheduler.abort(job, dispatcher.ReasonDeadline, "too little time is left for a task", now)
 				return
 			}
-			if task.state == uncertain && !now.Before(task.notBefore) && !now.Before(task.on.leaseEnd) && !now.Before(scheduler.awake) {
-				scheduler.restart(task, now)
+			if task.state == uncertain && !now.Before(task.notBefore) && !now.Before(task.target.leaseEnd) && !now.Before(scheduler.lossDetectionFrom) {
+				scheduler.requeueLost(task, now)
 			}
 		case running:
-			scheduler.tickRun(task, now)
+			scheduler.checkRun(task, now)
 		case blocked, starting, stopping, done:
 		}
 		if _, active := scheduler.jobs[job.ID]; !active {
@@ -99,55 +101,55 @@
 	}
 }
 
-// tickRun starts a task anew whose run is lost, or stands still while another target could still be in time.
-func (scheduler *Scheduler) tickRun(task *task, now time.Time) {
-	missing := !task.missing.IsZero() && now.Sub(task.missing) >= missingTime
+// checkRun starts a task anew whose run is lost, or stands still while another target could still be in time.
+func (scheduler *Scheduler) checkRun(task *task, now time.Time) {
+	missing := !task.missingSince.IsZero() && now.Sub(task.missingSince) >= missingTimeout
 	// Nobody has renewed the lease that this instance knows of, so that the run has been ended by its target.
-	lapsed := !now.Before(task.on.leaseEnd) && !now.Before(scheduler.awake)
+	lapsed := !now.Before(task.target.leaseEnd) && !now.Before(scheduler.lossDetectionFrom)
 	if missing || lapsed {
-		scheduler.vacate(task.on, task.run())
+		scheduler.releaseRun(task.target, task.run())
 		task.notBefore = time.Time{}
-		scheduler.restart(task, now)
+		scheduler.requeueLost(task, now)
 		return
 	}
 	overdue := time.Duration(float64(task.predicted)*stragglerFactor) + stragglerSlack
-	if now.Sub(task.started) < overdue || task.restarts > 0 {
+	if now.Sub(task.startedAt) < overdue || task.restarts > 0 {
 		return
 	}
-	if task.on.looked.Before(task.started.Add(task.predicted)) {
+	if task.target.lastPolled.Before(task.startedAt.Add(task.predicted)) {
 		// The run may have ended without anybody having seen it.
 		return
 	}
-	task.avoid(task.on)
+	task.avoid(task.target)
 	candidates := scheduler.candidatesFor(task.spec().Resources, now)
-	if best := scheduler.choose(task, candidates, now); best != nil {
+	if best := scheduler.chooseTarget(task, candidates, now); best != nil {
 		least := MaxStopDuration + startOverhead + best.predict(task.spec().Estimate)
 		if now.Add(least).Before(task.job.Deadline) {
 			task.state = stopping
-			task.on.exclude(now)
+			task.target.exclude(now)
 			// The run is at least this slow; a target that is six times as slow ends few runs to learn from.
-			task.on.speed.add(float64(task.spec().Estimate)/float64(now.Sub(task.started)), stragglerWeight)
-			scheduler.act(StopRun{On: task.on.Target, Run: task.run(), Reason: "run stands still"})
+			task.target.speed.add(float64(task.spec().Estimate)/float64(now.Sub(task.startedAt)), stragglerWeight)
+			scheduler.emit(StopRun{On: task.target.Target, Run: task.run(), Reason: "run stands still"})
 		}
 	}
 }
 
-// dropGhosts forgets the runs of which neither the target nor an instance tells any more.
-func (scheduler *Scheduler) dropGhosts(target *target, now time.Time) {
-	for run, occupant := range target.occupants {
-		if occupant.owner == scheduler.self {
-			if task := scheduler.tasks[run.Task]; task != nil && task.latest(target.ID, run) {
+// dropStaleAllocations forgets the runs of which neither the target nor an instance tells any more.
+func (scheduler *Scheduler) dropStaleAllocations(target *target, now time.Time) {
+	for run, allocation := range target.allocations {
+		if allocation.owner == scheduler.self {
+			if task := scheduler.tasks[run.Task]; task != nil && task.isLatestRun(target.ID, run) {
 				continue
 			}
 		}
-		latest := occupant.claimed
-		for _, at := range []time.Time{occupant.confirmed, occupant.repeated} {
+		latest := allocation.claimedAt
+		for _, at := range []time.Time{allocation.confirmedAt, allocation.repeatedAt} {
 			if at.After(latest) {
 				latest = at
 			}
 		}
-		if now.Sub(latest) > claimTime {
-			scheduler.vacate(target, run)
+		if now.Sub(latest) > claimTTL {
+			scheduler.releaseRun(target, run)
 		}
 	}
 }
@@ -159,38 +161,38 @@
 	if !ok {
 		return
 	}
-	for _, run := range sortedRuns(target.occupants) {
-		occupant := target.occupants[run]
+	for _, run := range sortedRuns(target.allocations) {
+		allocation := target.allocations[run]
 		switch {
-		case occupant.confirmed.IsZero() || now.Sub(occupant.stopAsked) < orphanTime:
+		case allocation.confirmedAt.IsZero() || now.Sub(allocation.stopRequestedAt) < orphanGrace:
 			continue
-		case occupant.owner == scheduler.self:
+		case allocation.owner == scheduler.self:
 			task, ok := scheduler.tasks[run.Task]
-			if ok && task.latest(targetID, run) || now.Sub(occupant.claimed) < orphanTime {
+			if ok && task.isLatestRun(targetID, run) || now.Sub(allocation.claimedAt) < orphanGrace {
 				continue
 			}
-		case occupant.owner == "":
-			if now.Sub(occupant.claimed) < orphanTime {
+		case allocation.owner == "":
+			if now.Sub(allocation.claimedAt) < orphanGrace {
 				continue
 			}
-		case alive(occupant.owner):
+		case alive(allocation.owner):
 			continue
 		}
-		occupant.stopAsked = now
-		scheduler.act(StopRun{On: target.Target, Run: run, Reason: "its instance is gone"})
+		allocation.stopRequestedAt = now
+		scheduler.emit(StopRun{On: target.Target, Run: run, Reason: "its instance is gone"})
 	}
 }
 
 // sortedRuns returns the runs in one order, so that the same events lead to the same actions.
-func sortedRuns(occupants map[Run]*occupant) []Run {
+func sortedRuns(occupants map[Run]*allocation) []Run {
 	return slices.SortedFunc(maps.Keys(occupants), func(a, b Run) int {
 		return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
 	})
 }
 
-// orphanTime is how long a run without a known owner is left alone: a live owner repeats its claim within it, and the
+// orphanGrace is how long a run without a known owner is left alone: a live owner repeats its claim within it, and the
 // caller of a dead one sends its job again only later.
-const orphanTime = 2*ClaimRepeatInterval + 100*time.Millisecond
+const orphanGrace = 2*ClaimRepeatInterval + 100*time.Millisecond
 
 // TargetState describes what there is to look after on a target.
 type TargetState struct {
@@ -210,9 +212,9 @@
 	if !ok {
 		return TargetState{}
 	}
-	state := TargetState{Occupied: len(target.occupants) > 0, Unreachable: target.unreachable, UnreachableByReader: target.lost, LastHeard: target.news}
-	for _, occupant := range target.occupants {
-		state.HasOwnRuns = state.HasOwnRuns || occupant.owner == scheduler.self
+	state := TargetState{Occupied: len(target.allocations) > 0, Unreachable: target.unreachable, UnreachableByReader: target.unreachableByReader, LastHeard: target.lastHeard}
+	for _, allocation := range target.allocations {
+		state.HasOwnRuns = state.HasOwnRuns || allocation.owner == scheduler.self
 	}
 	return state
 }
@@ -220,8 +222,8 @@
 // Owner returns the incarnation of the instance that started the run, empty if it is not known.
 func (scheduler *Scheduler) Owner(targetID string, run Run) string {
 	if target, ok := scheduler.targets[targetID]; ok {
-		if occupant, ok := target.occupants[run]; ok {
-			return occupant.owner
+		if allocation, ok := target.allocations[run]; ok {
+			return allocation.owner
 		}
 	}
 	return ""
