--- a/executor/delegation.go
+++ b/executor/delegation.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// delegationSlack is waited beyond a job's deadline for the answer of its delegate, which answers at the deadline.
-	delegationSlack = 5 * time.Millisecond
-	// abandonTime is how long a delegate is told again that a job is abandoned, in case a link was lost in between: after
+	// delegationMargin is waited beyond a job's deadline for the answer of its delegate, which answers at the deadline.
+	delegationMargin = 5 * time.Millisecond
+	// abandonRepeatTime is how long a delegate is told again that a job is abandoned, in case a link was lost in between: after
 	// it, the delegate has noticed the silence of the link. A caller sends its job again 1,300 ms after a lost answer.
-	abandonTime = 500 * time.Millisecond
+	abandonRepeatTime = 500 * time.Millisecond
 	// maxDelegatedTasks bounds the tasks of a delegated job, which is sent as one message.
 	maxDelegatedTasks = 1000
 )
@@ -46,7 +46,7 @@
 // than others pass their jobs on, to one of their own failure domain if there is any, drawn by weight. The caller holds
 // the lock.
 func (executor *Executor) delegateFor(job *scheduler.Job) (string, bool) {
-	if !executor.delegates || executor.has(job.ID) {
+	if !executor.delegating || executor.has(job.ID) {
 		return "", false
 	}
 	tasks := 0
@@ -66,11 +66,11 @@
 	if len(near) == 0 {
 		near = staying
 	}
-	return drawByWeight(near, rand.Float64())
+	return pickWeighted(near, rand.Float64())
 }
 
-// drawByWeight returns one of the instances by its weight; drawn is between 0 and 1.
-func drawByWeight(instances []linker.Hello, drawn float64) (string, bool) {
+// pickWeighted returns one of the instances by its weight; drawn is between 0 and 1.
+func pickWeighted(instances []linker.Hello, drawn float64) (string, bool) {
 	total := 0.0
 	for i := range instances {
 		total += instances[i].Share()
@@ -87,21 +87,21 @@
 // delegate passes a job on; the caller holds the lock.
 func (executor *Executor) delegate(job scheduler.Job, to string) {
 	now := executor.now()
-	ctx, cancel := context.WithTimeout(executor.ctx, job.Deadline.Sub(now)+delegationSlack)
-	passed := &delegation{job: job, delegate: to, cancel: cancel}
-	executor.delegated[job.ID] = passed
+	ctx, cancel := context.WithTimeout(executor.ctx, job.Deadline.Sub(now)+delegationMargin)
+	delegation := &delegation{job: job, delegate: to, cancel: cancel}
+	executor.delegations[job.ID] = delegation
 	executor.group.Go(func() {
 		defer cancel()
 		response, err := executor.peers.Call(ctx, to, encodeJob(&job, now))
 		executor.mu.Lock()
 		defer executor.mu.Unlock()
-		if executor.delegated[job.ID] != passed {
+		if executor.delegations[job.ID] != delegation {
 			// The caller left or cancelled the job.
 			return
 		}
-		delete(executor.delegated, job.ID)
+		delete(executor.delegations, job.ID)
 		if err != nil {
-			executor.delegationFailed(passed, err)
+			executor.delegationFailed(delegation, err)
 			return
 		}
 		outcome, err := linker.DecodeOutcome(response.(linker.DelegationAnswer).Outcome, executor.now())
@@ -109,71 +109,71 @@
 			executor.logger.Error("answer of delegate cannot be read", "job", job.ID, "delegate", to, "error", eris.ToString(err, false))
 			outcome = dispatcher.NewUnknown("the answer of the instance that ran the job cannot be read")
 		}
-		executor.answerDelegated(passed, outcome)
+		executor.answerDelegated(delegation, outcome)
 	})
 }
 
 // delegationFailed runs a job here that was not sent, and answers one unknown whose delegate may run it; the caller
 // holds the lock.
-func (executor *Executor) delegationFailed(passed *delegation, err error) {
+func (executor *Executor) delegationFailed(delegation *delegation, err error) {
 	if eris.Is(err, linker.ErrNoLink) || eris.Is(err, linker.ErrQueueFull) {
-		executor.logger.Info("job is not passed on", "job", passed.job.ID, "delegate", passed.delegate, "error", eris.ToString(err, false))
-		executor.scheduler.Submit(passed.job, executor.now())
-		executor.settle()
+		executor.logger.Info("job is not passed on", "job", delegation.job.ID, "delegate", delegation.delegate, "error", eris.ToString(err, false))
+		executor.scheduler.Submit(delegation.job, executor.now())
+		executor.runActions()
 		return
 	}
-	executor.abandon(passed.delegate, passed.job.ID)
-	executor.answerDelegated(passed, dispatcher.NewUnknown("the instance that ran the job did not answer"))
+	executor.abandon(delegation.delegate, delegation.job.ID)
+	executor.answerDelegated(delegation, dispatcher.NewUnknown("the instance that ran the job did not answer"))
 }
 
-// delegateGone answers the jobs that an instance ran which is not heard of any more; the caller holds the lock.
-func (executor *Executor) delegateGone(delegate string) {
-	for id, passed := range executor.delegated {
-		if passed.delegate == delegate {
+// handleDelegateLost answers the jobs that an instance ran which is not heard of any more; the caller holds the lock.
+func (executor *Executor) handleDelegateLost(delegate string) {
+	for id, delegation := range executor.delegations {
+		if delegation.delegate == delegate {
 			executor.abandonDelegated(id, "the instance is not heard of")
-			executor.answerDelegated(passed, dispatcher.NewUnknown("the instance that ran the job is not heard of"))
+			executor.answerDelegated(delegation, dispatcher.NewUnknown("the instance that ran the job is not heard of"))
 		}
 	}
 }
 
 // answerDelegated gives the outcome of a delegated job to its callers; the caller holds the lock.
-func (executor *Executor) answerDelegated(passed *delegation, outcome dispatcher.Outcome) {
+func (executor *Executor) answerDelegated(delegation *delegation, outcome dispatcher.Outcome) {
 	now := executor.now()
-	executor.logger.Info("job answered for delegate", "job", passed.job.ID, "delegate", passed.delegate, "outcome", dispatcher.ClassOf(outcome),
-		"took-ms", now.Sub(passed.job.Arrived).Milliseconds(), "late-ms", max(0, now.Sub(passed.job.Objective)).Milliseconds())
-	executor.meter.delegated(outcome)
-	executor.deliver(passed.job.ID, outcome)
+	executor.logger.Info("job answered for delegate", "job", delegation.job.ID, "delegate", delegation.delegate, "outcome", dispatcher.ClassOf(outcome),
+		"took-ms", now.Sub(delegation.job.Arrived).Milliseconds(), "late-ms", max(0, now.Sub(delegation.job.Objective)).Milliseconds())
+	executor.meter.countDelegated(outcome)
+	executor.deliver(delegation.job.ID, outcome)
 }
 
 // abandonDelegated gives a delegated job up and reports whether there was one; the caller holds the lock.
 func (executor *Executor) abandonDelegated(job, reason string) bool {
-	passed, ok := executor.delegated[job]
+	delegation, ok := executor.delegations[job]
 	if !ok {
 		return false
 	}
-	delete(executor.delegated, job)
-	passed.cancel()
-	executor.logger.Info("delegated job abandoned", "job", job, "delegate", passed.delegate, "reason", reason)
-	executor.abandon(passed.delegate, job)
+	delete(executor.delegations, job)
+	delegation.cancel()
+	executor.logger.Info("delegated job abandoned", "job", job, "delegate", delegation.delegate, "reason", reason)
+	executor.abandon(delegation.delegate, job)
 	return true
 }
 
 // abandon tells a delegate, now and for a while, to give a job up; the caller holds the lock.
 func (executor *Executor) abandon(delegate, job string) {
 	executor.peers.Abandon(delegate, job)
-	executor.abandoned = append(executor.abandoned, abandonment{delegate, job, executor.now().Add(abandonTime)})
+	executor.abandonments = append(executor.abandonments, abandonment{delegate, job, executor.now().Add(abandonRepeatTime)})
 }
 
 // repeatAbandonments tells delegates again what they are to give up; the caller holds the lock.
 func (executor *Executor) repeatAbandonments(now time.Time) {
-	kept := executor.abandoned[:0]
-	for _, abandoned := range executor.abandoned {
+	kept := executor.abandonments[:0]
+	for _, abandoned := range executor.abandonments {
 		if now.Before(abandoned.until) {
 			executor.peers.Abandon(abandoned.delegate, abandoned.job)
 			kept = append(kept, abandoned)
 		}
 	}
-	executor.abandoned = kept
+	executor.abandonments = kept
 }
 
 // HandleDelegation runs a job for another instance; it returns at once.
@@ -183,12 +183,12 @@
 	ctx, cancel := context.WithCancel(executor.ctx)
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
-	if former, ok := executor.foreign[key]; ok {
+	if former, ok := executor.foreignJobs[key]; ok {
 		former()
 	}
-	executor.foreign[key] = cancel
+	executor.foreignJobs[key] = cancel
 	executor.logger.Info("job taken over", "job", job.ID, "origin", from, "age-ms", request.AgeUS/1000, "remaining-ms", request.RemainingUS/1000)
-	answer := executor.accept(job)
+	answer := executor.runLocally(job)
 	executor.group.Go(func() {
 		defer cancel()
 		outcome := executor.await(ctx, job.ID, answer)
@@ -198,7 +198,7 @@
 		}
 		executor.mu.Lock()
 		if ctx.Err() == nil {
-			delete(executor.foreign, key)
+			delete(executor.foreignJobs, key)
 		}
 		executor.mu.Unlock()
 		message := linker.DelegationAnswer{ID: request.ID, Job: job.ID, Outcome: linker.EncodeOutcome(outcome, executor.now())}
@@ -211,9 +211,9 @@
 // abandonForeign gives up what this instance runs for another one: one job, or all of them if job is empty. The caller
 // holds the lock.
 func (executor *Executor) abandonForeign(origin, job string) {
-	for key, cancel := range executor.foreign {
+	for key, cancel := range executor.foreignJobs {
 		if key.origin == origin && (job == "" || key.job == job) {
-			delete(executor.foreign, key)
+			delete(executor.foreignJobs, key)
 			cancel()
 		}
 	}
--- a/executor/delegation_test.go
+++ b/executor/delegation_test.go
@@ -17,8 +17,8 @@
 	"github.com/hyssoplift/hyssoplift/scheduler"
 )
 
-// memoryOrderer is a target in memory that several instances order.
-type memoryOrderer struct {
+// memoryTarget is a target in memory that several instances order.
+type memoryTarget struct {
 	runTime time.Duration
 
 	mu      sync.Mutex
@@ -27,66 +27,66 @@
 	stopped int
 	// closed names the instances that have closed their idle connections.
 	closed []string
-	// starters counts the starts of each instance.
-	starters map[string]int
+	// startsBy counts the starts of each instance.
+	startsBy map[string]int
 }
 
-func newMemoryOrderer(runTime time.Duration) *memoryOrderer {
-	return &memoryOrderer{runTime: runTime, running: make(map[scheduler.Run]time.Time), starters: make(map[string]int)}
+func newMemoryTarget(runTime time.Duration) *memoryTarget {
+	return &memoryTarget{runTime: runTime, running: make(map[scheduler.Run]time.Time), startsBy: make(map[string]int)}
 }
 
-// boundOrderer is the orderer of one instance.
-type boundOrderer struct {
-	*memoryOrderer
+// instanceClient is the orderer of one instance.
+type instanceClient struct {
+	*memoryTarget
 	instance string
 }
 
-func (orderer boundOrderer) Start(_ context.Context, _ scheduler.Target, start scheduler.StartTask, _ time.Time) scheduler.StartResult {
-	orderer.mu.Lock()
-	defer orderer.mu.Unlock()
-	orderer.running[start.Run] = time.Now()
-	orderer.starters[orderer.instance]++
+func (client instanceClient) Start(_ context.Context, _ scheduler.Target, start scheduler.StartTask, _ time.Time) scheduler.StartResult {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	client.running[start.Run] = time.Now()
+	client.startsBy[client.instance]++
 	return scheduler.StartTaken
 }
 
-func (orderer boundOrderer) Stop(_ context.Context, _ scheduler.Target, run scheduler.Run) error {
-	orderer.mu.Lock()
-	defer orderer.mu.Unlock()
-	if _, ok := orderer.running[run]; ok {
-		orderer.end(run, scheduler.Stopped)
-		orderer.stopped++
+func (client instanceClient) Stop(_ context.Context, _ scheduler.Target, run scheduler.Run) error {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	if _, ok := client.running[run]; ok {
+		client.end(run, scheduler.Stopped)
+		client.stopped++
 	}
 	return nil
 }
 
-func (orderer boundOrderer) CloseIdle() {
-	orderer.mu.Lock()
-	defer orderer.mu.Unlock()
-	orderer.closed = append(orderer.closed, orderer.instance)
+func (client instanceClient) CloseIdle() {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	client.closed = append(client.closed, client.instance)
 }
 
-func (orderer *memoryOrderer) end(run scheduler.Run, cause scheduler.Cause) {
-	delete(orderer.running, run)
-	orderer.ended = append(orderer.ended, scheduler.End{Seq: int64(len(orderer.ended) + 1), Run: run, Cause: cause})
+func (target *memoryTarget) end(run scheduler.Run, cause scheduler.Cause) {
+	delete(target.running, run)
+	target.ended = append(target.ended, scheduler.End{Seq: int64(len(target.ended) + 1), Run: run, Cause: cause})
 }
 
-func (orderer boundOrderer) Poll(ctx context.Context, _ scheduler.Target, request PollRequest) (scheduler.PollResult, error) {
+func (client instanceClient) Poll(ctx context.Context, _ scheduler.Target, request PollRequest) (scheduler.PollResult, error) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(min(request.Wait, 5*time.Millisecond)):
 	}
 	now := time.Now()
-	orderer.mu.Lock()
-	defer orderer.mu.Unlock()
+	client.mu.Lock()
+	defer client.mu.Unlock()
 	poll := scheduler.PollResult{Incarnation: 1, Sent: now, Answered: now}
-	for run, started := range orderer.running {
-		if now.Sub(started) >= orderer.runTime {
-			orderer.end(run, scheduler.Done)
+	for run, started := range client.running {
+		if now.Sub(started) >= client.runTime {
+			client.end(run, scheduler.Done)
 			continue
 		}
 		poll.Running = append(poll.Running, scheduler.ActiveRun{Run: run})
 	}
-	for _, end := range orderer.ended {
+	for _, end := range client.ended {
 		if end.Seq > request.Acknowledged {
 			poll.Ended = append(poll.Ended, end)
 		}
@@ -94,9 +94,9 @@
 	return poll, nil
 }
 
-func (orderer *memoryOrderer) count(value func() int) int {
-	orderer.mu.Lock()
-	defer orderer.mu.Unlock()
+func (target *memoryTarget) count(value func() int) int {
+	target.mu.Lock()
+	defer target.mu.Unlock()
 	return value()
 }
 
@@ -131,7 +131,7 @@
 }
 
 // newPair returns a small and a large instance that are linked and know one target of the memory orderer.
-func newPair(t *testing.T, orderer *memoryOrderer) (small, large *member) {
+func newPair(t *testing.T, target *memoryTarget) (small, large *member) {
 	t.Helper()
 	targets := []scheduler.Target{{ID: "t", Service: "work", Domain: "a", Capacity: scheduler.Resources{MilliCores: 320000, MemoryMB: 1 << 20}}}
 	var members []*member
@@ -140,7 +140,7 @@
 		weight float64
 	}{{"small", 0.144}, {"large", 0.8}} {
 		self := linker.Hello{Domain: "a", Name: instance.name, Incarnation: instance.name, Weight: instance.weight}
-		members = append(members, newMember(t, self, boundOrderer{orderer, instance.name}, linker.DefaultLimits(), targets))
+		members = append(members, newMember(t, self, instanceClient{target, instance.name}, linker.DefaultLimits(), targets))
 	}
 	small, large = members[0], members[1]
 	peers := []linker.Peer{small.peer(), large.peer()}
@@ -149,7 +149,7 @@
 	await(t, "the small instance passes its jobs on", func() bool {
 		small.mu.Lock()
 		defer small.mu.Unlock()
-		return small.delegates
+		return small.delegating
 	})
 	return small, large
 }
@@ -185,32 +185,32 @@
 // Guards against jobs that small instances run themselves, and against answers that do not come back.
 func TestSmallInstancePassesItsJobsOn(t *testing.T) {
 	is := is.New(t)
-	orderer := newMemoryOrderer(20 * time.Millisecond)
-	small, _ := newPair(t, orderer)
+	target := newMemoryTarget(20 * time.Millisecond)
+	small, _ := newPair(t, target)
 	_, complete := (<-small.submit(t.Context(), memoryJob("j", 3))).(dispatcher.Complete)
 	is.True(complete)
-	is.Equal(orderer.count(func() int { return orderer.starters["large"] }), 3)
-	is.Equal(orderer.count(func() int { return orderer.starters["small"] }), 0)
+	is.Equal(target.count(func() int { return target.startsBy["large"] }), 3)
+	is.Equal(target.count(func() int { return target.startsBy["small"] }), 0)
 	is.True(!small.Has("j"))
-	is.Equal(orderer.closed, []string{"small"}) // targets bound the connections of all instances
+	is.Equal(target.closed, []string{"small"}) // targets bound the connections of all instances
 }
 
 // Guards against runs that go on for a caller that has left or has cancelled its job.
 func TestDelegatedJobIsAbandoned(t *testing.T) {
 	is := is.New(t)
-	orderer := newMemoryOrderer(time.Minute)
-	small, large := newPair(t, orderer)
+	target := newMemoryTarget(time.Minute)
+	small, large := newPair(t, target)
 	ctx, cancel := context.WithCancel(t.Context())
 	left := small.submit(ctx, memoryJob("left", 2))
 	cancelled := small.submit(t.Context(), memoryJob("cancelled", 2))
-	await(t, "both jobs run", func() bool { return orderer.count(func() int { return len(orderer.running) }) == 4 })
+	await(t, "both jobs run", func() bool { return target.count(func() int { return len(target.running) }) == 4 })
 	is.True(small.Has("left"))
 	cancel()
 	is.Equal(<-left, nil)
 	is.True(small.Cancel("cancelled"))
 	_, unknown := (<-cancelled).(dispatcher.Unknown)
 	is.True(unknown)
-	await(t, "all runs are stopped", func() bool { return orderer.count(func() int { return orderer.stopped }) == 4 })
+	await(t, "all runs are stopped", func() bool { return target.count(func() int { return target.stopped }) == 4 })
 	is.True(!large.Has("left") && !large.Has("cancelled"))
 	is.True(!small.Cancel("left"))
 }
@@ -219,10 +219,10 @@
 // run" that nobody knows to be true.
 func TestLossOfTheDelegateIsAnsweredAtOnce(t *testing.T) {
 	is := is.New(t)
-	orderer := newMemoryOrderer(time.Minute)
-	small, large := newPair(t, orderer)
+	target := newMemoryTarget(time.Minute)
+	small, large := newPair(t, target)
 	outcome := small.submit(t.Context(), memoryJob("j", 1))
-	await(t, "the job runs", func() bool { return orderer.count(func() int { return len(orderer.running) }) == 1 })
+	await(t, "the job runs", func() bool { return target.count(func() int { return len(target.running) }) == 1 })
 	large.links.Close()
 	_, unknown := (<-outcome).(dispatcher.Unknown)
 	is.True(unknown)
@@ -230,35 +230,35 @@
 
 // Guards against runs that go on for an instance that is lost: its callers send their jobs again after 1,300 ms.
 func TestLossOfTheOriginStopsItsRuns(t *testing.T) {
-	orderer := newMemoryOrderer(time.Minute)
-	small, _ := newPair(t, orderer)
+	target := newMemoryTarget(time.Minute)
+	small, _ := newPair(t, target)
 	small.submit(t.Context(), memoryJob("j", 2))
-	await(t, "the job runs", func() bool { return orderer.count(func() int { return len(orderer.running) }) == 2 })
+	await(t, "the job runs", func() bool { return target.count(func() int { return len(target.running) }) == 2 })
 	small.links.Close()
-	await(t, "the runs are stopped", func() bool { return orderer.count(func() int { return orderer.stopped }) == 2 })
+	await(t, "the runs are stopped", func() bool { return target.count(func() int { return target.stopped }) == 2 })
 }
 
 // Guards against a job that is lost because its delegate cannot be reached: what was not sent is run here.
 func TestJobThatCannotBePassedOnIsRunHere(t *testing.T) {
 	is := is.New(t)
-	orderer := newMemoryOrderer(20 * time.Millisecond)
-	small, _ := newPair(t, orderer)
+	target := newMemoryTarget(20 * time.Millisecond)
+	small, _ := newPair(t, target)
 	small.mu.Lock()
-	answer := small.waitFor("j")
+	answer := small.addWaiter("j")
 	small.delegate(memoryJob("j", 2), "nobody")
 	small.mu.Unlock()
 	_, complete := (<-answer).(dispatcher.Complete)
 	is.True(complete)
-	is.Equal(orderer.count(func() int { return orderer.starters["small"] }), 2)
+	is.Equal(target.count(func() int { return target.startsBy["small"] }), 2)
 }
 
 // Guards against a planned stop that cuts off the jobs which an instance runs for others.
 func TestDrainWaitsForDelegatedJobs(t *testing.T) {
 	is := is.New(t)
-	orderer := newMemoryOrderer(100 * time.Millisecond)
-	small, large := newPair(t, orderer)
+	target := newMemoryTarget(100 * time.Millisecond)
+	small, large := newPair(t, target)
 	outcome := small.submit(t.Context(), memoryJob("j", 1))
-	await(t, "the job runs", func() bool { return orderer.count(func() int { return len(orderer.running) }) == 1 })
+	await(t, "the job runs", func() bool { return target.count(func() int { return len(target.running) }) == 1 })
 	large.Leave()
 	large.Drain(t.Context())
 	_, complete := (<-outcome).(dispatcher.Complete)
--- a/executor/executor.go
+++ b/executor/executor.go
@@ -16,28 +16,28 @@
 )
 
 const (
-	// settleTime is how long after its start an instance looks only at targets that it uses itself: it does not know yet
+	// startupGrace is how long after its start an instance looks only at targets that it uses itself: it does not know yet
 	// which ones others read. The links between instances are up within half of it.
-	settleTime = time.Second
-	// tickTime is how often what is due by time is handled: a quarter of the shortest time that a job may wait, 39 ms.
-	tickTime = 10 * time.Millisecond
-	// idleTickTime is how often it is while an instance passes its jobs on and has none of its own; below pauseTime.
-	idleTickTime = 50 * time.Millisecond
-	// sweepTime is how often runs without a live owner, changed readers and what is out of date are looked for.
-	sweepTime = 100 * time.Millisecond
-	// pauseTime is a gap between ticks that shows that this instance stood still.
-	pauseTime = 150 * time.Millisecond
-	// watchTime is how often silent failure domains are looked for, and domainSilence how long all instances of one must
+	startupGrace = time.Second
+	// tickInterval is how often what is due by time is handled: a quarter of the shortest time that a job may wait, 39 ms.
+	tickInterval = 10 * time.Millisecond
+	// idleTickInterval is how often it is while an instance passes its jobs on and has none of its own; below pauseTime.
+	idleTickInterval = 50 * time.Millisecond
+	// sweepInterval is how often runs without a live owner, changed readers and what is out of date are looked for.
+	sweepInterval = 100 * time.Millisecond
+	// pauseThreshold is a gap between ticks that shows that this instance stood still.
+	pauseThreshold = 150 * time.Millisecond
+	// domainCheckInterval is how often silent failure domains are looked for, and domainSilence how long all instances of one must
 	// be silent: more than a heartbeat and a half.
-	watchTime     = 20 * time.Millisecond
-	domainSilence = 200 * time.Millisecond
+	domainCheckInterval = 20 * time.Millisecond
+	domainTimeout       = 200 * time.Millisecond
 	// startTimeout bounds the wait for the answer to a start: thirty round trips between failure domains, and more than
 	// twice what starts of a busy instance take.
 	startTimeout = 60 * time.Millisecond
 	// stopTimeout bounds the wait for the answer to a stop, and stopTries how often it is ordered: a target that leaves
 	// one order in twenty unanswered is not given up.
-	stopTimeout = 60 * time.Millisecond
-	stopTries   = 2
+	stopTimeout  = 60 * time.Millisecond
+	stopAttempts = 2
 )
 
 // TargetClient gives orders to targets. Times are those of this instance's clock.
@@ -64,35 +64,35 @@
 
 // Executor runs jobs on targets.
 type Executor struct {
-	orderer TargetClient
-	peers   *gossiper.Gossiper
-	self    linker.Hello
-	logger  hclog.Logger
-	now     func() time.Time
-	meter   *meter
-	ctx     context.Context
-	cancel  context.CancelFunc
-	group   sync.WaitGroup
-	// settled is when the other instances are known, if there are any.
-	settled time.Time
-
-	// lookLost is the time in nanoseconds since 1970 of the last look without an answer.
-	lookLost atomic.Int64
+	client TargetClient
+	peers  *gossiper.Gossiper
+	self   linker.Hello
+	logger hclog.Logger
+	now    func() time.Time
+	meter  *meter
+	ctx    context.Context
+	cancel context.CancelFunc
+	group  sync.WaitGroup
+	// peersKnownAt is when the other instances are known, if there are any.
+	peersKnownAt time.Time
+
+	// lastPollFailure is the time in nanoseconds since 1970 of the last look without an answer.
+	lastPollFailure atomic.Int64
 
 	mu        sync.Mutex
 	scheduler *scheduler.Scheduler
 	waiters   map[string][]chan dispatcher.Outcome
-	lookers   map[string]*looker
-	// silent holds the failure domains of which nothing is heard.
-	silent map[string]bool
-	// assigned is the version of the peers for which the readers were decided.
-	assigned int64
-	// delegates means that this instance passes its jobs on. delegated holds the jobs that were, abandoned those whose
+	pollers   map[string]*poller
+	// silentDomains holds the failure domains of which nothing is heard.
+	silentDomains map[string]bool
+	// assignedVersion is the version of the peers for which the readers were decided.
+	assignedVersion int64
+	// delegating means that this instance passes its jobs on. delegated holds the jobs that were, abandoned those whose
 	// delegates are told to give them up, and foreign ends what this instance runs for others.
-	delegates bool
-	delegated map[string]*delegation
-	abandoned []abandonment
-	foreign   map[foreignJob]context.CancelFunc
+	delegating   bool
+	delegations  map[string]*delegation
+	abandonments []abandonment
+	foreignJobs  map[foreignJob]context.CancelFunc
 	// leaving means that a planned stop has begun, and reassign that the readers have to be decided anew.
 	leaving  bool
 	reassign bool
@@ -102,22 +102,22 @@
 func New(self linker.Hello, client TargetClient, now func() time.Time, logger hclog.Logger) *Executor {
 	ctx, cancel := context.WithCancel(context.Background())
 	executor := &Executor{
-		orderer:   client,
-		self:      self,
-		logger:    logger,
-		now:       now,
-		meter:     newMeter(),
-		ctx:       ctx,
-		cancel:    cancel,
-		settled:   now().Add(settleTime),
-		scheduler: scheduler.New(self.Incarnation, self.Domain),
-		waiters:   make(map[string][]chan dispatcher.Outcome),
-		lookers:   make(map[string]*looker),
-		silent:    make(map[string]bool),
-		delegated: make(map[string]*delegation),
-		foreign:   make(map[foreignJob]context.CancelFunc),
+		client:        client,
+		self:          self,
+		logger:        logger,
+		now:           now,
+		meter:         newMeter(),
+		ctx:           ctx,
+		cancel:        cancel,
+		peersKnownAt:  now().Add(startupGrace),
+		scheduler:     scheduler.New(self.Incarnation, self.Domain),
+		waiters:       make(map[string][]chan dispatcher.Outcome),
+		pollers:       make(map[string]*poller),
+		silentDomains: make(map[string]bool),
+		delegations:   make(map[string]*delegation),
+		foreignJobs:   make(map[foreignJob]context.CancelFunc),
 	}
-	executor.meter.gauges(executor)
+	executor.meter.registerGauges(executor)
 	executor.peers = gossiper.New(self, executor, now)
 	executor.group.Go(executor.tick)
 	return executor
@@ -138,18 +138,18 @@
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
 	executor.scheduler.SetTargets(targets, executor.now())
-	executor.settle()
+	executor.runActions()
 	known := make(map[string]bool)
 	for _, id := range executor.scheduler.Targets() {
 		known[id] = true
-		if _, ok := executor.lookers[id]; !ok {
-			executor.newLooker(id)
+		if _, ok := executor.pollers[id]; !ok {
+			executor.startPoller(id)
 		}
 	}
-	for id, looker := range executor.lookers {
+	for id, poller := range executor.pollers {
 		if !known[id] {
-			looker.cancel()
-			delete(executor.lookers, id)
+			poller.cancel()
+			delete(executor.pollers, id)
 		}
 	}
 }
@@ -158,7 +158,7 @@
 func (executor *Executor) Ready() bool {
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
-	return len(executor.lookers) > 0
+	return len(executor.pollers) > 0
 }
 
 // Pending returns the number of jobs of a route of which no task has started.
@@ -177,7 +177,7 @@
 
 // has reports whether the job has no answer yet; the caller holds the lock.
 func (executor *Executor) has(job string) bool {
-	_, delegated := executor.delegated[job]
+	_, delegated := executor.delegations[job]
 	return delegated || executor.scheduler.Has(job)
 }
 
@@ -193,7 +193,7 @@
 		return false
 	}
 	executor.scheduler.Abandon(job, "the caller cancelled the job", executor.now())
-	executor.settle()
+	executor.runActions()
 	return true
 }
 
@@ -203,27 +203,27 @@
 	executor.mu.Lock()
 	var answer chan dispatcher.Outcome
 	if to, ok := executor.delegateFor(&job); ok {
-		answer = executor.waitFor(job.ID)
+		answer = executor.addWaiter(job.ID)
 		executor.delegate(job, to)
 	} else {
-		answer = executor.accept(job)
+		answer = executor.runLocally(job)
 	}
 	executor.mu.Unlock()
 	return executor.await(ctx, job.ID, answer)
 }
 
-// accept runs a job here unless it runs already, and returns where its outcome will be; the caller holds the lock.
-func (executor *Executor) accept(job scheduler.Job) chan dispatcher.Outcome {
-	answer := executor.waitFor(job.ID)
+// runLocally runs a job here unless it runs already, and returns where its outcome will be; the caller holds the lock.
+func (executor *Executor) runLocally(job scheduler.Job) chan dispatcher.Outcome {
+	answer := executor.addWaiter(job.ID)
 	if !executor.has(job.ID) {
 		executor.scheduler.Submit(job, executor.now())
 	}
-	executor.settle()
+	executor.runActions()
 	return answer
 }
 
-// waitFor returns where the outcome of a job will be; the caller holds the lock.
-func (executor *Executor) waitFor(job string) chan dispatcher.Outcome {
+// addWaiter returns where the outcome of a job will be; the caller holds the lock.
+func (executor *Executor) addWaiter(job string) chan dispatcher.Outcome {
 	answer := make(chan dispatcher.Outcome, 1)
 	executor.waiters[job] = append(executor.waiters[job], answer)
 	return answer
@@ -235,13 +235,13 @@
 	case outcome := <-answer:
 		return outcome
 	case <-ctx.Done():
-		executor.leave(job, answer)
+		executor.removeWaiter(job, answer)
 		return nil
 	}
 }
 
-// leave takes a caller that went away off a job, and gives the job up if it was the last one.
-func (executor *Executor) leave(job string, answer chan dispatcher.Outcome) {
+// removeWaiter takes a caller that went away off a job, and gives the job up if it was the last one.
+func (executor *Executor) removeWaiter(job string, answer chan dispatcher.Outcome) {
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
 	waiters := executor.waiters[job]
@@ -255,7 +255,7 @@
 		delete(executor.waiters, job)
 		executor.abandonDelegated(job, "the caller left")
 		executor.scheduler.Abandon(job, "the caller left", executor.now())
-		executor.settle()
+		executor.runActions()
 	}
 }
 
@@ -265,16 +265,16 @@
 		executor.mu.Lock()
 		active := executor.scheduler.ActiveJobs()
 		executor.mu.Unlock()
-		if active == 0 || !sleeper.For(ctx, tickTime) {
+		if active == 0 || !sleeper.For(ctx, tickInterval) {
 			return
 		}
 	}
 }
 
-// settle carries out the actions of the scheduler; the caller holds the lock.
-func (executor *Executor) settle() {
+// runActions carries out the actions of the scheduler; the caller holds the lock.
+func (executor *Executor) runActions() {
 	for _, action := range executor.scheduler.TakeActions() {
-		executor.carryOut(action)
+		executor.runAction(action)
 	}
 	for _, report := range executor.scheduler.DueReports(executor.now()) {
 		executor.peers.Report(report)
@@ -282,10 +282,10 @@
 	executor.peers.SetDemand(executor.scheduler.Demand(), executor.scheduler.ActiveJobs() > 0)
 }
 
-func (executor *Executor) carryOut(action scheduler.Action) {
+func (executor *Executor) runAction(action scheduler.Action) {
 	switch action := action.(type) {
 	case scheduler.StartTask:
-		if reader := executor.reader(action.Target); reader != executor.self.Incarnation {
+		if reader := executor.readerOf(action.Target); reader != executor.self.Incarnation {
 			executor.peers.Claim(reader, action.Claim)
 		}
 		executor.wake(action.Target)
@@ -293,13 +293,13 @@
 	case scheduler.StopRun:
 		go executor.stop(action)
 	case scheduler.AnswerJob:
-		executor.answer(action)
+		executor.handleAnswer(action)
 	case scheduler.WithdrawClaim:
-		if reader := executor.reader(action.Target); reader != executor.self.Incarnation {
+		if reader := executor.readerOf(action.Target); reader != executor.self.Incarnation {
 			executor.peers.Withdraw(reader, action.Target, action.Run)
 		}
 	case scheduler.RelayStop:
-		if reader := executor.reader(action.Target); reader != executor.self.Incarnation {
+		if reader := executor.readerOf(action.Target); reader != executor.self.Incarnation {
 			executor.peers.RelayStop(reader, action.Target, action.Run)
 		}
 	case scheduler.OfferCapacity:
@@ -307,8 +307,8 @@
 	}
 }
 
-func (executor *Executor) answer(answer scheduler.AnswerJob) {
-	executor.meter.count(answer)
+func (executor *Executor) handleAnswer(answer scheduler.AnswerJob) {
+	executor.meter.countAnswer(answer)
 	executor.logAnswer(answer)
 	executor.deliver(answer.Job, answer.Outcome)
 }
@@ -326,22 +326,22 @@
 	ctx, cancel := context.WithTimeout(executor.ctx, startTimeout)
 	defer cancel()
 	sent := executor.now()
-	result := executor.orderer.Start(ctx, start.On, start, start.Issued.Add(scheduler.LeaseDuration))
+	result := executor.client.Start(ctx, start.On, start, start.Issued.Add(scheduler.LeaseDuration))
 	now := executor.now()
-	executor.meter.started(result, now.Sub(start.Arrived), now.Sub(sent))
+	executor.meter.recordStart(result, now.Sub(start.Arrived), now.Sub(sent))
 	executor.logStart(start, result, now.Sub(sent))
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
 	executor.scheduler.HandleStartResult(start.Target, start.Run, result, now)
-	executor.settle()
+	executor.runActions()
 }
 
 // stop orders a stop and passes on whether the target has taken it.
 func (executor *Executor) stop(stop scheduler.StopRun) {
 	var err error
-	for range stopTries {
+	for range stopAttempts {
 		ctx, cancel := context.WithTimeout(executor.ctx, stopTimeout)
-		err = executor.orderer.Stop(ctx, stop.On, stop.Run)
+		err = executor.client.Stop(ctx, stop.On, stop.Run)
 		cancel()
 		if err == nil {
 			break
@@ -352,13 +352,13 @@
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
 	executor.scheduler.HandleStopResult(stop.On.ID, stop.Run, err == nil, executor.now())
-	executor.settle()
+	executor.runActions()
 	executor.wake(stop.On.ID)
 }
 
 // tick handles what is due by time.
 func (executor *Executor) tick() {
-	every := tickTime
+	every := tickInterval
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
 	var swept, repeated, watched time.Time
@@ -371,13 +371,13 @@
 		}
 		now := executor.now()
 		executor.mu.Lock()
-		if now.Sub(ticked) > pauseTime {
+		if now.Sub(ticked) > pauseThreshold {
 			executor.logger.Warn("instance stood still", "for-ms", now.Sub(ticked).Milliseconds())
 			executor.scheduler.NotePause(now)
-			watched = now.Add(pauseTime)
+			watched = now.Add(pauseThreshold)
 		}
 		ticked = now
-		if now.Sub(watched) >= watchTime {
+		if now.Sub(watched) >= domainCheckInterval {
 			watched = now
 			executor.watchDomains()
 		}
@@ -385,7 +385,7 @@
 			executor.scheduler.Tick(now)
 		}
 		executor.scheduler.ExpireOffers(now)
-		if now.Sub(swept) >= sweepTime {
+		if now.Sub(swept) >= sweepInterval {
 			swept = now
 			executor.scheduler.Sweep(now)
 			executor.assignReaders(now)
@@ -396,10 +396,10 @@
 			repeated = now
 			executor.repeatClaims()
 		}
-		executor.settle()
-		next := tickTime
-		if executor.delegates && executor.scheduler.ActiveJobs() == 0 {
-			next = idleTickTime
+		executor.runActions()
+		next := tickInterval
+		if executor.delegating && executor.scheduler.ActiveJobs() == 0 {
+			next = idleTickInterval
 		}
 		executor.mu.Unlock()
 		if next != every {
@@ -412,11 +412,11 @@
 // watchDomains keeps work back from failure domains of which nothing is heard; the caller holds the lock. A partition
 // would otherwise take the starts on each of their targets until it is found out on its own.
 func (executor *Executor) watchDomains() {
-	for domain, silent := range executor.peers.SilentDomains(domainSilence) {
-		if domain == executor.self.Domain || executor.silent[domain] == silent {
+	for domain, silent := range executor.peers.SilentDomains(domainTimeout) {
+		if domain == executor.self.Domain || executor.silentDomains[domain] == silent {
 			continue
 		}
-		executor.silent[domain] = silent
+		executor.silentDomains[domain] = silent
 		executor.scheduler.SetDomainSuspended(domain, silent)
 		if silent {
 			executor.logger.Warn("failure domain is not heard of", "domain", domain)
@@ -428,8 +428,8 @@
 
 // stopOrphans stops runs without a live owner on the targets that this instance reads; the caller holds the lock.
 func (executor *Executor) stopOrphans(now time.Time) {
-	for id, looker := range executor.lookers {
-		if looker.reads.Load() {
+	for id, poller := range executor.pollers {
+		if poller.isReader.Load() {
 			executor.scheduler.StopOrphans(id, executor.peers.Alive, now)
 		}
 	}
--- a/executor/looker_test.go
+++ b/executor/looker_test.go
@@ -14,26 +14,26 @@
 	"github.com/hyssoplift/hyssoplift/scheduler"
 )
 
-// absentOrderer answers no order.
-type absentOrderer struct{}
+// silentClient answers no order.
+type silentClient struct{}
 
-func (absentOrderer) CloseIdle() {}
+func (silentClient) CloseIdle() {}
 
-func (absentOrderer) Start(context.Context, scheduler.Target, scheduler.StartTask, time.Time) scheduler.StartResult {
+func (silentClient) Start(context.Context, scheduler.Target, scheduler.StartTask, time.Time) scheduler.StartResult {
 	return scheduler.StartUnanswered
 }
 
-func (absentOrderer) Stop(context.Context, scheduler.Target, scheduler.Run) error {
+func (silentClient) Stop(context.Context, scheduler.Target, scheduler.Run) error {
 	return eris.New("no answer")
 }
 
-func (absentOrderer) Poll(context.Context, scheduler.Target, PollRequest) (scheduler.PollResult, error) {
+func (silentClient) Poll(context.Context, scheduler.Target, PollRequest) (scheduler.PollResult, error) {
 	return scheduler.PollResult{}, eris.New("no answer")
 }
 
 func newTestExecutor(t *testing.T) *Executor {
 	self := linker.Hello{Domain: "a", Name: "n1", Incarnation: "self"}
-	executor := New(self, absentOrderer{}, time.Now, hclog.NewNullLogger())
+	executor := New(self, silentClient{}, time.Now, hclog.NewNullLogger())
 	t.Cleanup(executor.Close)
 	executor.SetTargets([]scheduler.Target{{ID: "t", Service: "work", Domain: "a", Capacity: scheduler.Resources{MilliCores: 32000}}})
 	return executor
@@ -44,8 +44,8 @@
 func TestEndWithoutAKnownOwnerIsHeldBack(t *testing.T) {
 	is := is.New(t)
 	executor := newTestExecutor(t)
-	looker := &looker{id: "t", held: make(map[int64]time.Time)}
-	looker.reads.Store(true)
+	poller := &poller{id: "t", withheld: make(map[int64]time.Time)}
+	poller.isReader.Store(true)
 	now := time.Now()
 	ends := []scheduler.End{
 		{Seq: 1, Run: scheduler.Run{Task: "j.0.0.0", Attempt: 1}, Cause: scheduler.Done},
@@ -53,11 +53,11 @@
 	}
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
-	executor.noteEnds(looker, scheduler.PollResult{Ended: ends, Answered: now})
-	is.Equal(looker.passed, int64(2))
-	is.Equal(looker.noted, int64(0))
-	executor.noteEnds(looker, scheduler.PollResult{Ended: ends, Answered: now.Add(untoldTime)})
-	is.Equal(looker.noted, int64(2))
+	executor.processEnds(poller, scheduler.PollResult{Ended: ends, Answered: now})
+	is.Equal(poller.forwarded, int64(2))
+	is.Equal(poller.acknowledgeable, int64(0))
+	executor.processEnds(poller, scheduler.PollResult{Ended: ends, Answered: now.Add(withholdTime)})
+	is.Equal(poller.acknowledgeable, int64(2))
 }
 
 // Guards against looks that hold ends back for long, against a lease that is renewed by the look at a lost target, and
@@ -74,24 +74,24 @@
 		{"reader of an occupied target", true, scheduler.TargetState{Occupied: true, LastHeard: now}, 0, true},
 		{"reader of an idle target", true, scheduler.TargetState{LastHeard: now}, 0, false},
 		{"not the reader, fresh news", false, scheduler.TargetState{Occupied: true, HasOwnRuns: true, LastHeard: now}, 0, false},
-		{"not the reader, old news", false, scheduler.TargetState{Occupied: true, HasOwnRuns: true, LastHeard: now.Add(-newsTime)}, 0, true},
+		{"not the reader, old news", false, scheduler.TargetState{Occupied: true, HasOwnRuns: true, LastHeard: now.Add(-readerTimeout)}, 0, true},
 		{"reader, others not known yet", true, scheduler.TargetState{LastHeard: now}, 0, false},
 		{"own run, others not known yet", true, scheduler.TargetState{Occupied: true, HasOwnRuns: true, LastHeard: now}, 0, true},
 		{"repeat after a look without answer", false, scheduler.TargetState{LastHeard: now}, 1, true},
-		{"lost target, just asked", true, scheduler.TargetState{Unreachable: true, LastHeard: now}, failuresToUnreachable, false},
+		{"lost target, just asked", true, scheduler.TargetState{Unreachable: true, LastHeard: now}, unreachableThreshold, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			looker := &looker{known: true, failures: test.failures, lastLook: now.Add(-probeTime / 2)}
+			poller := &poller{polled: true, failures: test.failures, lastPoll: now.Add(-probeInterval / 2)}
 			if test.name == "not the reader, old news" {
-				looker.lastLook = now.Add(-probeTime)
+				poller.lastPoll = now.Add(-probeInterval)
 			}
 			if strings.HasSuffix(test.name, "others not known yet") {
-				looker.known, looker.settled = false, now.Add(settleTime)
+				poller.polled, poller.peersKnownAt = false, now.Add(startupGrace)
 			}
-			looker.reads.Store(test.reads)
-			_, pause := looker.plan(test.work, now)
+			poller.isReader.Store(test.reads)
+			_, pause := poller.nextPoll(test.work, now)
 			is.Equal(pause <= 0, test.due)
 		})
 	}
@@ -103,7 +103,7 @@
 	small, large := linker.Hello{Incarnation: "s", Weight: 0.2}, linker.Hello{Incarnation: "l", Weight: 0.8}
 	count := 0
 	for number := range 2000 {
-		if target := time.Duration(number).String(); score(target, &large) > score(target, &small) {
+		if target := time.Duration(number).String(); rendezvousScore(target, &large) > rendezvousScore(target, &small) {
 			count++
 		}
 	}
@@ -118,12 +118,12 @@
 	other := []linker.Hello{{Domain: "b", Name: "n2", Incarnation: "other"}}
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
-	looker := executor.lookers["t"]
-	executor.assignReader(looker, other, time.Now())
-	is.Equal(looker.reader, "self") // of the target's failure domain
+	poller := executor.pollers["t"]
+	executor.assignReader(poller, other, time.Now())
+	is.Equal(poller.reader, "self") // of the target's failure domain
 	executor.leaving = true
-	executor.assignReader(looker, other, time.Now())
-	is.Equal(looker.reader, "other")
-	executor.assignReader(looker, nil, time.Now())
-	is.Equal(looker.reader, "self") // nobody else is there
+	executor.assignReader(poller, other, time.Now())
+	is.Equal(poller.reader, "other")
+	executor.assignReader(poller, nil, time.Now())
+	is.Equal(poller.reader, "self") // nobody else is there
 }
--- a/executor/meter.go
+++ b/executor/meter.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// count counts the outcome of a job that this instance ran or refused.
-func (meter *meter) count(answer scheduler.AnswerJob) {
+// countAnswer counts the outcome of a job that this instance ran or refused.
+func (meter *meter) countAnswer(answer scheduler.AnswerJob) {
 	labels := `outcome="` + dispatcher.ClassOf(answer.Outcome) + `"`
 	if refused, ok := answer.Outcome.(dispatcher.Refused); ok {
 		labels += `,reason="` + string(refused.Reason()) + `"`
@@ -41,20 +41,20 @@
 	meter.set.GetOrCreateCounter("hyssoplift_jobs_total{" + labels + "}").Inc()
 }
 
-// delegated counts the outcome of a job that another instance ran for this one.
-func (meter *meter) delegated(outcome dispatcher.Outcome) {
+// countDelegated counts the outcome of a job that another instance ran for this one.
+func (meter *meter) countDelegated(outcome dispatcher.Outcome) {
 	meter.set.GetOrCreateCounter(`hyssoplift_delegated_jobs_total{outcome="` + dispatcher.ClassOf(outcome) + `"}`).Inc()
 }
 
-// started counts an order to start: how long after the job's arrival it was answered, and how long the order took.
-func (meter *meter) started(result scheduler.StartResult, sinceArrival, order time.Duration) {
+// recordStart counts an order to start: how long after the job's arrival it was answered, and how long the order took.
+func (meter *meter) recordStart(result scheduler.StartResult, sinceArrival, order time.Duration) {
 	meter.set.GetOrCreateCounter(`hyssoplift_starts_total{result="` + result.String() + `"}`).Inc()
 	meter.wait.Update(sinceArrival.Seconds())
 	meter.orders.Update(order.Seconds())
 }
 
-// gauges adds what is read from the executor when metrics are written.
-func (meter *meter) gauges(executor *Executor) {
+// registerGauges adds what is read from the executor when metrics are written.
+func (meter *meter) registerGauges(executor *Executor) {
 	read := func(value func() int) func() float64 {
 		return func() float64 {
 			executor.mu.Lock()
@@ -69,14 +69,14 @@
 	}))
 	meter.set.NewGauge("hyssoplift_targets_read", read(func() int {
 		count := 0
-		for _, looker := range executor.lookers {
-			if looker.reads.Load() {
+		for _, poller := range executor.pollers {
+			if poller.isReader.Load() {
 				count++
 			}
 		}
 		return count
 	}))
-	meter.set.NewGauge("hyssoplift_targets_known", read(func() int { return len(executor.lookers) }))
+	meter.set.NewGauge("hyssoplift_targets_known", read(func() int { return len(executor.pollers) }))
 }
 
 // WriteMetrics writes the metrics of the executor in text format.
--- a/executor/news.go
+++ b/executor/news.go
@@ -14,7 +14,7 @@
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
 	for _, claim := range news.Claims {
-		executor.claimed(from, claim, now)
+		executor.handleClaim(from, claim, now)
 	}
 	for _, name := range news.Withdrawn {
 		executor.scheduler.HandlePeerWithdrawal(name.Target, runOf(name), now)
@@ -41,11 +41,11 @@
 		executor.abandonForeign(from, job)
 	}
 	executor.scheduler.Place(now)
-	executor.settle()
+	executor.runActions()
 }
 
-// claimed takes the claim of another instance, or answers it with the end that is known already.
-func (executor *Executor) claimed(from string, claim linker.Claim, now time.Time) {
+// handleClaim takes the claim of another instance, or answers it with the end that is known already.
+func (executor *Executor) handleClaim(from string, claim linker.Claim, now time.Time) {
 	decoded := scheduler.Claim{
 		Target:    claim.Target,
 		Run:       scheduler.Run{Task: claim.Task, Attempt: claim.Attempt},
@@ -70,14 +70,14 @@
 	defer executor.mu.Unlock()
 	executor.scheduler.RemovePeer(from)
 	executor.abandonForeign(from, "")
-	executor.delegateGone(from)
-	executor.settle()
+	executor.handleDelegateLost(from)
+	executor.runActions()
 }
 
-// reader returns the incarnation that reads a target; the caller holds the lock.
-func (executor *Executor) reader(target string) string {
-	if looker, ok := executor.lookers[target]; ok {
-		return looker.reader
+// readerOf returns the incarnation that reads a target; the caller holds the lock.
+func (executor *Executor) readerOf(target string) string {
+	if poller, ok := executor.pollers[target]; ok {
+		return poller.reader
 	}
 	return executor.self.Incarnation
 }
@@ -85,63 +85,63 @@
 // assignReaders decides anew who reads each target, if the instances or targets have changed; the caller holds the lock.
 func (executor *Executor) assignReaders(now time.Time) {
 	version := executor.peers.PeersVersion()
-	if version == executor.assigned && !executor.reassign {
+	if version == executor.assignedVersion && !executor.reassign {
 		return
 	}
-	executor.assigned, executor.reassign = version, false
-	if delegates := executor.peers.Delegating(); delegates != executor.delegates {
-		executor.delegates = delegates
+	executor.assignedVersion, executor.reassign = version, false
+	if delegates := executor.peers.Delegating(); delegates != executor.delegating {
+		executor.delegating = delegates
 		executor.logger.Info("share of jobs changed", "passes-on", delegates, "weight", executor.self.Weight)
 		if delegates {
-			executor.orderer.CloseIdle()
+			executor.client.CloseIdle()
 		}
 	}
 	staying := executor.peers.EligiblePeers()
-	for _, looker := range executor.lookers {
-		executor.assignReader(looker, staying, now)
+	for _, poller := range executor.pollers {
+		executor.assignReader(poller, staying, now)
 	}
 }
 
 // assignReader decides who reads a target: rendezvous hashing by weight over the instances that stay and do not pass
 // their jobs on, those of the target's failure domain before others. The caller holds the lock.
-func (executor *Executor) assignReader(looker *looker, staying []linker.Hello, now time.Time) {
-	target, ok := executor.scheduler.Target(looker.id)
+func (executor *Executor) assignReader(poller *poller, staying []linker.Hello, now time.Time) {
+	target, ok := executor.scheduler.Target(poller.id)
 	if !ok {
 		return
 	}
 	candidates := staying
-	if !executor.leaving && !executor.delegates || len(staying) == 0 {
+	if !executor.leaving && !executor.delegating || len(staying) == 0 {
 		candidates = append([]linker.Hello{executor.self}, staying...)
 	}
 	best := pickReader(&target, candidates)
-	looker.reader = best.Incarnation
+	poller.reader = best.Incarnation
 	reads := best.Incarnation == executor.self.Incarnation
-	if looker.reads.Swap(reads) != reads {
-		executor.logger.Debug("reader of target changed", "target", looker.id, "own", reads, "reader", best.Name)
+	if poller.isReader.Swap(reads) != reads {
+		executor.logger.Debug("reader of target changed", "target", poller.id, "own", reads, "reader", best.Name)
 	}
-	executor.scheduler.SetReader(looker.id, reads, now)
-	executor.wake(looker.id)
+	executor.scheduler.SetReader(poller.id, reads, now)
+	executor.wake(poller.id)
 }
 
 // pickReader returns the instance that reads a target; there is at least one candidate.
 func pickReader(target *scheduler.Target, candidates []linker.Hello) *linker.Hello {
 	best := &candidates[0]
-	bestNear, bestScore := best.Domain == target.Domain, score(target.ID, best)
+	bestNear, bestScore := best.Domain == target.Domain, rendezvousScore(target.ID, best)
 	for i := range candidates[1:] {
 		candidate := &candidates[i+1]
 		near := candidate.Domain == target.Domain
 		if bestNear && !near {
 			continue
 		}
-		if own := score(target.ID, candidate); near != bestNear || own > bestScore {
+		if own := rendezvousScore(target.ID, candidate); near != bestNear || own > bestScore {
 			best, bestNear, bestScore = candidate, near, own
 		}
 	}
 	return best
 }
 
-// score returns the weighted rendezvous score of an instance for a target.
-func score(target string, instance *linker.Hello) float64 {
+// rendezvousScore returns the weighted rendezvous score of an instance for a target.
+func rendezvousScore(target string, instance *linker.Hello) float64 {
 	return -instance.Share() / math.Log(scheduler.RendezvousHash(instance.Incarnation, target))
 }
 
@@ -158,6 +158,6 @@
 // caller holds the lock.
 func (executor *Executor) repeatClaims() {
 	for _, claim := range executor.scheduler.Claims() {
-		executor.peers.Claim(executor.reader(claim.Target), claim)
+		executor.peers.Claim(executor.readerOf(claim.Target), claim)
 	}
 }
--- a/executor/soak_test.go
+++ b/executor/soak_test.go
@@ -24,10 +24,10 @@
 )
 
 const (
-	// soakTime is how long each seed submits jobs.
-	soakTime = 4 * time.Second
-	// resendTime is how long a caller waits before it sends a job again whose outcome is unknown, as on the platform.
-	resendTime = 1300 * time.Millisecond
+	// soakDuration is how long each seed submits jobs.
+	soakDuration = 4 * time.Second
+	// resendDelay is how long a caller waits before it sends a job again whose outcome is unknown, as on the platform.
+	resendDelay = 1300 * time.Millisecond
 )
 
 // leasedTargets are targets in memory that end runs whose lease is over, and note tasks that run twice at once.
@@ -36,43 +36,43 @@
 
 	mu      sync.Mutex
 	targets map[string]*leasedTarget
-	// at holds the run of each task.
-	at     map[string]placedRun
-	broken []string
+	// runs holds the run of each task.
+	runs       map[string]placedRun
+	violations []string
 	// started counts the starts of each job.
 	started map[string]int
 }
 
 // placedRun is a run on a target, and the instance that has started it.
 type placedRun struct {
-	target   string
-	instance string
-	attempt  int64
-	began    time.Time
+	target    string
+	instance  string
+	attempt   int64
+	startedAt time.Time
 }
 
-// leasedOrderer is the orderer of one instance.
-type leasedOrderer struct {
+// leasedClient is the orderer of one instance.
+type leasedClient struct {
 	*leasedTargets
 	instance string
 }
 
 type leasedTarget struct {
-	lease   time.Time
-	running map[scheduler.Run]time.Time
-	ended   []scheduler.End
-	highest map[string]int64
+	lease          time.Time
+	running        map[scheduler.Run]time.Time
+	ended          []scheduler.End
+	highestAttempt map[string]int64
 }
 
 func newLeasedTargets(count int, runTime time.Duration) *leasedTargets {
-	targets := &leasedTargets{runTime: runTime, targets: make(map[string]*leasedTarget), at: make(map[string]placedRun), started: make(map[string]int)}
+	targets := &leasedTargets{runTime: runTime, targets: make(map[string]*leasedTarget), runs: make(map[string]placedRun), started: make(map[string]int)}
 	for number := range count {
-		targets.targets[fmt.Sprintf("t%d", number)] = &leasedTarget{running: make(map[scheduler.Run]time.Time), highest: make(map[string]int64)}
+		targets.targets[fmt.Sprintf("t%d", number)] = &leasedTarget{running: make(map[scheduler.Run]time.Time), highestAttempt: make(map[string]int64)}
 	}
 	return targets
 }
 
-func (targets *leasedTargets) infos() []scheduler.Target {
+func (targets *leasedTargets) list() []scheduler.Target {
 	infos := make([]scheduler.Target, 0, len(targets.targets))
 	for id := range targets.targets {
 		infos = append(infos, scheduler.Target{ID: id, Service: "work", Domain: "a", Capacity: scheduler.Resources{MilliCores: 8000, MemoryMB: 1 << 20}})
@@ -83,13 +83,13 @@
 // end ends a run; the caller holds the lock.
 func (targets *leasedTargets) end(target *leasedTarget, run scheduler.Run, cause scheduler.Cause) {
 	delete(target.running, run)
-	delete(targets.at, run.Task)
-	target.highest[run.Task] = max(target.highest[run.Task], run.Attempt)
+	delete(targets.runs, run.Task)
+	target.highestAttempt[run.Task] = max(target.highestAttempt[run.Task], run.Attempt)
 	target.ended = append(target.ended, scheduler.End{Seq: int64(len(target.ended) + 1), Run: run, Cause: cause})
 }
 
-// advance ends what is done or has lapsed; the caller holds the lock.
-func (targets *leasedTargets) advance(now time.Time) {
+// endRuns ends what is done or has lapsed; the caller holds the lock.
+func (targets *leasedTargets) endRuns(now time.Time) {
 	for _, target := range targets.targets {
 		for run, started := range target.running {
 			switch {
@@ -102,29 +102,29 @@
 	}
 }
 
-func (targets leasedOrderer) Start(_ context.Context, on scheduler.Target, start scheduler.StartTask, lease time.Time) scheduler.StartResult {
+func (client leasedClient) Start(_ context.Context, on scheduler.Target, start scheduler.StartTask, lease time.Time) scheduler.StartResult {
 	now := time.Now()
-	targets.mu.Lock()
-	defer targets.mu.Unlock()
-	targets.advance(now)
-	target := targets.targets[on.ID]
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	client.endRuns(now)
+	target := client.targets[on.ID]
 	if _, ok := target.running[start.Run]; ok {
 		return scheduler.StartTaken
 	}
 	switch {
 	case now.After(lease):
 		return scheduler.StartLate
-	case start.Run.Attempt <= target.highest[start.Run.Task]:
+	case start.Run.Attempt <= target.highestAttempt[start.Run.Task]:
 		return scheduler.StartStale
 	case len(target.running) >= 8:
 		return scheduler.StartNoRoom
 	}
-	if other, ok := targets.at[start.Run.Task]; ok {
-		targets.broken = append(targets.broken, fmt.Sprintf("%s starts on %s (%s, attempt %d) while attempt %d of %s runs on %s for %v",
-			start.Run.Task, on.ID, targets.instance, start.Run.Attempt, other.attempt, other.instance, other.target, now.Sub(other.began)))
+	if other, ok := client.runs[start.Run.Task]; ok {
+		client.violations = append(client.violations, fmt.Sprintf("%s starts on %s (%s, attempt %d) while attempt %d of %s runs on %s for %v",
+			start.Run.Task, on.ID, client.instance, start.Run.Attempt, other.attempt, other.instance, other.target, now.Sub(other.startedAt)))
 	}
-	targets.at[start.Run.Task] = placedRun{on.ID, targets.instance, start.Run.Attempt, now}
-	targets.started[start.Job]++
+	client.runs[start.Run.Task] = placedRun{on.ID, client.instance, start.Run.Attempt, now}
+	client.started[start.Job]++
 	target.running[start.Run] = now
 	if lease.After(target.lease) {
 		target.lease = lease
@@ -139,7 +139,7 @@
 	if _, ok := target.running[run]; ok {
 		targets.end(target, run, scheduler.Stopped)
 	}
-	target.highest[run.Task] = max(target.highest[run.Task], run.Attempt)
+	target.highestAttempt[run.Task] = max(target.highestAttempt[run.Task], run.Attempt)
 	return nil
 }
 
@@ -158,7 +158,7 @@
 	now := time.Now()
 	targets.mu.Lock()
 	defer targets.mu.Unlock()
-	targets.advance(now)
+	targets.endRuns(now)
 	poll := scheduler.PollResult{Incarnation: 1, Sent: sent, Answered: now}
 	for run := range target.running {
 		poll.Running = append(poll.Running, scheduler.ActiveRun{Run: run})
@@ -202,8 +202,8 @@
 				_ = accepted.Close()
 				continue
 			}
-			go proxy.pass(accepted, dialed)
-			go proxy.pass(dialed, accepted)
+			go proxy.forward(accepted, dialed)
+			go proxy.forward(dialed, accepted)
 		}
 	}()
 	return proxy
@@ -211,8 +211,8 @@
 
 func (proxy *proxy) address() string { return proxy.listener.Addr().String() }
 
-// pass copies one direction; what arrives while the proxy is silent is lost with the connection.
-func (proxy *proxy) pass(from, to net.Conn) {
+// forward copies one direction; what arrives while the proxy is silent is lost with the connection.
+func (proxy *proxy) forward(from, to net.Conn) {
 	proxy.mu.Lock()
 	proxy.connections[from] = true
 	proxy.mu.Unlock()
@@ -253,7 +253,7 @@
 	members []*member
 	proxies []*proxy
 	// complete, refused, unknown and left count the outcomes.
-	complete, refused, unknown, left atomic.Int64
+	complete, refused, unknown, canceled atomic.Int64
 }
 
 func newSoak(t *testing.T) *soak {
@@ -263,7 +263,7 @@
 		self := linker.Hello{Domain: "a", Name: fmt.Sprintf("n%d", number), Incarnation: fmt.Sprintf("n%d", number), Weight: weight}
 		limits := linker.DefaultLimits()
 		limits.SilenceLimit, limits.PingInterval = 700*time.Millisecond, 300*time.Millisecond
-		added := newMember(t, self, leasedOrderer{soak.leasedTargets, self.Name}, limits, soak.infos())
+		added := newMember(t, self, leasedClient{soak.leasedTargets, self.Name}, limits, soak.list())
 		proxy := newProxy(t, strings.TrimPrefix(added.server.URL, "http://"))
 		soak.members, soak.proxies = append(soak.members, added), append(soak.proxies, proxy)
 		peers = append(peers, linker.Peer{Name: self.Name, Incarnation: self.Incarnation, Address: proxy.address()})
@@ -274,8 +274,8 @@
 	return soak
 }
 
-// call sends a job until it has an outcome that is not unknown, or its caller leaves.
-func (soak *soak) call(random *rand.Rand, id string) {
+// submitUntilKnown sends a job until it has an outcome that is not unknown, or its caller leaves.
+func (soak *soak) submitUntilKnown(random *rand.Rand, id string) {
 	leaves := random.IntN(8) == 0
 	for attempt := range 3 {
 		member := soak.members[random.IntN(len(soak.members))]
@@ -295,21 +295,21 @@
 			soak.refused.Add(1)
 			soak.mu.Lock()
 			if started := soak.started[id]; started > 0 && attempt == 0 {
-				soak.broken = append(soak.broken, fmt.Sprintf("%s was refused after %d starts", id, started))
+				soak.violations = append(soak.violations, fmt.Sprintf("%s was refused after %d starts", id, started))
 			}
 			soak.mu.Unlock()
 			return
 		case nil:
-			soak.left.Add(1)
+			soak.canceled.Add(1)
 			return
 		}
 		soak.unknown.Add(1)
-		time.Sleep(resendTime)
+		time.Sleep(resendDelay)
 	}
 }
 
-// disturb resets and silences links until ctx is done.
-func (soak *soak) disturb(ctx context.Context, random *rand.Rand) {
+// injectFaults resets and silences links until ctx is done.
+func (soak *soak) injectFaults(ctx context.Context, random *rand.Rand) {
 	for ctx.Err() == nil {
 		proxy := soak.proxies[random.IntN(len(soak.proxies))]
 		switch random.IntN(3) {
@@ -336,24 +336,24 @@
 			t.Parallel()
 			soak := newSoak(t)
 			random := rand.New(rand.NewPCG(seed, 1))
-			ctx, cancel := context.WithTimeout(t.Context(), soakTime)
+			ctx, cancel := context.WithTimeout(t.Context(), soakDuration)
 			defer cancel()
 			var callers, faults sync.WaitGroup
 			faultSeed := random.Uint64()
-			faults.Go(func() { soak.disturb(ctx, rand.New(rand.NewPCG(faultSeed, 2))) })
+			faults.Go(func() { soak.injectFaults(ctx, rand.New(rand.NewPCG(faultSeed, 2))) })
 			for number := 0; ctx.Err() == nil; number++ {
 				callerSeed := random.Uint64()
-				callers.Go(func() { soak.call(rand.New(rand.NewPCG(callerSeed, 3)), fmt.Sprintf("j%d", number)) })
+				callers.Go(func() { soak.submitUntilKnown(rand.New(rand.NewPCG(callerSeed, 3)), fmt.Sprintf("j%d", number)) })
 				time.Sleep(time.Duration(1+random.IntN(20)) * time.Millisecond)
 			}
 			faults.Wait()
 			callers.Wait()
 			soak.mu.Lock()
 			defer soak.mu.Unlock()
-			for _, broken := range soak.broken {
+			for _, broken := range soak.violations {
 				t.Errorf("seed %d: %s", seed, broken)
 			}
-			t.Logf("complete %d, refused %d, unknown %d, left %d", soak.complete.Load(), soak.refused.Load(), soak.unknown.Load(), soak.left.Load())
+			t.Logf("complete %d, refused %d, unknown %d, left %d", soak.complete.Load(), soak.refused.Load(), soak.unknown.Load(), soak.canceled.Load())
 			if soak.complete.Load() == 0 {
 				t.Errorf("seed %d: no job is complete", seed)
 			}
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// flushTime is how long a claim waits for others so that one frame carries them.
-	flushTime = 2 * time.Millisecond
-	// reportTimePerPeer is the time between two broadcasts for each other instance of the own failure domain, and for
+	// flushDelay is how long a claim waits for others so that one frame carries them.
+	flushDelay = 2 * time.Millisecond
+	// broadcastIntervalPerPeer is the time between two broadcasts for each other instance of the own failure domain, and for
 	// farTimes of other ones: an instance then receives one frame in this time from all, however many they are.
-	reportTimePerPeer = 2400 * time.Microsecond
-	// farTimes is how many times less often instances of other failure domains hear of rooms: their targets are used
+	broadcastIntervalPerPeer = 2400 * time.Microsecond
+	// remoteIntervalFactor is how many times less often instances of other failure domains hear of rooms: their targets are used
 	// only when the own ones are full or much slower.
-	farTimes = 3
-	// minReportTime is the least time between two broadcasts.
-	minReportTime = 4 * time.Millisecond
-	// heartbeatTime is how often an instance is heard of without news.
-	heartbeatTime = 120 * time.Millisecond
+	remoteIntervalFactor = 3
+	// minBroadcastInterval is the least time between two broadcasts.
+	minBroadcastInterval = 4 * time.Millisecond
+	// heartbeatInterval is how often an instance is heard of without news.
+	heartbeatInterval = 120 * time.Millisecond
 	// PeerTimeout is how long an instance may not be heard of before it counts as gone: four heartbeats. Its runs are
 	// stopped then, well before a caller that it lost sends its job again.
 	PeerTimeout = 500 * time.Millisecond
-	// pauseTime is how late a heartbeat must be to show that this instance itself stood still.
-	pauseTime = 300 * time.Millisecond
-	// forgetTime is how long an instance that is gone stays known.
-	forgetTime = time.Minute
+	// pauseThreshold is how late a heartbeat must be to show that this instance itself stood still.
+	pauseThreshold = 300 * time.Millisecond
+	// forgetTimeout is how long an instance that is gone stays known.
+	forgetTimeout = time.Minute
 )
 
 // Receiver takes what other instances tell.
@@ -45,12 +45,12 @@
 
 // peer is another instance.
 type peer struct {
-	hello   linker.Hello
-	heard   time.Time
-	leaving bool
-	gone    bool
-	// delegates means that the instance passes its jobs on. Two such instances send each other nothing.
-	delegates bool
+	hello     linker.Hello
+	lastHeard time.Time
+	leaving   bool
+	lost      bool
+	// delegating means that the instance passes its jobs on. Two such instances send each other nothing.
+	delegating bool
 	// busy means that it has jobs of its own all the same, such as those of before it knew the others.
 	busy bool
 }
@@ -68,44 +68,44 @@
 	changed chan struct{}
 
 	mu sync.Mutex
-	// direct holds what is not sent yet to single instances, and urgent that it is sent at once.
-	direct map[string]*linker.News
+	// outbox holds what is not sent yet to single instances, and urgent that it is sent at once.
+	outbox map[string]*linker.News
 	urgent bool
 	// reports and demand are broadcast next.
 	reports map[string]scheduler.CapacityReport
-	// farReports are broadcast next to other failure domains, and farSent is when they were last.
-	farReports map[string]scheduler.CapacityReport
-	farSent    time.Time
-	demand     scheduler.Demand
-	busy       bool
-	leaving    bool
-	ticked     time.Time
-	peers      map[string]*peer
-	// delegates means that this instance passes its jobs on.
-	delegates bool
-	// beaten is when heartbeats were last sent to all, zero if they are due at once.
-	beaten time.Time
-	// version counts the changes of the instances that stay.
-	version int64
+	// remoteReports are broadcast next to other failure domains, and farSent is when they were last.
+	remoteReports map[string]scheduler.CapacityReport
+	remoteSentAt  time.Time
+	demand        scheduler.Demand
+	busy          bool
+	leaving       bool
+	checkedAt     time.Time
+	peers         map[string]*peer
+	// delegating means that this instance passes its jobs on.
+	delegating bool
+	// heartbeatSentAt is when heartbeats were last sent to all, zero if they are due at once.
+	heartbeatSentAt time.Time
+	// peersVersion counts the changes of the instances that stay.
+	peersVersion int64
 }
 
 // New returns a gossiper of the instance self that passes news on to receiver; now returns the time.
 func New(self linker.Hello, receiver Receiver, now func() time.Time) *Gossiper {
 	ctx, cancel := context.WithCancel(context.Background())
 	gossiper := &Gossiper{
-		self:       self,
-		receiver:   receiver,
-		now:        now,
-		cancel:     cancel,
-		wake:       make(chan struct{}, 1),
-		changed:    make(chan struct{}, 1),
-		direct:     make(map[string]*linker.News),
-		reports:    make(map[string]scheduler.CapacityReport),
-		farReports: make(map[string]scheduler.CapacityReport),
-		ticked:     now(),
-		peers:      make(map[string]*peer),
+		self:          self,
+		receiver:      receiver,
+		now:           now,
+		cancel:        cancel,
+		wake:          make(chan struct{}, 1),
+		changed:       make(chan struct{}, 1),
+		outbox:        make(map[string]*linker.News),
+		reports:       make(map[string]scheduler.CapacityReport),
+		remoteReports: make(map[string]scheduler.CapacityReport),
+		checkedAt:     now(),
+		peers:         make(map[string]*peer),
 	}
-	gossiper.group.Go(func() { gossiper.sendDirect(ctx) })
+	gossiper.group.Go(func() { gossiper.sendOutbox(ctx) })
 	gossiper.group.Go(func() { gossiper.broadcast(ctx) })
 	return gossiper
 }
@@ -127,19 +127,19 @@
 func (gossiper *Gossiper) Leave() {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	gossiper.leaving, gossiper.beaten = true, time.Time{}
-	poke(gossiper.changed)
+	gossiper.leaving, gossiper.heartbeatSentAt = true, time.Time{}
+	notify(gossiper.changed)
 }
 
-// to adds news for one instance; the caller holds the lock.
-func (gossiper *Gossiper) to(incarnation string, urgent bool) *linker.News {
-	news, ok := gossiper.direct[incarnation]
+// newsFor adds news for one instance; the caller holds the lock.
+func (gossiper *Gossiper) newsFor(incarnation string, urgent bool) *linker.News {
+	news, ok := gossiper.outbox[incarnation]
 	if !ok {
 		news = &linker.News{}
-		gossiper.direct[incarnation] = news
+		gossiper.outbox[incarnation] = news
 	}
 	gossiper.urgent = gossiper.urgent || urgent
-	poke(gossiper.wake)
+	notify(gossiper.wake)
 	return news
 }
 
@@ -147,7 +147,7 @@
 func (gossiper *Gossiper) Claim(reader string, claim scheduler.Claim) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	news := gossiper.to(reader, false)
+	news := gossiper.newsFor(reader, false)
 	news.Claims = append(news.Claims, linker.Claim{
 		Target: claim.Target, Task: claim.Run.Task, Attempt: claim.Run.Attempt,
 		MilliCores: claim.Resources.MilliCores, MemoryMB: claim.Resources.MemoryMB, Accelerators: claim.Resources.Accelerators,
@@ -159,7 +159,7 @@
 func (gossiper *Gossiper) Withdraw(reader, target string, run scheduler.Run) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	news := gossiper.to(reader, false)
+	news := gossiper.newsFor(reader, false)
 	news.Withdrawn = append(news.Withdrawn, linker.RunName{Target: target, Task: run.Task, Attempt: run.Attempt})
 }
 
@@ -167,7 +167,7 @@
 func (gossiper *Gossiper) RelayStop(reader, target string, run scheduler.Run) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	news := gossiper.to(reader, true)
+	news := gossiper.newsFor(reader, true)
 	news.Stops = append(news.Stops, linker.RunName{Target: target, Task: run.Task, Attempt: run.Attempt})
 }
 
@@ -175,7 +175,7 @@
 func (gossiper *Gossiper) SendRunEnd(owner, target string, end scheduler.End) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	news := gossiper.to(owner, true)
+	news := gossiper.newsFor(owner, true)
 	news.Ends = append(news.Ends, linker.RunEnd{
 		Target: target, Task: end.Run.Task, Attempt: end.Run.Attempt, Number: end.Seq, Cause: int64(end.Cause),
 	})
@@ -185,13 +185,13 @@
 func (gossiper *Gossiper) Abandon(delegate, job string) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	news := gossiper.to(delegate, true)
+	news := gossiper.newsFor(delegate, true)
 	news.Abandoned = append(news.Abandoned, job)
 }
 
 // Call sends a request to an instance and returns the response; see linker.Linker.Call.
 func (gossiper *Gossiper) Call(ctx context.Context, incarnation string, request linker.Request) (linker.Response, error) {
-	links := gossiper.linked()
+	links := gossiper.currentLinks()
 	if links == nil {
 		return nil, linker.ErrNoLink
 	}
@@ -201,14 +201,14 @@
 // AnswerDelegation sends the outcome of a delegated job to the instance that asked for it; if that fails, the link has ended and
 // the instance no longer waits.
 func (gossiper *Gossiper) AnswerDelegation(incarnation string, answer linker.DelegationAnswer) error {
-	links := gossiper.linked()
+	links := gossiper.currentLinks()
 	if links == nil {
 		return linker.ErrNoLink
 	}
 	return links.Send(incarnation, answer)
 }
 
-func (gossiper *Gossiper) linked() *linker.Linker {
+func (gossiper *Gossiper) currentLinks() *linker.Linker {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	return gossiper.links
@@ -218,16 +218,16 @@
 func (gossiper *Gossiper) Offer(to, target string, free scheduler.Resources) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	news := gossiper.to(to, true)
-	news.Rooms = append(news.Rooms, newRoom(scheduler.CapacityReport{Target: target, FreeCapacity: free}))
+	news := gossiper.newsFor(to, true)
+	news.Rooms = append(news.Rooms, encodeReport(scheduler.CapacityReport{Target: target, FreeCapacity: free}))
 }
 
 // Report tells all instances of the room of a target.
 func (gossiper *Gossiper) Report(report scheduler.CapacityReport) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	gossiper.reports[report.Target], gossiper.farReports[report.Target] = report, report
-	poke(gossiper.changed)
+	gossiper.reports[report.Target], gossiper.remoteReports[report.Target] = report, report
+	notify(gossiper.changed)
 }
 
 // SetDemand tells all instances how many tasks wait, and whether this instance has any jobs of its own.
@@ -235,29 +235,29 @@
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	// Only an instance that passes its jobs on is treated by whether it is busy.
-	changed := demand != gossiper.demand || busy != gossiper.busy && gossiper.delegates
+	changed := demand != gossiper.demand || busy != gossiper.busy && gossiper.delegating
 	gossiper.demand, gossiper.busy = demand, busy
 	if changed {
-		poke(gossiper.changed)
+		notify(gossiper.changed)
 	}
 }
 
-func newRoom(report scheduler.CapacityReport) linker.Room {
+func encodeReport(report scheduler.CapacityReport) linker.Room {
 	free := report.FreeCapacity
 	return linker.Room{
 		Target: report.Target, MilliCores: free.MilliCores, MemoryMB: free.MemoryMB, Accelerators: free.Accelerators, Lost: report.Unreachable,
 	}
 }
 
-func poke(wake chan struct{}) {
+func notify(wake chan struct{}) {
 	select {
 	case wake <- struct{}{}:
 	default:
 	}
 }
 
-// sendDirect sends what concerns single instances.
-func (gossiper *Gossiper) sendDirect(ctx context.Context) {
+// sendOutbox sends what concerns single instances.
+func (gossiper *Gossiper) sendOutbox(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -265,11 +265,11 @@
 		case <-gossiper.wake:
 		}
 		if !gossiper.isUrgent() {
-			time.Sleep(flushTime)
+			time.Sleep(flushDelay)
 		}
 		gossiper.mu.Lock()
-		direct, links := gossiper.direct, gossiper.links
-		gossiper.direct, gossiper.urgent = make(map[string]*linker.News, len(direct)), false
+		direct, links := gossiper.outbox, gossiper.links
+		gossiper.outbox, gossiper.urgent = make(map[string]*linker.News, len(direct)), false
 		gossiper.mu.Unlock()
 		if links == nil {
 			continue
@@ -290,7 +290,7 @@
 
 // broadcast sends rooms and demand to all, and a heartbeat if there is nothing to tell.
 func (gossiper *Gossiper) broadcast(ctx context.Context) {
-	timer := time.NewTimer(heartbeatTime)
+	timer := time.NewTimer(heartbeatInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -300,8 +300,8 @@
 		case <-gossiper.changed:
 		}
 		pause := gossiper.sendAll()
-		gossiper.watch()
-		timer.Reset(heartbeatTime)
+		gossiper.detectLostPeers()
+		timer.Reset(heartbeatInterval)
 		time.Sleep(pause)
 	}
 }
@@ -310,14 +310,14 @@
 func (gossiper *Gossiper) sendAll() time.Duration {
 	gossiper.mu.Lock()
 	links := gossiper.links
-	due := gossiper.due(gossiper.now())
+	plan := gossiper.planBroadcasts(gossiper.now())
 	gossiper.mu.Unlock()
 	if links != nil {
-		for _, broadcast := range due.broadcasts {
+		for _, broadcast := range plan.broadcasts {
 			links.Broadcast(broadcast.to, broadcast.news)
 		}
 	}
-	return due.pause
+	return plan.pause
 }
 
 // broadcast is one message and the instances that get it.
@@ -326,22 +326,22 @@
 	news linker.News
 }
 
-// dueNews is what is sent now, and the time to the next broadcast.
-type dueNews struct {
+// broadcastPlan is what is sent now, and the time to the next broadcast.
+type broadcastPlan struct {
 	broadcasts []broadcast
 	pause      time.Duration
 }
 
-// due returns what is to be sent at now: rooms to the own failure domain, less often to others, and heartbeats only to
+// planBroadcasts returns what is to be sent at now: rooms to the own failure domain, less often to others, and heartbeats only to
 // instances that pass their jobs on. Those that have jobs of their own all the same get the rooms too: the owner of a run
 // has to know how long its lease may last. The caller holds the lock.
-func (gossiper *Gossiper) due(now time.Time) dueNews {
-	beatDue := now.Sub(gossiper.beaten) >= heartbeatTime
+func (gossiper *Gossiper) planBroadcasts(now time.Time) broadcastPlan {
+	beatDue := now.Sub(gossiper.heartbeatSentAt) >= heartbeatInterval
 	var near, far, beats []string
 	for incarnation, peer := range gossiper.peers {
 		switch {
-		case peer.delegates && (gossiper.delegates || !peer.busy):
-			if beatDue && !gossiper.delegates {
+		case peer.delegating && (gossiper.delegating || !peer.busy):
+			if beatDue && !gossiper.delegating {
 				beats = append(beats, incarnation)
 			}
 		case peer.hello.Domain == gossiper.self.Domain:
@@ -351,64 +351,64 @@
 		}
 	}
 	// However many instances there are, the others take one that is not heard of for some heartbeats to be gone.
-	pause := min(max(minReportTime, reportTimePerPeer*time.Duration(farTimes*len(near)+len(far))/farTimes), heartbeatTime)
-	due := dueNews{pause: pause}
+	pause := min(max(minBroadcastInterval, broadcastIntervalPerPeer*time.Duration(remoteIntervalFactor*len(near)+len(far))/remoteIntervalFactor), heartbeatInterval)
+	plan := broadcastPlan{pause: pause}
 	news := linker.News{Waiting: append([]int64(nil), gossiper.demand[:]...), Leaving: gossiper.leaving, Busy: gossiper.busy}
 	if len(beats) > 0 {
-		due.broadcasts = append(due.broadcasts, broadcast{beats, news})
+		plan.broadcasts = append(plan.broadcasts, broadcast{beats, news})
 	}
 	if beatDue {
-		gossiper.beaten = now
+		gossiper.heartbeatSentAt = now
 	}
-	if farDue := now.Sub(gossiper.farSent) >= (farTimes-1)*pause; farDue || beatDue {
-		gossiper.farSent = now
+	if farDue := now.Sub(gossiper.remoteSentAt) >= (remoteIntervalFactor-1)*pause; farDue || beatDue {
+		gossiper.remoteSentAt = now
 		if len(far) > 0 {
-			due.broadcasts = append(due.broadcasts, broadcast{far, withRooms(news, gossiper.farReports)})
+			plan.broadcasts = append(plan.broadcasts, broadcast{far, withReports(news, gossiper.remoteReports)})
 		}
-		clear(gossiper.farReports)
+		clear(gossiper.remoteReports)
 	}
 	if len(near) > 0 {
-		due.broadcasts = append(due.broadcasts, broadcast{near, withRooms(news, gossiper.reports)})
+		plan.broadcasts = append(plan.broadcasts, broadcast{near, withReports(news, gossiper.reports)})
 	}
 	clear(gossiper.reports)
-	return due
+	return plan
 }
 
-func withRooms(news linker.News, reports map[string]scheduler.CapacityReport) linker.News {
+func withReports(news linker.News, reports map[string]scheduler.CapacityReport) linker.News {
 	for _, report := range reports {
-		news.Rooms = append(news.Rooms, newRoom(report))
+		news.Rooms = append(news.Rooms, encodeReport(report))
 	}
 	return news
 }
 
-// watch finds the peers that are not heard of any more.
-func (gossiper *Gossiper) watch() {
+// detectLostPeers finds the peers that are not heard of any more.
+func (gossiper *Gossiper) detectLostPeers() {
 	now := gossiper.now()
 	var lost []string
-	links := gossiper.linked()
+	links := gossiper.currentLinks()
 	gossiper.mu.Lock()
-	if now.Sub(gossiper.ticked) > heartbeatTime+pauseTime {
+	if now.Sub(gossiper.checkedAt) > heartbeatInterval+pauseThreshold {
 		// This instance stood still, so that the silence says nothing of the others.
 		for _, peer := range gossiper.peers {
-			peer.heard = now
+			peer.lastHeard = now
 		}
 	}
-	gossiper.ticked = now
+	gossiper.checkedAt = now
 	for incarnation, peer := range gossiper.peers {
-		if gossiper.delegates && peer.delegates && links != nil && links.Connected(incarnation) {
+		if gossiper.delegating && peer.delegating && links != nil && links.Connected(incarnation) {
 			// It sends nothing to this instance, and nothing depends on how soon its loss is known.
 			continue
 		}
-		if !peer.gone && now.Sub(peer.heard) > PeerTimeout {
-			peer.gone = true
+		if !peer.lost && now.Sub(peer.lastHeard) > PeerTimeout {
+			peer.lost = true
 			lost = append(lost, incarnation)
 		}
-		if now.Sub(peer.heard) > forgetTime {
+		if now.Sub(peer.lastHeard) > forgetTimeout {
 			delete(gossiper.peers, incarnation)
 		}
 	}
 	if len(lost) > 0 {
-		gossiper.share()
+		gossiper.updateRoles()
 	}
 	gossiper.mu.Unlock()
 	for _, incarnation := range lost {
@@ -422,18 +422,18 @@
 	case linker.LinkEnded:
 		gossiper.receiver.LinkEnded(from.Incarnation)
 	case linker.News:
-		gossiper.hear(from, message)
+		gossiper.recordContact(from, message)
 		gossiper.receiver.HandleNews(from.Incarnation, message)
 	case linker.Delegation:
-		gossiper.hear(from, linker.News{})
+		gossiper.recordContact(from, linker.News{})
 		gossiper.receiver.HandleDelegation(from.Incarnation, message)
 	default:
-		gossiper.hear(from, linker.News{})
+		gossiper.recordContact(from, linker.News{})
 	}
 }
 
-// hear notes that an instance was heard of; only broadcast news, which name the waiting tasks, tell its state.
-func (gossiper *Gossiper) hear(from linker.Hello, news linker.News) {
+// recordContact notes that an instance was heard of; only broadcast news, which name the waiting tasks, tell its state.
+func (gossiper *Gossiper) recordContact(from linker.Hello, news linker.News) {
 	now := gossiper.now()
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
@@ -446,10 +446,10 @@
 	if len(news.Waiting) > 0 {
 		leaving, known.busy = news.Leaving, news.Busy
 	}
-	changed := !ok || known.gone || leaving != known.leaving
-	known.heard, known.gone, known.leaving = now, false, leaving
+	changed := !ok || known.lost || leaving != known.leaving
+	known.lastHeard, known.lost, known.leaving = now, false, leaving
 	if changed {
-		gossiper.share()
+		gossiper.updateRoles()
 	}
 }
 
@@ -460,10 +460,10 @@
 	defer gossiper.mu.Unlock()
 	silent := make(map[string]bool)
 	for _, peer := range gossiper.peers {
-		if peer.leaving || peer.delegates && gossiper.delegates {
+		if peer.leaving || peer.delegating && gossiper.delegating {
 			continue
 		}
-		quiet := now.Sub(peer.heard) > duration
+		quiet := now.Sub(peer.lastHeard) > duration
 		known, ok := silent[peer.hello.Domain]
 		silent[peer.hello.Domain] = quiet && (known || !ok)
 	}
@@ -475,12 +475,12 @@
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	peer, ok := gossiper.peers[incarnation]
-	return ok && !peer.gone
+	return ok && !peer.lost
 }
 
 // Reachable reports whether news can be sent to the instance now.
 func (gossiper *Gossiper) Reachable(incarnation string) bool {
-	links := gossiper.linked()
+	links := gossiper.currentLinks()
 	return links != nil && links.Connected(incarnation)
 }
 
@@ -488,7 +488,7 @@
 func (gossiper *Gossiper) PeersVersion() int64 {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	return gossiper.version
+	return gossiper.peersVersion
 }
 
 // EligiblePeers returns the hellos of the instances that are heard of, do not leave and do not pass their jobs on.
@@ -497,7 +497,7 @@
 	defer gossiper.mu.Unlock()
 	var staying []linker.Hello
 	for _, peer := range gossiper.peers {
-		if !peer.gone && !peer.leaving && !peer.delegates {
+		if !peer.lost && !peer.leaving && !peer.delegating {
 			staying = append(staying, peer.hello)
 		}
 	}
--- a/gossiper/share.go
+++ b/gossiper/share.go
@@ -1,48 +1,48 @@
 package gossiper
 
 const (
-	// delegationShare: instances below this share of the largest weight pass their jobs on, since callers come without regard
+	// delegationRatio: instances below this share of the largest weight pass their jobs on, since callers come without regard
 	// to size. It lies between the sizes of the grown deployments, 0.18 and 0.6 of the largest: those of 0.18 were full.
-	delegationShare = 0.4
-	// ownShare is the part of all weight that the others must hold for any instance to pass its jobs on, so that a few
+	delegationRatio = 0.4
+	// minRemainingShare is the part of all weight that the others must hold for any instance to pass its jobs on, so that a few
 	// large instances do not get the jobs of many.
-	ownShare = 0.5
+	minRemainingShare = 0.5
 )
 
-// delegationBound returns the weight below which instances pass their jobs on, 0 if none is to.
-func delegationBound(weights []float64) float64 {
+// delegationThreshold returns the weight below which instances pass their jobs on, 0 if none is to.
+func delegationThreshold(weights []float64) float64 {
 	largest, total := 0.0, 0.0
 	for _, weight := range weights {
 		largest = max(largest, weight)
 		total += weight
 	}
-	bound := delegationShare * largest
+	bound := delegationRatio * largest
 	held := 0.0
 	for _, weight := range weights {
 		if weight >= bound {
 			held += weight
 		}
 	}
-	if held < ownShare*total {
+	if held < minRemainingShare*total {
 		return 0
 	}
 	return bound
 }
 
-// share decides anew which instances pass their jobs on, after the instances that stay have changed; the caller holds
+// updateRoles decides anew which instances pass their jobs on, after the instances that stay have changed; the caller holds
 // the lock.
-func (gossiper *Gossiper) share() {
-	gossiper.version++
+func (gossiper *Gossiper) updateRoles() {
+	gossiper.peersVersion++
 	weights := []float64{gossiper.self.Share()}
 	for _, peer := range gossiper.peers {
-		if !peer.gone && !peer.leaving {
+		if !peer.lost && !peer.leaving {
 			weights = append(weights, peer.hello.Share())
 		}
 	}
-	bound := delegationBound(weights)
-	gossiper.delegates = gossiper.self.Share() < bound
+	bound := delegationThreshold(weights)
+	gossiper.delegating = gossiper.self.Share() < bound
 	for _, peer := range gossiper.peers {
-		peer.delegates = peer.hello.Share() < bound
+		peer.delegating = peer.hello.Share() < bound
 	}
 }
 
@@ -50,5 +50,5 @@
 func (gossiper *Gossiper) Delegating() bool {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	return gossiper.delegates
+	return gossiper.delegating
 }
--- a/gossiper/share_test.go
+++ b/gossiper/share_test.go
@@ -11,7 +11,9 @@
 	"github.com/hyssoplift/hyssoplift/scheduler"
 )
 
-func repeated(weight float64, count int) []float64 { return slices.Repeat([]float64{weight}, count) }
+func repeatWeight(weight float64, count int) []float64 {
+	return slices.Repeat([]float64{weight}, count)
+}
 
 // Guards against small instances that fill their processor with as many callers as large ones have, against hops that
 // like instances do not need, and against few large instances that would get the jobs of many small ones.
@@ -21,17 +23,17 @@
 		weights []float64
 		passing int
 	}{
-		{"alone", repeated(0.4, 1), 0},
-		{"all alike", repeated(0.4, 9), 0},
-		{"a little apart", append(repeated(0.4, 5), repeated(0.5, 5)...), 0},
-		{"six large, nine medium, many small", append(append(repeated(0.8, 6), repeated(0.48, 9)...), repeated(0.144, 22)...), 22},
-		{"one large, many small", append(repeated(0.8, 1), repeated(0.144, 22)...), 0},
+		{"alone", repeatWeight(0.4, 1), 0},
+		{"all alike", repeatWeight(0.4, 9), 0},
+		{"a little apart", append(repeatWeight(0.4, 5), repeatWeight(0.5, 5)...), 0},
+		{"six large, nine medium, many small", append(append(repeatWeight(0.8, 6), repeatWeight(0.48, 9)...), repeatWeight(0.144, 22)...), 22},
+		{"one large, many small", append(repeatWeight(0.8, 1), repeatWeight(0.144, 22)...), 0},
 		{"none", nil, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			bound := delegationBound(test.weights)
+			bound := delegationThreshold(test.weights)
 			passing := 0
 			for _, weight := range test.weights {
 				if weight < bound {
@@ -43,22 +45,22 @@
 	}
 }
 
-// recording is a receiver that notes the instances that are gone.
-type recording struct{ gone []string }
+// recordingReceiver is a receiver that notes the instances that are gone.
+type recordingReceiver struct{ lost []string }
 
-func (*recording) HandleNews(string, linker.News)             {}
-func (recording *recording) PeerLost(from string)             { recording.gone = append(recording.gone, from) }
-func (*recording) HandleDelegation(string, linker.Delegation) {}
-func (*recording) LinkEnded(string)                           {}
+func (*recordingReceiver) HandleNews(string, linker.News)             {}
+func (receiver *recordingReceiver) PeerLost(from string)              { receiver.lost = append(receiver.lost, from) }
+func (*recordingReceiver) HandleDelegation(string, linker.Delegation) {}
+func (*recordingReceiver) LinkEnded(string)                           {}
 
 // newTestGossiper returns a gossiper without goroutines, whose time is set through the pointer.
-func newTestGossiper(weight float64) (*Gossiper, *recording, *time.Time) {
+func newTestGossiper(weight float64) (*Gossiper, *recordingReceiver, *time.Time) {
 	now := time.Unix(1_000_000, 0)
-	receiver := &recording{}
+	receiver := &recordingReceiver{}
 	return &Gossiper{
 		self: linker.Hello{Domain: "a", Incarnation: "self", Weight: weight}, receiver: receiver, now: func() time.Time { return now },
-		wake: make(chan struct{}, 1), changed: make(chan struct{}, 1), direct: make(map[string]*linker.News), peers: make(map[string]*peer), ticked: now,
-		reports: make(map[string]scheduler.CapacityReport), farReports: make(map[string]scheduler.CapacityReport),
+		wake: make(chan struct{}, 1), changed: make(chan struct{}, 1), outbox: make(map[string]*linker.News), peers: make(map[string]*peer), checkedAt: now,
+		reports: make(map[string]scheduler.CapacityReport), remoteReports: make(map[string]scheduler.CapacityReport),
 	}, receiver, &now
 }
 
@@ -86,17 +88,17 @@
 	gossiper.meet("next", 0.8)
 	is.True(gossiper.Delegating())
 	*now = now.Add(PeerTimeout / 2)
-	gossiper.watch()
+	gossiper.detectLostPeers()
 	*now = now.Add(PeerTimeout)
-	gossiper.ticked = *now
-	gossiper.watch()
+	gossiper.checkedAt = *now
+	gossiper.detectLostPeers()
 	is.True(!gossiper.Delegating()) // nothing was heard of it
 }
 
-// receivers returns the instances that get rooms and those that get heartbeats only in what is due.
-func (gossiper *Gossiper) receivers() (rooms, beats []string) {
+// broadcastReceivers returns the instances that get rooms and those that get heartbeats only in what is due.
+func (gossiper *Gossiper) broadcastReceivers() (rooms, beats []string) {
 	gossiper.Report(scheduler.CapacityReport{Target: "t"})
-	for _, broadcast := range gossiper.due(gossiper.now()).broadcasts {
+	for _, broadcast := range gossiper.planBroadcasts(gossiper.now()).broadcasts {
 		if len(broadcast.news.Rooms) > 0 {
 			rooms = append(rooms, broadcast.to...)
 		} else {
@@ -113,23 +115,23 @@
 	large, _, now := newTestGossiper(0.8)
 	large.meet("small", 0.144)
 	large.meet("equal", 0.8)
-	rooms, beats := large.receivers()
+	rooms, beats := large.broadcastReceivers()
 	is.Equal(rooms, []string{"equal"})
 	is.Equal(beats, []string{"small"})
-	rooms, beats = large.receivers()
+	rooms, beats = large.broadcastReceivers()
 	is.Equal(len(rooms), 1)
 	is.Equal(len(beats), 0) // not due
 	large.Leave()
-	_, beats = large.receivers()
+	_, beats = large.broadcastReceivers()
 	is.Equal(len(beats), 1) // a planned stop is told at once
-	*now = now.Add(heartbeatTime)
-	_, beats = large.receivers()
+	*now = now.Add(heartbeatInterval)
+	_, beats = large.broadcastReceivers()
 	is.Equal(len(beats), 1)
 
 	small, _, _ := newTestGossiper(0.144)
 	small.meet("small", 0.144)
 	small.meet("large", 0.8)
-	rooms, beats = small.receivers()
+	rooms, beats = small.broadcastReceivers()
 	is.Equal(rooms, []string{"large"})
 	is.Equal(len(beats), 0)
 }
@@ -143,11 +145,11 @@
 	far := linker.Hello{Domain: "b", Incarnation: "far", Weight: 0.4}
 	gossiper.Receive(far, far)
 	counts := make(map[string]int)
-	pause := gossiper.due(*now).pause
+	pause := gossiper.planBroadcasts(*now).pause
 	for range 30 {
 		*now = now.Add(pause)
 		gossiper.Report(scheduler.CapacityReport{Target: "t"})
-		for _, broadcast := range gossiper.due(*now).broadcasts {
+		for _, broadcast := range gossiper.planBroadcasts(*now).broadcasts {
 			for _, to := range broadcast.to {
 				counts[to] += len(broadcast.news.Rooms)
 			}
@@ -156,11 +158,11 @@
 	is.Equal(counts["near"], 30)
 	is.True(counts["far"] >= 10 && counts["far"] <= 16)
 	gossiper.Report(scheduler.CapacityReport{Target: "t"})
-	gossiper.farSent = now.Add(-time.Millisecond)
-	gossiper.beaten = *now
-	is.Equal(len(gossiper.due(*now).broadcasts), 1)
-	*now = now.Add(heartbeatTime)
-	is.Equal(len(gossiper.due(*now).broadcasts), 2) // with the room that it has not heard of
+	gossiper.remoteSentAt = now.Add(-time.Millisecond)
+	gossiper.heartbeatSentAt = *now
+	is.Equal(len(gossiper.planBroadcasts(*now).broadcasts), 1)
+	*now = now.Add(heartbeatInterval)
+	is.Equal(len(gossiper.planBroadcasts(*now).broadcasts), 2) // with the room that it has not heard of
 }
 
 // Guards against an instance that passes its jobs on, still has runs of its own, and hears of no renewed lease: it would
@@ -169,14 +171,14 @@
 	is := is.New(t)
 	large, _, _ := newTestGossiper(0.8)
 	large.meet("small", 0.144)
-	rooms, _ := large.receivers()
+	rooms, _ := large.broadcastReceivers()
 	is.Equal(len(rooms), 0)
 	large.Receive(linker.Hello{Domain: "a", Incarnation: "small", Weight: 0.144}, linker.News{Waiting: []int64{0}, Busy: true})
-	rooms, beats := large.receivers()
+	rooms, beats := large.broadcastReceivers()
 	is.Equal(rooms, []string{"small"})
 	is.Equal(len(beats), 0)
 	large.Receive(linker.Hello{Domain: "a", Incarnation: "small", Weight: 0.144}, linker.News{Waiting: []int64{0}})
-	rooms, _ = large.receivers()
+	rooms, _ = large.broadcastReceivers()
 	is.Equal(len(rooms), 0)
 }
 
@@ -187,14 +189,14 @@
 	gossiper, receiver, now := newTestGossiper(0.4)
 	gossiper.meet("peer", 0.4)
 	*now = now.Add(10 * time.Second)
-	gossiper.watch() // this instance stood still
-	is.Equal(len(receiver.gone), 0)
+	gossiper.detectLostPeers() // this instance stood still
+	is.Equal(len(receiver.lost), 0)
 	is.True(gossiper.Alive("peer"))
 	for range 5 {
-		*now = now.Add(heartbeatTime)
-		gossiper.watch()
+		*now = now.Add(heartbeatInterval)
+		gossiper.detectLostPeers()
 	}
-	is.Equal(receiver.gone, []string{"peer"})
+	is.Equal(receiver.lost, []string{"peer"})
 	is.True(!gossiper.Alive("peer"))
 	gossiper.meet("peer", 0.4)
 	is.True(gossiper.Alive("peer"))
