--- a/executor/delegation.go
+++ b/executor/delegation.go
@@ -88,20 +88,20 @@
 func (executor *Executor) delegate(job scheduler.Job, to string) {
 	now := executor.now()
 	ctx, cancel := context.WithTimeout(executor.ctx, job.Deadline.Sub(now)+delegationMargin)
-	delegation := &delegation{job: job, delegate: to, cancel: cancel}
-	executor.delegations[job.ID] = delegation
+	entry := &delegation{job: job, delegate: to, cancel: cancel}
+	executor.delegated[job.ID] = entry
 	executor.group.Go(func() {
 		defer cancel()
 		response, err := executor.peers.Call(ctx, to, encodeJob(&job, now))
 		executor.mu.Lock()
 		defer executor.mu.Unlock()
-		if executor.delegations[job.ID] != delegation {
+		if executor.delegated[job.ID] != entry {
 			// The caller left or cancelled the job.
 			return
 		}
-		delete(executor.delegations, job.ID)
+		delete(executor.delegated, job.ID)
 		if err != nil {
-			executor.delegationFailed(delegation, err)
+			executor.delegationFailed(entry, err)
 			return
 		}
 		outcome, err := linker.DecodeOutcome(response.(linker.DelegationAnswer).Outcome, executor.now())
@@ -109,71 +109,71 @@
 			executor.logger.Error("answer of delegate cannot be read", "job", job.ID, "delegate", to, "error", eris.ToString(err, false))
 			outcome = dispatcher.NewUnknown("the answer of the instance that ran the job cannot be read")
 		}
-		executor.answerDelegated(delegation, outcome)
+		executor.answerDelegated(entry, outcome)
 	})
 }
 
 // delegationFailed runs a job here that was not sent, and answers one unknown whose delegate may run it; the caller
 // holds the lock.
-func (executor *Executor) delegationFailed(delegation *delegation, err error) {
+func (executor *Executor) delegationFailed(entry *delegation, err error) {
 	if eris.Is(err, linker.ErrNoLink) || eris.Is(err, linker.ErrQueueFull) {
-		executor.logger.Info("job is not passed on", "job", delegation.job.ID, "delegate", delegation.delegate, "error", eris.ToString(err, false))
-		executor.scheduler.Submit(delegation.job, executor.now())
+		executor.logger.Info("job is not passed on", "job", entry.job.ID, "delegate", entry.delegate, "error", eris.ToString(err, false))
+		executor.scheduler.Submit(entry.job, executor.now())
 		executor.runActions()
 		return
 	}
-	executor.abandon(delegation.delegate, delegation.job.ID)
-	executor.answerDelegated(delegation, dispatcher.NewUnknown("the instance that ran the job did not answer"))
+	executor.abandon(entry.delegate, entry.job.ID)
+	executor.answerDelegated(entry, dispatcher.NewUnknown("the instance that ran the job did not answer"))
 }
 
 // handleDelegateLost answers the jobs that an instance ran which is not heard of any more; the caller holds the lock.
 func (executor *Executor) handleDelegateLost(delegate string) {
-	for id, delegation := range executor.delegations {
-		if delegation.delegate == delegate {
+	for id, entry := range executor.delegated {
+		if entry.delegate == delegate {
 			executor.abandonDelegated(id, "the instance is not heard of")
-			executor.answerDelegated(delegation, dispatcher.NewUnknown("the instance that ran the job is not heard of"))
+			executor.answerDelegated(entry, dispatcher.NewUnknown("the instance that ran the job is not heard of"))
 		}
 	}
 }
 
 // answerDelegated gives the outcome of a delegated job to its callers; the caller holds the lock.
-func (executor *Executor) answerDelegated(delegation *delegation, outcome dispatcher.Outcome) {
+func (executor *Executor) answerDelegated(entry *delegation, outcome dispatcher.Outcome) {
 	now := executor.now()
-	executor.logger.Info("job answered for delegate", "job", delegation.job.ID, "delegate", delegation.delegate, "outcome", dispatcher.ClassOf(outcome),
-		"took-ms", now.Sub(delegation.job.Arrived).Milliseconds(), "late-ms", max(0, now.Sub(delegation.job.Objective)).Milliseconds())
+	executor.logger.Info("job answered for delegate", "job", entry.job.ID, "delegate", entry.delegate, "outcome", dispatcher.ClassOf(outcome),
+		"took-ms", now.Sub(entry.job.Arrived).Milliseconds(), "late-ms", max(0, now.Sub(entry.job.Objective)).Milliseconds())
 	executor.meter.countDelegated(outcome)
-	executor.deliver(delegation.job.ID, outcome)
+	executor.deliver(entry.job.ID, outcome)
 }
 
 // abandonDelegated gives a delegated job up and reports whether there was one; the caller holds the lock.
 func (executor *Executor) abandonDelegated(job, reason string) bool {
-	delegation, ok := executor.delegations[job]
+	entry, ok := executor.delegated[job]
 	if !ok {
 		return false
 	}
-	delete(executor.delegations, job)
-	delegation.cancel()
-	executor.logger.Info("delegated job abandoned", "job", job, "delegate", delegation.delegate, "reason", reason)
-	executor.abandon(delegation.delegate, job)
+	delete(executor.delegated, job)
+	entry.cancel()
+	executor.logger.Info("delegated job abandoned", "job", job, "delegate", entry.delegate, "reason", reason)
+	executor.abandon(entry.delegate, job)
 	return true
 }
 
 // abandon tells a delegate, now and for a while, to give a job up; the caller holds the lock.
 func (executor *Executor) abandon(delegate, job string) {
 	executor.peers.Abandon(delegate, job)
-	executor.abandonments = append(executor.abandonments, abandonment{delegate, job, executor.now().Add(abandonRepeatTime)})
+	executor.abandoned = append(executor.abandoned, abandonment{delegate, job, executor.now().Add(abandonRepeatTime)})
 }
 
 // repeatAbandonments tells delegates again what they are to give up; the caller holds the lock.
 func (executor *Executor) repeatAbandonments(now time.Time) {
-	kept := executor.abandonments[:0]
-	for _, abandoned := range executor.abandonments {
+	kept := executor.abandoned[:0]
+	for _, abandoned := range executor.abandoned {
 		if now.Before(abandoned.until) {
 			executor.peers.Abandon(abandoned.delegate, abandoned.job)
 			kept = append(kept, abandoned)
 		}
 	}
-	executor.abandonments = kept
+	executor.abandoned = kept
 }
 
 // HandleDelegation runs a job for another instance; it returns at once.
--- a/executor/executor.go
+++ b/executor/executor.go
@@ -83,16 +83,16 @@
 	scheduler *scheduler.Scheduler
 	waiters   map[string][]chan dispatcher.Outcome
 	pollers   map[string]*poller
-	// silentDomains holds the failure domains of which nothing is heard.
-	silentDomains map[string]bool
+	// silent holds the failure domains of which nothing is heard.
+	silent map[string]bool
 	// assignedVersion is the version of the peers for which the readers were decided.
 	assignedVersion int64
 	// delegating means that this instance passes its jobs on. delegated holds the jobs that were, abandoned those whose
 	// delegates are told to give them up, and foreign ends what this instance runs for others.
-	delegating   bool
-	delegations  map[string]*delegation
-	abandonments []abandonment
-	foreignJobs  map[foreignJob]context.CancelFunc
+	delegating  bool
+	delegated   map[string]*delegation
+	abandoned   []abandonment
+	foreignJobs map[foreignJob]context.CancelFunc
 	// leaving means that a planned stop has begun, and reassign that the readers have to be decided anew.
 	leaving  bool
 	reassign bool
@@ -102,20 +102,20 @@
 func New(self linker.Hello, client TargetClient, now func() time.Time, logger hclog.Logger) *Executor {
 	ctx, cancel := context.WithCancel(context.Background())
 	executor := &Executor{
-		client:        client,
-		self:          self,
-		logger:        logger,
-		now:           now,
-		meter:         newMeter(),
-		ctx:           ctx,
-		cancel:        cancel,
-		peersKnownAt:  now().Add(startupGrace),
-		scheduler:     scheduler.New(self.Incarnation, self.Domain),
-		waiters:       make(map[string][]chan dispatcher.Outcome),
-		pollers:       make(map[string]*poller),
-		silentDomains: make(map[string]bool),
-		delegations:   make(map[string]*delegation),
-		foreignJobs:   make(map[foreignJob]context.CancelFunc),
+		client:       client,
+		self:         self,
+		logger:       logger,
+		now:          now,
+		meter:        newMeter(),
+		ctx:          ctx,
+		cancel:       cancel,
+		peersKnownAt: now().Add(startupGrace),
+		scheduler:    scheduler.New(self.Incarnation, self.Domain),
+		waiters:      make(map[string][]chan dispatcher.Outcome),
+		pollers:      make(map[string]*poller),
+		silent:       make(map[string]bool),
+		delegated:    make(map[string]*delegation),
+		foreignJobs:  make(map[foreignJob]context.CancelFunc),
 	}
 	executor.meter.registerGauges(executor)
 	executor.peers = gossiper.New(self, executor, now)
@@ -177,7 +177,7 @@
 
 // has reports whether the job has no answer yet; the caller holds the lock.
 func (executor *Executor) has(job string) bool {
-	_, delegated := executor.delegations[job]
+	_, delegated := executor.delegated[job]
 	return delegated || executor.scheduler.Has(job)
 }
 
@@ -285,7 +285,7 @@
 func (executor *Executor) runAction(action scheduler.Action) {
 	switch action := action.(type) {
 	case scheduler.StartTask:
-		if reader := executor.readerOf(action.Target); reader != executor.self.Incarnation {
+		if reader := executor.reader(action.Target); reader != executor.self.Incarnation {
 			executor.peers.Claim(reader, action.Claim)
 		}
 		executor.wake(action.Target)
@@ -293,13 +293,13 @@
 	case scheduler.StopRun:
 		go executor.stop(action)
 	case scheduler.AnswerJob:
-		executor.handleAnswer(action)
+		executor.answer(action)
 	case scheduler.WithdrawClaim:
-		if reader := executor.readerOf(action.Target); reader != executor.self.Incarnation {
+		if reader := executor.reader(action.Target); reader != executor.self.Incarnation {
 			executor.peers.Withdraw(reader, action.Target, action.Run)
 		}
 	case scheduler.RelayStop:
-		if reader := executor.readerOf(action.Target); reader != executor.self.Incarnation {
+		if reader := executor.reader(action.Target); reader != executor.self.Incarnation {
 			executor.peers.RelayStop(reader, action.Target, action.Run)
 		}
 	case scheduler.OfferCapacity:
@@ -307,7 +307,7 @@
 	}
 }
 
-func (executor *Executor) handleAnswer(answer scheduler.AnswerJob) {
+func (executor *Executor) answer(answer scheduler.AnswerJob) {
 	executor.meter.countAnswer(answer)
 	executor.logAnswer(answer)
 	executor.deliver(answer.Job, answer.Outcome)
@@ -413,10 +413,10 @@
 // would otherwise take the starts on each of their targets until it is found out on its own.
 func (executor *Executor) watchDomains() {
 	for domain, silent := range executor.peers.SilentDomains(domainTimeout) {
-		if domain == executor.self.Domain || executor.silentDomains[domain] == silent {
+		if domain == executor.self.Domain || executor.silent[domain] == silent {
 			continue
 		}
-		executor.silentDomains[domain] = silent
+		executor.silent[domain] = silent
 		executor.scheduler.SetDomainSuspended(domain, silent)
 		if silent {
 			executor.logger.Warn("failure domain is not heard of", "domain", domain)
--- a/executor/news.go
+++ b/executor/news.go
@@ -74,8 +74,8 @@
 	executor.runActions()
 }
 
-// readerOf returns the incarnation that reads a target; the caller holds the lock.
-func (executor *Executor) readerOf(target string) string {
+// reader returns the incarnation that reads a target; the caller holds the lock.
+func (executor *Executor) reader(target string) string {
 	if poller, ok := executor.pollers[target]; ok {
 		return poller.reader
 	}
@@ -89,10 +89,10 @@
 		return
 	}
 	executor.assignedVersion, executor.reassign = version, false
-	if delegates := executor.peers.Delegating(); delegates != executor.delegating {
-		executor.delegating = delegates
-		executor.logger.Info("share of jobs changed", "passes-on", delegates, "weight", executor.self.Weight)
-		if delegates {
+	if delegating := executor.peers.Delegating(); delegating != executor.delegating {
+		executor.delegating = delegating
+		executor.logger.Info("share of jobs changed", "passes-on", delegating, "weight", executor.self.Weight)
+		if delegating {
 			executor.client.CloseIdle()
 		}
 	}
@@ -115,11 +115,11 @@
 	}
 	best := pickReader(&target, candidates)
 	poller.reader = best.Incarnation
-	reads := best.Incarnation == executor.self.Incarnation
-	if poller.isReader.Swap(reads) != reads {
-		executor.logger.Debug("reader of target changed", "target", poller.id, "own", reads, "reader", best.Name)
+	isReader := best.Incarnation == executor.self.Incarnation
+	if poller.isReader.Swap(isReader) != isReader {
+		executor.logger.Debug("reader of target changed", "target", poller.id, "own", isReader, "reader", best.Name)
 	}
-	executor.scheduler.SetReader(poller.id, reads, now)
+	executor.scheduler.SetReader(poller.id, isReader, now)
 	executor.wake(poller.id)
 }
 
@@ -158,6 +158,6 @@
 // caller holds the lock.
 func (executor *Executor) repeatClaims() {
 	for _, claim := range executor.scheduler.Claims() {
-		executor.peers.Claim(executor.readerOf(claim.Target), claim)
+		executor.peers.Claim(executor.reader(claim.Target), claim)
 	}
 }
--- a/executor/looker.go
+++ b/executor/poller.go
@@ -226,12 +226,12 @@
 
 // withholds reports whether an end is to stay unacknowledged for now.
 func (poller *poller) withholds(number int64, now time.Time) bool {
-	until, held := poller.withheld[number]
-	if held && !now.Before(until) {
+	until, withheld := poller.withheld[number]
+	if withheld && !now.Before(until) {
 		delete(poller.withheld, number)
 		return false
 	}
-	return held
+	return withheld
 }
 
 // degraded reports whether a look got no answer lately.
--- a/executor/looker_test.go
+++ b/executor/poller_test.go
@@ -66,7 +66,7 @@
 	now := time.Now()
 	tests := []struct {
 		name     string
-		reads    bool
+		isReader bool
 		work     scheduler.TargetState
 		failures int
 		due      bool
@@ -90,7 +90,7 @@
 			if strings.HasSuffix(test.name, "others not known yet") {
 				poller.polled, poller.peersKnownAt = false, now.Add(startupGrace)
 			}
-			poller.isReader.Store(test.reads)
+			poller.isReader.Store(test.isReader)
 			_, pause := poller.nextPoll(test.work, now)
 			is.Equal(pause <= 0, test.due)
 		})
--- a/executor/soak_test.go
+++ b/executor/soak_test.go
@@ -72,7 +72,7 @@
 	return targets
 }
 
-func (targets *leasedTargets) list() []scheduler.Target {
+func (targets *leasedTargets) infos() []scheduler.Target {
 	infos := make([]scheduler.Target, 0, len(targets.targets))
 	for id := range targets.targets {
 		infos = append(infos, scheduler.Target{ID: id, Service: "work", Domain: "a", Capacity: scheduler.Resources{MilliCores: 8000, MemoryMB: 1 << 20}})
@@ -263,7 +263,7 @@
 		self := linker.Hello{Domain: "a", Name: fmt.Sprintf("n%d", number), Incarnation: fmt.Sprintf("n%d", number), Weight: weight}
 		limits := linker.DefaultLimits()
 		limits.SilenceLimit, limits.PingInterval = 700*time.Millisecond, 300*time.Millisecond
-		added := newMember(t, self, leasedClient{soak.leasedTargets, self.Name}, limits, soak.list())
+		added := newMember(t, self, leasedClient{soak.leasedTargets, self.Name}, limits, soak.infos())
 		proxy := newProxy(t, strings.TrimPrefix(added.server.URL, "http://"))
 		soak.members, soak.proxies = append(soak.members, added), append(soak.proxies, proxy)
 		peers = append(peers, linker.Peer{Name: self.Name, Incarnation: self.Incarnation, Address: proxy.address()})
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -48,7 +48,7 @@
 	hello     linker.Hello
 	lastHeard time.Time
 	leaving   bool
-	lost      bool
+	failed    bool
 	// delegating means that the instance passes its jobs on. Two such instances send each other nothing.
 	delegating bool
 	// busy means that it has jobs of its own all the same, such as those of before it knew the others.
@@ -268,13 +268,13 @@
 			time.Sleep(flushDelay)
 		}
 		gossiper.mu.Lock()
-		direct, links := gossiper.outbox, gossiper.links
-		gossiper.outbox, gossiper.urgent = make(map[string]*linker.News, len(direct)), false
+		outbox, links := gossiper.outbox, gossiper.links
+		gossiper.outbox, gossiper.urgent = make(map[string]*linker.News, len(outbox)), false
 		gossiper.mu.Unlock()
 		if links == nil {
 			continue
 		}
-		for incarnation, news := range direct {
+		for incarnation, news := range outbox {
 			// What cannot be sent is repeated: claims and abandoned jobs by their owner, and ends when a claim comes after
 			// them.
 			_ = links.Send(incarnation, *news)
@@ -310,7 +310,7 @@
 func (gossiper *Gossiper) sendAll() time.Duration {
 	gossiper.mu.Lock()
 	links := gossiper.links
-	plan := gossiper.planBroadcasts(gossiper.now())
+	plan := gossiper.plan(gossiper.now())
 	gossiper.mu.Unlock()
 	if links != nil {
 		for _, broadcast := range plan.broadcasts {
@@ -332,10 +332,10 @@
 	pause      time.Duration
 }
 
-// planBroadcasts returns what is to be sent at now: rooms to the own failure domain, less often to others, and heartbeats only to
+// plan returns what is to be sent at now: rooms to the own failure domain, less often to others, and heartbeats only to
 // instances that pass their jobs on. Those that have jobs of their own all the same get the rooms too: the owner of a run
 // has to know how long its lease may last. The caller holds the lock.
-func (gossiper *Gossiper) planBroadcasts(now time.Time) broadcastPlan {
+func (gossiper *Gossiper) plan(now time.Time) broadcastPlan {
 	beatDue := now.Sub(gossiper.heartbeatSentAt) >= heartbeatInterval
 	var near, far, beats []string
 	for incarnation, peer := range gossiper.peers {
@@ -399,8 +399,8 @@
 			// It sends nothing to this instance, and nothing depends on how soon its loss is known.
 			continue
 		}
-		if !peer.lost && now.Sub(peer.lastHeard) > PeerTimeout {
-			peer.lost = true
+		if !peer.failed && now.Sub(peer.lastHeard) > PeerTimeout {
+			peer.failed = true
 			lost = append(lost, incarnation)
 		}
 		if now.Sub(peer.lastHeard) > forgetTimeout {
@@ -446,8 +446,8 @@
 	if len(news.Waiting) > 0 {
 		leaving, known.busy = news.Leaving, news.Busy
 	}
-	changed := !ok || known.lost || leaving != known.leaving
-	known.lastHeard, known.lost, known.leaving = now, false, leaving
+	changed := !ok || known.failed || leaving != known.leaving
+	known.lastHeard, known.failed, known.leaving = now, false, leaving
 	if changed {
 		gossiper.updateRoles()
 	}
@@ -475,7 +475,7 @@
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	peer, ok := gossiper.peers[incarnation]
-	return ok && !peer.lost
+	return ok && !peer.failed
 }
 
 // Reachable reports whether news can be sent to the instance now.
@@ -497,7 +497,7 @@
 	defer gossiper.mu.Unlock()
 	var staying []linker.Hello
 	for _, peer := range gossiper.peers {
-		if !peer.lost && !peer.leaving && !peer.delegating {
+		if !peer.failed && !peer.leaving && !peer.delegating {
 			staying = append(staying, peer.hello)
 		}
 	}
--- a/gossiper/share_test.go
+++ b/gossiper/gossiper_test.go
@@ -45,18 +45,18 @@
 	}
 }
 
-// recordingReceiver is a receiver that notes the instances that are gone.
-type recordingReceiver struct{ lost []string }
+// recorder is a receiver that notes the instances that are gone.
+type recorder struct{ lost []string }
 
-func (*recordingReceiver) HandleNews(string, linker.News)             {}
-func (receiver *recordingReceiver) PeerLost(from string)              { receiver.lost = append(receiver.lost, from) }
-func (*recordingReceiver) HandleDelegation(string, linker.Delegation) {}
-func (*recordingReceiver) LinkEnded(string)                           {}
+func (*recorder) HandleNews(string, linker.News)             {}
+func (recorder *recorder) PeerLost(from string)              { recorder.lost = append(recorder.lost, from) }
+func (*recorder) HandleDelegation(string, linker.Delegation) {}
+func (*recorder) LinkEnded(string)                           {}
 
 // newTestGossiper returns a gossiper without goroutines, whose time is set through the pointer.
-func newTestGossiper(weight float64) (*Gossiper, *recordingReceiver, *time.Time) {
+func newTestGossiper(weight float64) (*Gossiper, *recorder, *time.Time) {
 	now := time.Unix(1_000_000, 0)
-	receiver := &recordingReceiver{}
+	receiver := &recorder{}
 	return &Gossiper{
 		self: linker.Hello{Domain: "a", Incarnation: "self", Weight: weight}, receiver: receiver, now: func() time.Time { return now },
 		wake: make(chan struct{}, 1), changed: make(chan struct{}, 1), outbox: make(map[string]*linker.News), peers: make(map[string]*peer), checkedAt: now,
@@ -98,7 +98,7 @@
 // broadcastReceivers returns the instances that get rooms and those that get heartbeats only in what is due.
 func (gossiper *Gossiper) broadcastReceivers() (rooms, beats []string) {
 	gossiper.Report(scheduler.CapacityReport{Target: "t"})
-	for _, broadcast := range gossiper.planBroadcasts(gossiper.now()).broadcasts {
+	for _, broadcast := range gossiper.plan(gossiper.now()).broadcasts {
 		if len(broadcast.news.Rooms) > 0 {
 			rooms = append(rooms, broadcast.to...)
 		} else {
@@ -145,11 +145,11 @@
 	far := linker.Hello{Domain: "b", Incarnation: "far", Weight: 0.4}
 	gossiper.Receive(far, far)
 	counts := make(map[string]int)
-	pause := gossiper.planBroadcasts(*now).pause
+	pause := gossiper.plan(*now).pause
 	for range 30 {
 		*now = now.Add(pause)
 		gossiper.Report(scheduler.CapacityReport{Target: "t"})
-		for _, broadcast := range gossiper.planBroadcasts(*now).broadcasts {
+		for _, broadcast := range gossiper.plan(*now).broadcasts {
 			for _, to := range broadcast.to {
 				counts[to] += len(broadcast.news.Rooms)
 			}
@@ -160,9 +160,9 @@
 	gossiper.Report(scheduler.CapacityReport{Target: "t"})
 	gossiper.remoteSentAt = now.Add(-time.Millisecond)
 	gossiper.heartbeatSentAt = *now
-	is.Equal(len(gossiper.planBroadcasts(*now).broadcasts), 1)
+	is.Equal(len(gossiper.plan(*now).broadcasts), 1)
 	*now = now.Add(heartbeatInterval)
-	is.Equal(len(gossiper.planBroadcasts(*now).broadcasts), 2) // with the room that it has not heard of
+	is.Equal(len(gossiper.plan(*now).broadcasts), 2) // with the room that it has not heard of
 }
 
 // Guards against an instance that passes its jobs on, still has runs of its own, and hears of no renewed lease: it would
--- a/gossiper/share.go
+++ b/gossiper/roles.go
@@ -35,7 +35,7 @@
 	gossiper.peersVersion++
 	weights := []float64{gossiper.self.Share()}
 	for _, peer := range gossiper.peers {
-		if !peer.lost && !peer.leaving {
+		if !peer.failed && !peer.leaving {
 			weights = append(weights, peer.hello.Share())
 		}
 	}
--- a/scheduler/admit.go
+++ b/scheduler/admit.go
@@ -32,7 +32,7 @@
 	if now.Add(needed).After(job.Deadline) {
 		return scheduler.refusal(job, dispatcher.ReasonDeadline, "the job takes longer than its caller waits", now), false
 	}
-	job.load = scheduler.admissionLoad(job, rate, now)
+	job.load = scheduler.load(job, rate, now)
 	job.load.MaxWait = scheduler.maxWait(job, rate)
 	job.startDeadline = now.Add(job.load.MaxWait)
 	if job.load.ExpectedWait > job.load.MaxWait {
@@ -58,8 +58,8 @@
 	return false
 }
 
-// admissionLoad returns how much work is ahead of a job, and how long it takes until the last task of its first steps finds room.
-func (scheduler *Scheduler) admissionLoad(job *job, rate releaseRate, now time.Time) Load {
+// load returns how much work is ahead of a job, and how long it takes until the last task of its first steps finds room.
+func (scheduler *Scheduler) load(job *job, rate releaseRate, now time.Time) Load {
 	needed := int64(0)
 	var resources Resources
 	for _, task := range job.tasks {
@@ -151,6 +151,6 @@
 
 // refusal returns a refusal that names when to come back: after the tasks ahead have found room.
 func (scheduler *Scheduler) refusal(job *job, reason dispatcher.Reason, detail string, now time.Time) dispatcher.Refused {
-	load := scheduler.admissionLoad(job, scheduler.releaseRateOf(job.Service, now), now)
+	load := scheduler.load(job, scheduler.releaseRateOf(job.Service, now), now)
 	return dispatcher.NewRefused(reason, detail, "", now.Add(max(load.ExpectedWait, minRetryAfter)))
 }
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -12,7 +12,7 @@
 func (scheduler *Scheduler) HandleStartResult(targetID string, run Run, result StartResult, now time.Time) {
 	target := scheduler.targets[targetID]
 	task := scheduler.tasks[run.Task]
-	current := task != nil && task.state == starting && task.isLatestRun(targetID, run)
+	current := task != nil && task.state == starting && task.latest(targetID, run)
 	if task != nil && result.mayHaveRun() {
 		task.job.mayHaveStarted = true
 	}
@@ -26,7 +26,7 @@
 		}
 		if current {
 			task.state = stopping
-			task.avoid(task.target)
+			task.avoid(task.runTarget)
 		}
 	case StartNoRoom, StartStale, StartLate, StartRefused, StartImpossible, StartUnsent:
 		scheduler.handleStartRejected(target, run, result, now)
@@ -48,7 +48,7 @@
 	switch {
 	case current:
 		task.state = running
-	case target != nil && (task == nil || !task.isLatestRun(target.ID, run) || task.state == waiting):
+	case target != nil && (task == nil || !task.latest(target.ID, run) || task.state == waiting):
 		// The job was given up while the order was on its way.
 		scheduler.emit(StopRun{On: target.Target, Run: run, Reason: "job was given up"})
 	}
@@ -95,13 +95,13 @@
 func (scheduler *Scheduler) requeueRejected(task *task, result StartResult, now time.Time) {
 	switch result {
 	case StartImpossible:
-		task.avoid(task.target)
+		task.avoid(task.runTarget)
 		if len(task.avoided) >= task.job.MaxFailures {
 			scheduler.finish(task.job, dispatcher.NewFailed("targets hold the task to be wrong", nil), "task is wrong", now)
 			return
 		}
 	case StartStale, StartRefused, StartUnsent:
-		task.avoid(task.target)
+		task.avoid(task.runTarget)
 	case StartTaken, StartNoRoom, StartLate, StartUnanswered:
 	}
 	scheduler.enqueue(task)
@@ -128,7 +128,7 @@
 		scheduler.setUnreachable(target)
 	}
 	task := scheduler.tasks[run.Task]
-	if task == nil || task.state != stopping || !task.isLatestRun(targetID, run) {
+	if task == nil || task.state != stopping || !task.latest(targetID, run) {
 		return
 	}
 	if stopped {
@@ -177,7 +177,7 @@
 
 // releaseRun frees the room of a run and returns what was known of it, or nil.
 func (scheduler *Scheduler) releaseRun(target *target, run Run) *allocation {
-	allocation := target.release(run)
+	allocation := target.releaseRun(run)
 	if allocation != nil && target.isReader {
 		scheduler.changedTargets[target.ID] = true
 	}
@@ -188,12 +188,12 @@
 	if end.Cause != NeverRan {
 		task.job.mayHaveStarted = true
 	}
-	own := task.isLatestRun(targetID, end.Run)
+	own := task.latest(targetID, end.Run)
 	latest := own && task.mayBeRunning()
 	switch {
 	case end.Cause == Done && task.state != done:
 		if task.mayBeRunning() && !latest {
-			scheduler.emit(StopRun{On: task.target.Target, Run: task.run(), Reason: "an earlier run is done"})
+			scheduler.emit(StopRun{On: task.runTarget.Target, Run: task.run(), Reason: "an earlier run is done"})
 		}
 		scheduler.completeTask(task, now)
 	case !latest && task.state == waiting && own:
@@ -229,7 +229,7 @@
 
 func (scheduler *Scheduler) handleTaskFailure(task *task, now time.Time) {
 	task.failures++
-	task.avoid(task.target)
+	task.avoid(task.runTarget)
 	if task.failures >= task.job.MaxFailures {
 		scheduler.finish(task.job, dispatcher.NewFailed("a task has failed as often as its route allows", nil), "a task has failed", now)
 		return
@@ -289,7 +289,7 @@
 func (scheduler *Scheduler) handleMissingRun(target *target, run Run, allocation *allocation, now time.Time) {
 	if allocation.missingSince.IsZero() {
 		allocation.missingSince = now
-		if task := scheduler.tasks[run.Task]; task != nil && task.isLatestRun(target.ID, run) && task.state == running {
+		if task := scheduler.tasks[run.Task]; task != nil && task.latest(target.ID, run) && task.state == running {
 			task.missingSince = now
 			return
 		}
@@ -315,7 +315,7 @@
 		}
 		scheduler.releaseRun(target, run)
 		task := scheduler.tasks[run.Task]
-		if task != nil && task.isLatestRun(target.ID, run) && task.mayBeRunning() && task.state != starting {
+		if task != nil && task.latest(target.ID, run) && task.mayBeRunning() && task.state != starting {
 			task.notBefore = time.Time{}
 			scheduler.requeueLost(task, now)
 		}
@@ -431,7 +431,7 @@
 	delete(scheduler.changedTargets, targetID)
 	for run, allocation := range target.allocations {
 		if allocation.owner != scheduler.self {
-			target.release(run)
+			target.releaseRun(run)
 		}
 	}
 }
@@ -441,8 +441,8 @@
 	var claims []Claim
 	for _, name := range slices.Sorted(maps.Keys(scheduler.tasks)) {
 		task := scheduler.tasks[name]
-		if task.mayBeRunning() && task.state != uncertain && !task.target.isReader {
-			claims = append(claims, Claim{Target: task.target.ID, Run: task.run(), Resources: task.spec().Resources, Estimate: task.spec().Estimate})
+		if task.mayBeRunning() && task.state != uncertain && !task.runTarget.isReader {
+			claims = append(claims, Claim{Target: task.runTarget.ID, Run: task.run(), Resources: task.spec().Resources, Estimate: task.spec().Estimate})
 		}
 	}
 	return claims
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -35,8 +35,8 @@
 	failures int
 	// restarts counts the starts after a run that was lost or stopped.
 	restarts int
-	// target is the target of the latest run.
-	target *target
+	// runTarget is the target of the latest run.
+	runTarget *target
 	// notBefore keeps the task from starting while an earlier run may still be at work.
 	notBefore time.Time
 	startedAt time.Time
@@ -49,10 +49,10 @@
 
 func (task *task) run() Run { return Run{task.name, task.attempt} }
 
-// isLatestRun reports whether a run on a target is the latest one of the task. The numbers of attempts begin anew when a job
+// latest reports whether a run on a target is the latest one of the task. The numbers of attempts begin anew when a job
 // is submitted again, so that news of runs of an earlier submission can name the same attempt on another target.
-func (task *task) isLatestRun(targetID string, run Run) bool {
-	return task.target != nil && task.target.ID == targetID && task.attempt == run.Attempt
+func (task *task) latest(targetID string, run Run) bool {
+	return task.runTarget != nil && task.runTarget.ID == targetID && task.attempt == run.Attempt
 }
 
 func (task *task) spec() *Step { return &task.job.Steps[task.step] }
@@ -147,8 +147,8 @@
 }
 
 func (job *job) finished() bool {
-	for _, open := range job.unfinished {
-		if open > 0 {
+	for _, unfinished := range job.unfinished {
+		if unfinished > 0 {
 			return false
 		}
 	}
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -68,7 +68,7 @@
 }
 
 func (scheduler *Scheduler) candidatesFor(least Resources, now time.Time) []candidate {
-	found := scheduler.candidateBuffer[:0]
+	candidateBuffer := scheduler.candidateBuffer[:0]
 	scheduler.rotation++
 	for index := range scheduler.ordered {
 		target := scheduler.ordered[(index+scheduler.rotation)%len(scheduler.ordered)]
@@ -76,11 +76,11 @@
 			continue
 		}
 		if free := target.freeCapacity(now); least.Fits(free) {
-			found = append(found, candidate{target, free})
+			candidateBuffer = append(candidateBuffer, candidate{target, free})
 		}
 	}
-	scheduler.candidateBuffer = found
-	return found
+	scheduler.candidateBuffer = candidateBuffer
+	return candidateBuffer
 }
 
 // chooseTarget returns the candidate with the least cost for the task, or nil.
@@ -141,7 +141,7 @@
 func (scheduler *Scheduler) siblingRuns(task *task, target *target) int {
 	count := 0
 	for _, sibling := range task.job.tasks {
-		if sibling.step == task.step && sibling.target == target && sibling.mayBeRunning() {
+		if sibling.step == task.step && sibling.runTarget == target && sibling.mayBeRunning() {
 			count++
 		}
 	}
@@ -149,30 +149,30 @@
 }
 
 // startTask claims room on the target and orders the start.
-func (scheduler *Scheduler) startTask(task *task, on *target, now time.Time) {
+func (scheduler *Scheduler) startTask(task *task, runTarget *target, now time.Time) {
 	step := task.spec()
-	free := on.freeCapacity(now)
+	freeCapacity := runTarget.freeCapacity(now)
 	task.state = starting
 	task.attempt++
-	task.target = on
+	task.runTarget = runTarget
 	task.startedAt = now
 	task.missingSince = time.Time{}
-	task.predicted = on.predict(step.Estimate)
-	on.allocate(task.run(), &allocation{owner: scheduler.self, resources: step.Resources, estimate: step.Estimate, claimedAt: now})
-	on.extendLease(now)
+	task.predicted = runTarget.predict(step.Estimate)
+	runTarget.allocate(task.run(), &allocation{owner: scheduler.self, resources: step.Resources, estimate: step.Estimate, claimedAt: now})
+	runTarget.extendLease(now)
 	scheduler.recordRunSize(step.Resources)
-	if on.isReader {
-		scheduler.changedTargets[on.ID] = true
+	if runTarget.isReader {
+		scheduler.changedTargets[runTarget.ID] = true
 	}
 	scheduler.emit(StartTask{
-		Claim:           Claim{Target: on.ID, Run: task.run(), Resources: step.Resources, Estimate: step.Estimate},
-		On:              on.Target,
+		Claim:           Claim{Target: runTarget.ID, Run: task.run(), Resources: step.Resources, Estimate: step.Estimate},
+		On:              runTarget.Target,
 		Job:             task.job.ID,
 		Body:            task.job.Body,
 		Arrived:         task.job.Arrived,
 		Issued:          now,
-		FreeCapacity:    free,
-		FreeCapacityAge: on.freeCapacityAge(now),
+		FreeCapacity:    freeCapacity,
+		FreeCapacityAge: runTarget.freeCapacityAge(now),
 		Predicted:       task.predicted,
 	})
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -61,7 +61,7 @@
 // recordedEnd is the end of another instance's run, and when it was seen.
 type recordedEnd struct {
 	End
-	seenAt time.Time
+	at time.Time
 }
 
 // Scheduler holds the jobs of one instance and what it believes of the targets; it is not safe for concurrent use.
@@ -203,7 +203,7 @@
 	}
 	info.Incarnation = known.Incarnation
 	known.Target = info
-	known.group = scheduler.groupSpeed(info)
+	known.groupSpeed = scheduler.groupSpeed(info)
 	known.deletedAt = time.Time{}
 }
 
@@ -263,10 +263,10 @@
 
 // finish answers the job, stops what still runs of it and forgets it.
 func (scheduler *Scheduler) finish(job *job, outcome dispatcher.Outcome, reason string, now time.Time) {
-	untouched := job.neverStarted()
+	neverStarted := job.neverStarted()
 	for _, task := range job.tasks {
 		if task.mayBeRunning() {
-			scheduler.emit(StopRun{On: task.target.Target, Run: task.run(), Reason: reason})
+			scheduler.emit(StopRun{On: task.runTarget.Target, Run: task.run(), Reason: reason})
 		}
 		delete(scheduler.tasks, task.name)
 	}
@@ -276,7 +276,7 @@
 		scheduler.completedAt[job.ID] = now
 	}
 	scheduler.emit(AnswerJob{
-		Job: job.ID, Outcome: outcome, Started: !untouched, Arrived: job.Arrived, Objective: job.Objective, Load: job.load,
+		Job: job.ID, Outcome: outcome, Started: !neverStarted, Arrived: job.Arrived, Objective: job.Objective, Load: job.load,
 	})
 }
 
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -196,7 +196,7 @@
 			instance.scheduler.Sweep(at(simulation.now))
 		}
 		if simulation.now%50 == 0 {
-			simulation.pollTargets(number)
+			simulation.poll(number)
 		}
 		if simulation.now%int(ClaimRepeatInterval/time.Millisecond) == 0 {
 			for _, claim := range instance.scheduler.Claims() {
@@ -207,7 +207,7 @@
 	}
 }
 
-func (simulation *simulation) pollTargets(number int) {
+func (simulation *simulation) poll(number int) {
 	instance := simulation.instances[number]
 	for index, target := range simulation.targets {
 		reads := simulation.reader(index) == number
@@ -252,7 +252,7 @@
 		}
 		instance.scheduler.StopOrphans(target.id, alive, at(simulation.now))
 		if report, due := instance.scheduler.RenewalReport(target.id, at(simulation.now)); due {
-			simulation.broadcastReport(number, report)
+			simulation.report(number, report)
 		}
 	}
 }
@@ -272,7 +272,7 @@
 	}
 }
 
-func (simulation *simulation) broadcastReport(from int, report CapacityReport) {
+func (simulation *simulation) report(from int, report CapacityReport) {
 	for number, instance := range simulation.instances {
 		if number != from {
 			simulation.send(instance.name, func(peer *Scheduler) { peer.HandlePeerReport(report, at(simulation.now)) })
@@ -334,7 +334,7 @@
 		}
 	}
 	for _, report := range scheduler.DueReports(at(simulation.now)) {
-		simulation.broadcastReport(number, report)
+		simulation.report(number, report)
 	}
 }
 
@@ -481,13 +481,13 @@
 
 // Guards against checks that cannot fail: a scheduler that takes a lost answer for a refusal runs tasks twice.
 func TestNaiveRetryRunsTasksTwice(t *testing.T) {
-	doubles := 0
+	duplicateRuns := 0
 	for seed := range uint64(simulationSeeds / 5) {
 		simulation := newSimulation(seed, true)
 		simulation.run(60)
-		doubles += simulation.duplicateRuns
+		duplicateRuns += simulation.duplicateRuns
 	}
-	if doubles == 0 {
+	if duplicateRuns == 0 {
 		t.Error("the naive variant ran no task twice")
 	}
 }
--- a/scheduler/target.go
+++ b/scheduler/target.go
@@ -85,7 +85,7 @@
 	allocations map[Run]*allocation
 	used        Resources
 	speed       learnedSpeed
-	group       *learnedSpeed
+	groupSpeed  *learnedSpeed
 	// deletedAt is when the entry of the target went, zero while it is there.
 	deletedAt time.Time
 	// heldUntil keeps work back after a rejection for want of room or while it is another instance's turn.
@@ -125,8 +125,8 @@
 	cachedVersion int
 }
 
-func newTarget(info Target, group *learnedSpeed) *target {
-	return &target{Target: info, allocations: make(map[Run]*allocation), group: group}
+func newTarget(info Target, groupSpeed *learnedSpeed) *target {
+	return &target{Target: info, allocations: make(map[Run]*allocation), groupSpeed: groupSpeed}
 }
 
 // freeCapacity returns what is believed to be free: the reader knows all claims, others know their own and the reader's report.
@@ -134,14 +134,14 @@
 	if target.isReader || target.reportedAt.IsZero() || now.Sub(target.reportedAt) > reportTTL {
 		return target.Capacity.Minus(target.used)
 	}
-	free := target.reportedFree
+	freeCapacity := target.reportedFree
 	included := target.reportedAt.Add(-reportLag)
 	for _, allocation := range target.allocations {
 		if allocation.claimedAt.After(included) {
-			free = free.Minus(allocation.resources)
+			freeCapacity = freeCapacity.Minus(allocation.resources)
 		}
 	}
-	return free
+	return freeCapacity
 }
 
 // report returns what the reader of the target tells the other instances. It sees the ends of all runs, and so knows
@@ -185,14 +185,14 @@
 
 // speedFactor returns the learned speed: declared by measured run time.
 func (target *target) speedFactor() float64 {
-	version := target.speed.version + target.group.version + 1
+	version := target.speed.version + target.groupSpeed.version + 1
 	if version == target.cachedVersion {
 		return target.cachedSpeed
 	}
 	own := float64(target.speed.runs)
 	share := own / (own + priorRuns)
 	target.cachedVersion = version
-	target.cachedSpeed = math.Exp(share*target.speed.meanLog + (1-share)*target.group.meanLog)
+	target.cachedSpeed = math.Exp(share*target.speed.meanLog + (1-share)*target.groupSpeed.meanLog)
 	return target.cachedSpeed
 }
 
@@ -209,8 +209,8 @@
 	target.used = target.used.Plus(allocation.resources)
 }
 
-// release removes the run and returns what was known of it, or nil.
-func (target *target) release(run Run) *allocation {
+// releaseRun removes the run and returns what was known of it, or nil.
+func (target *target) releaseRun(run Run) *allocation {
 	former, ok := target.allocations[run]
 	if !ok {
 		return nil
@@ -248,7 +248,7 @@
 		if elapsed := now.Sub(since); allocation.estimate > 0 && elapsed > 0 {
 			ratio := float64(allocation.estimate) / float64(elapsed)
 			target.speed.add(ratio, speedWeight)
-			target.group.add(ratio, groupWeight)
+			target.groupSpeed.add(ratio, groupWeight)
 		}
 	case Failed:
 		job := jobOf(run.Task)
--- a/scheduler/tick.go
+++ b/scheduler/tick.go
@@ -65,7 +65,7 @@
 		}
 	}
 	for run, recorded := range scheduler.foreignEnds {
-		if now.Sub(recorded.seenAt) >= endRetention {
+		if now.Sub(recorded.at) >= endRetention {
 			delete(scheduler.foreignEnds, run)
 		}
 	}
@@ -88,7 +88,7 @@
 				scheduler.abort(job, dispatcher.ReasonDeadline, "too little time is left for a task", now)
 				return
 			}
-			if task.state == uncertain && !now.Before(task.notBefore) && !now.Before(task.target.leaseEnd) && !now.Before(scheduler.lossDetectionFrom) {
+			if task.state == uncertain && !now.Before(task.notBefore) && !now.Before(task.runTarget.leaseEnd) && !now.Before(scheduler.lossDetectionFrom) {
 				scheduler.requeueLost(task, now)
 			}
 		case running:
@@ -105,9 +105,9 @@
 func (scheduler *Scheduler) checkRun(task *task, now time.Time) {
 	missing := !task.missingSince.IsZero() && now.Sub(task.missingSince) >= missingTimeout
 	// Nobody has renewed the lease that this instance knows of, so that the run has been ended by its target.
-	lapsed := !now.Before(task.target.leaseEnd) && !now.Before(scheduler.lossDetectionFrom)
+	lapsed := !now.Before(task.runTarget.leaseEnd) && !now.Before(scheduler.lossDetectionFrom)
 	if missing || lapsed {
-		scheduler.releaseRun(task.target, task.run())
+		scheduler.releaseRun(task.runTarget, task.run())
 		task.notBefore = time.Time{}
 		scheduler.requeueLost(task, now)
 		return
@@ -116,20 +116,20 @@
 	if now.Sub(task.startedAt) < overdue || task.restarts > 0 {
 		return
 	}
-	if task.target.lastPolled.Before(task.startedAt.Add(task.predicted)) {
+	if task.runTarget.lastPolled.Before(task.startedAt.Add(task.predicted)) {
 		// The run may have ended without anybody having seen it.
 		return
 	}
-	task.avoid(task.target)
+	task.avoid(task.runTarget)
 	candidates := scheduler.candidatesFor(task.spec().Resources, now)
 	if best := scheduler.chooseTarget(task, candidates, now); best != nil {
 		least := MaxStopDuration + startOverhead + best.predict(task.spec().Estimate)
 		if now.Add(least).Before(task.job.Deadline) {
 			task.state = stopping
-			task.target.exclude(now)
+			task.runTarget.exclude(now)
 			// The run is at least this slow; a target that is six times as slow ends few runs to learn from.
-			task.target.speed.add(float64(task.spec().Estimate)/float64(now.Sub(task.startedAt)), stragglerWeight)
-			scheduler.emit(StopRun{On: task.target.Target, Run: task.run(), Reason: "run stands still"})
+			task.runTarget.speed.add(float64(task.spec().Estimate)/float64(now.Sub(task.startedAt)), stragglerWeight)
+			scheduler.emit(StopRun{On: task.runTarget.Target, Run: task.run(), Reason: "run stands still"})
 		}
 	}
 }
@@ -138,7 +138,7 @@
 func (scheduler *Scheduler) dropStaleAllocations(target *target, now time.Time) {
 	for run, allocation := range target.allocations {
 		if allocation.owner == scheduler.self {
-			if task := scheduler.tasks[run.Task]; task != nil && task.isLatestRun(target.ID, run) {
+			if task := scheduler.tasks[run.Task]; task != nil && task.latest(target.ID, run) {
 				continue
 			}
 		}
@@ -168,7 +168,7 @@
 			continue
 		case allocation.owner == scheduler.self:
 			task, ok := scheduler.tasks[run.Task]
-			if ok && task.isLatestRun(targetID, run) || now.Sub(allocation.claimedAt) < orphanGrace {
+			if ok && task.latest(targetID, run) || now.Sub(allocation.claimedAt) < orphanGrace {
 				continue
 			}
 		case allocation.owner == "":
