--- a/executor/delegation.go
+++ b/executor/delegation.go
@@ -58,17 +58,17 @@
 	if tasks > maxDelegatedTasks {
 		return "", false
 	}
-	staying := executor.peers.EligiblePeers()
-	near := make([]linker.Hello, 0, len(staying))
-	for _, peer := range staying {
+	eligible := executor.peers.EligiblePeers()
+	sameDomain := make([]linker.Hello, 0, len(eligible))
+	for _, peer := range eligible {
 		if peer.Domain == executor.self.Domain && executor.peers.Reachable(peer.Incarnation) {
-			near = append(near, peer)
+			sameDomain = append(sameDomain, peer)
 		}
 	}
-	if len(near) == 0 {
-		near = staying
+	if len(sameDomain) == 0 {
+		sameDomain = eligible
 	}
-	return pickWeighted(near, rand.Float64())
+	return pickWeighted(sameDomain, rand.Float64())
 }
 
 // pickWeighted picks an instance with a probability proportional to its weight; drawn is a random number in [0, 1).
@@ -77,9 +77,9 @@
 	for i := range instances {
 		total += instances[i].Share()
 	}
-	left := drawn * total
+	remaining := drawn * total
 	for i := range instances {
-		if left -= instances[i].Share(); left < 0 {
+		if remaining -= instances[i].Share(); remaining < 0 {
 			return instances[i].Incarnation, true
 		}
 	}
--- a/executor/delegation_test.go
+++ b/executor/delegation_test.go
@@ -183,7 +183,7 @@
 }
 
 // A small instance must delegate its jobs instead of running them, and return the outcomes to its callers.
-func TestSmallInstancePassesItsJobsOn(t *testing.T) {
+func TestSmallInstanceDelegatesItsJobs(t *testing.T) {
 	is := is.New(t)
 	target := newMemoryTarget(20 * time.Millisecond)
 	small, _ := newPair(t, target)
@@ -239,7 +239,7 @@
 }
 
 // A job that could not be sent to its delegate must be run locally.
-func TestJobThatCannotBePassedOnIsRunHere(t *testing.T) {
+func TestJobThatCannotBeDelegatedRunsLocally(t *testing.T) {
 	is := is.New(t)
 	target := newMemoryTarget(20 * time.Millisecond)
 	small, _ := newPair(t, target)
--- a/executor/executor.go
+++ b/executor/executor.go
@@ -361,11 +361,11 @@
 
 // tick handles time-based events until the executor is closed.
 func (executor *Executor) tick() {
-	every := tickInterval
-	ticker := time.NewTicker(every)
+	interval := tickInterval
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
-	var swept, repeated, watched time.Time
-	ticked := executor.now()
+	var lastSweep, lastRepeat, lastDomainCheck time.Time
+	lastTick := executor.now()
 	for {
 		select {
 		case <-executor.ctx.Done():
@@ -374,29 +374,29 @@
 		}
 		now := executor.now()
 		executor.mu.Lock()
-		if now.Sub(ticked) > pauseThreshold {
-			executor.logger.Warn("instance stood still", "for-ms", now.Sub(ticked).Milliseconds())
+		if now.Sub(lastTick) > pauseThreshold {
+			executor.logger.Warn("instance stood still", "for-ms", now.Sub(lastTick).Milliseconds())
 			executor.scheduler.NotePause(now)
-			watched = now.Add(pauseThreshold)
+			lastDomainCheck = now.Add(pauseThreshold)
 		}
-		ticked = now
-		if now.Sub(watched) >= domainCheckInterval {
-			watched = now
+		lastTick = now
+		if now.Sub(lastDomainCheck) >= domainCheckInterval {
+			lastDomainCheck = now
 			executor.watchDomains()
 		}
 		if executor.scheduler.ActiveJobs() > 0 {
 			executor.scheduler.Tick(now)
 		}
 		executor.scheduler.ExpireOffers(now)
-		if now.Sub(swept) >= sweepInterval {
-			swept = now
+		if now.Sub(lastSweep) >= sweepInterval {
+			lastSweep = now
 			executor.scheduler.Sweep(now)
 			executor.assignReaders(now)
 			executor.stopOrphans(now)
 			executor.repeatAbandonments(now)
 		}
-		if now.Sub(repeated) >= scheduler.ClaimRepeatInterval {
-			repeated = now
+		if now.Sub(lastRepeat) >= scheduler.ClaimRepeatInterval {
+			lastRepeat = now
 			executor.repeatClaims()
 		}
 		executor.runActions()
@@ -405,9 +405,9 @@
 			next = idleTickInterval
 		}
 		executor.mu.Unlock()
-		if next != every {
-			every = next
-			ticker.Reset(every)
+		if next != interval {
+			interval = next
+			ticker.Reset(interval)
 		}
 	}
 }
--- a/executor/news.go
+++ b/executor/news.go
@@ -96,22 +96,22 @@
 			executor.client.CloseIdle()
 		}
 	}
-	staying := executor.peers.EligiblePeers()
+	eligible := executor.peers.EligiblePeers()
 	for _, poller := range executor.pollers {
-		executor.assignReader(poller, staying, now)
+		executor.assignReader(poller, eligible, now)
 	}
 }
 
 // assignReader assigns the reader of a target by weighted rendezvous hashing over the instances that neither leave nor
 // delegate their jobs, with preference for the target's failure domain. The caller holds the lock.
-func (executor *Executor) assignReader(poller *poller, staying []linker.Hello, now time.Time) {
+func (executor *Executor) assignReader(poller *poller, eligible []linker.Hello, now time.Time) {
 	target, ok := executor.scheduler.Target(poller.id)
 	if !ok {
 		return
 	}
-	candidates := staying
-	if !executor.leaving && !executor.delegating || len(staying) == 0 {
-		candidates = append([]linker.Hello{executor.self}, staying...)
+	candidates := eligible
+	if !executor.leaving && !executor.delegating || len(eligible) == 0 {
+		candidates = append([]linker.Hello{executor.self}, eligible...)
 	}
 	best := pickReader(&target, candidates)
 	poller.reader = best.Incarnation
@@ -126,15 +126,15 @@
 // pickReader returns the instance that reads a target; there is at least one candidate.
 func pickReader(target *scheduler.Target, candidates []linker.Hello) *linker.Hello {
 	best := &candidates[0]
-	bestNear, bestScore := best.Domain == target.Domain, rendezvousScore(target.ID, best)
+	bestInDomain, bestScore := best.Domain == target.Domain, rendezvousScore(target.ID, best)
 	for i := range candidates[1:] {
 		candidate := &candidates[i+1]
-		near := candidate.Domain == target.Domain
-		if bestNear && !near {
+		inDomain := candidate.Domain == target.Domain
+		if bestInDomain && !inDomain {
 			continue
 		}
-		if own := rendezvousScore(target.ID, candidate); near != bestNear || own > bestScore {
-			best, bestNear, bestScore = candidate, near, own
+		if score := rendezvousScore(target.ID, candidate); inDomain != bestInDomain || score > bestScore {
+			best, bestInDomain, bestScore = candidate, inDomain, score
 		}
 	}
 	return best
--- a/executor/poller.go
+++ b/executor/poller.go
@@ -165,9 +165,9 @@
 	if executor.degraded(poller.lastPoll) {
 		timeout = request.Wait + degradedPollTimeout
 	}
-	bounded, cancel := context.WithTimeout(ctx, timeout)
+	pollContext, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	poll, err := executor.client.Poll(bounded, target, request)
+	poll, err := executor.client.Poll(pollContext, target, request)
 	executor.meter.looks.Inc()
 	if ctx.Err() != nil {
 		return
@@ -229,10 +229,10 @@
 }
 
 // withholds reports whether an end must stay unacknowledged for now.
-func (poller *poller) withholds(number int64, now time.Time) bool {
-	until, withheld := poller.withheld[number]
+func (poller *poller) withholds(seq int64, now time.Time) bool {
+	until, withheld := poller.withheld[seq]
 	if withheld && !now.Before(until) {
-		delete(poller.withheld, number)
+		delete(poller.withheld, seq)
 		return false
 	}
 	return withheld
--- a/executor/poller_test.go
+++ b/executor/poller_test.go
@@ -61,7 +61,7 @@
 }
 
 // Polls must neither delay ends, renew the lease of an unreachable target, nor visit targets without work.
-func TestPlanOfLooks(t *testing.T) {
+func TestNextPoll(t *testing.T) {
 	now := time.Now()
 	tests := []struct {
 		name     string
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -339,40 +339,40 @@
 // only heartbeats to delegating instances. Busy delegating instances get the reports too, since the owner of a run must
 // know how long its lease may last. The caller holds the lock.
 func (gossiper *Gossiper) plan(now time.Time) broadcastPlan {
-	beatDue := now.Sub(gossiper.heartbeatSentAt) >= heartbeatInterval
-	var near, far, beats []string
+	heartbeatDue := now.Sub(gossiper.heartbeatSentAt) >= heartbeatInterval
+	var sameDomain, otherDomains, heartbeats []string
 	for incarnation, peer := range gossiper.peers {
 		switch {
 		case peer.delegating && (gossiper.delegating || !peer.busy):
-			if beatDue && !gossiper.delegating {
-				beats = append(beats, incarnation)
+			if heartbeatDue && !gossiper.delegating {
+				heartbeats = append(heartbeats, incarnation)
 			}
 		case peer.hello.Domain == gossiper.self.Domain:
-			near = append(near, incarnation)
+			sameDomain = append(sameDomain, incarnation)
 		default:
-			far = append(far, incarnation)
+			otherDomains = append(otherDomains, incarnation)
 		}
 	}
 	// Even with very many instances, the interval must not exceed a heartbeat, or the peers would consider this
 	// instance failed.
-	pause := min(max(minBroadcastInterval, broadcastIntervalPerPeer*time.Duration(remoteIntervalFactor*len(near)+len(far))/remoteIntervalFactor), heartbeatInterval)
+	pause := min(max(minBroadcastInterval, broadcastIntervalPerPeer*time.Duration(remoteIntervalFactor*len(sameDomain)+len(otherDomains))/remoteIntervalFactor), heartbeatInterval)
 	plan := broadcastPlan{pause: pause}
 	news := linker.News{Waiting: append([]int64(nil), gossiper.demand[:]...), Leaving: gossiper.leaving, Busy: gossiper.busy}
-	if len(beats) > 0 {
-		plan.broadcasts = append(plan.broadcasts, broadcast{beats, news})
+	if len(heartbeats) > 0 {
+		plan.broadcasts = append(plan.broadcasts, broadcast{heartbeats, news})
 	}
-	if beatDue {
+	if heartbeatDue {
 		gossiper.heartbeatSentAt = now
 	}
-	if farDue := now.Sub(gossiper.remoteSentAt) >= (remoteIntervalFactor-1)*pause; farDue || beatDue {
+	if remoteDue := now.Sub(gossiper.remoteSentAt) >= (remoteIntervalFactor-1)*pause; remoteDue || heartbeatDue {
 		gossiper.remoteSentAt = now
-		if len(far) > 0 {
-			plan.broadcasts = append(plan.broadcasts, broadcast{far, withReports(news, gossiper.remoteReports)})
+		if len(otherDomains) > 0 {
+			plan.broadcasts = append(plan.broadcasts, broadcast{otherDomains, withReports(news, gossiper.remoteReports)})
 		}
 		clear(gossiper.remoteReports)
 	}
-	if len(near) > 0 {
-		plan.broadcasts = append(plan.broadcasts, broadcast{near, withReports(news, gossiper.reports)})
+	if len(sameDomain) > 0 {
+		plan.broadcasts = append(plan.broadcasts, broadcast{sameDomain, withReports(news, gossiper.reports)})
 	}
 	clear(gossiper.reports)
 	return plan
@@ -469,9 +469,9 @@
 		if peer.leaving || peer.delegating && gossiper.delegating {
 			continue
 		}
-		quiet := now.Sub(peer.lastHeard) > duration
+		silentPeer := now.Sub(peer.lastHeard) > duration
 		known, ok := silent[peer.hello.Domain]
-		silent[peer.hello.Domain] = quiet && (known || !ok)
+		silent[peer.hello.Domain] = silentPeer && (known || !ok)
 	}
 	return silent
 }
--- a/gossiper/gossiper_test.go
+++ b/gossiper/gossiper_test.go
@@ -17,11 +17,11 @@
 
 // Small instances get as many callers as large ones and would be overloaded, so they must delegate. Equal instances
 // must not, and a few large instances must not get the jobs of many small ones.
-func TestDelegationBound(t *testing.T) {
+func TestDelegationThreshold(t *testing.T) {
 	tests := []struct {
-		name    string
-		weights []float64
-		passing int
+		name       string
+		weights    []float64
+		delegating int
 	}{
 		{"alone", repeatWeight(0.4, 1), 0},
 		{"all alike", repeatWeight(0.4, 9), 0},
@@ -33,14 +33,14 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			bound := delegationThreshold(test.weights)
-			passing := 0
+			threshold := delegationThreshold(test.weights)
+			delegating := 0
 			for _, weight := range test.weights {
-				if weight < bound {
-					passing++
+				if weight < threshold {
+					delegating++
 				}
 			}
-			is.Equal(passing, test.passing)
+			is.Equal(delegating, test.delegating)
 		})
 	}
 }
@@ -64,7 +64,7 @@
 	}, receiver, &now
 }
 
-func (gossiper *Gossiper) meet(incarnation string, weight float64) {
+func (gossiper *Gossiper) contact(incarnation string, weight float64) {
 	hello := linker.Hello{Domain: "a", Incarnation: incarnation, Weight: weight}
 	gossiper.Receive(hello, hello)
 }
@@ -75,17 +75,17 @@
 	is := is.New(t)
 	gossiper, _, now := newTestGossiper(0.144)
 	is.True(!gossiper.Delegating())
-	gossiper.meet("small", 0.144)
+	gossiper.contact("small", 0.144)
 	is.True(!gossiper.Delegating())
 	is.Equal(len(gossiper.EligiblePeers()), 1)
-	gossiper.meet("large", 0.8)
+	gossiper.contact("large", 0.8)
 	is.True(gossiper.Delegating())
 	staying := gossiper.EligiblePeers()
 	is.Equal(len(staying), 1)
 	is.Equal(staying[0].Incarnation, "large")
 	gossiper.Receive(linker.Hello{Domain: "a", Incarnation: "large", Weight: 0.8}, linker.News{Waiting: []int64{0}, Leaving: true})
 	is.True(!gossiper.Delegating()) // the only larger instance is leaving
-	gossiper.meet("next", 0.8)
+	gossiper.contact("next", 0.8)
 	is.True(gossiper.Delegating())
 	*now = now.Add(PeerTimeout / 2)
 	gossiper.detectLostPeers()
@@ -96,16 +96,16 @@
 }
 
 // broadcastReceivers returns which instances get reports, and which only heartbeats, in the broadcasts that are due.
-func (gossiper *Gossiper) broadcastReceivers() (rooms, beats []string) {
+func (gossiper *Gossiper) broadcastReceivers() (reports, heartbeats []string) {
 	gossiper.Report(scheduler.CapacityReport{Target: "t"})
 	for _, broadcast := range gossiper.plan(gossiper.now()).broadcasts {
 		if len(broadcast.news.Rooms) > 0 {
-			rooms = append(rooms, broadcast.to...)
+			reports = append(reports, broadcast.to...)
 		} else {
-			beats = append(beats, broadcast.to...)
+			heartbeats = append(heartbeats, broadcast.to...)
 		}
 	}
-	return rooms, beats
+	return reports, heartbeats
 }
 
 // Reports must not be broadcast to all instances: a delegating instance needs only a few heartbeats a second, and two
@@ -113,35 +113,35 @@
 func TestReceiversOfBroadcasts(t *testing.T) {
 	is := is.New(t)
 	large, _, now := newTestGossiper(0.8)
-	large.meet("small", 0.144)
-	large.meet("equal", 0.8)
-	rooms, beats := large.broadcastReceivers()
-	is.Equal(rooms, []string{"equal"})
-	is.Equal(beats, []string{"small"})
-	rooms, beats = large.broadcastReceivers()
-	is.Equal(len(rooms), 1)
-	is.Equal(len(beats), 0) // not due
+	large.contact("small", 0.144)
+	large.contact("equal", 0.8)
+	reports, heartbeats := large.broadcastReceivers()
+	is.Equal(reports, []string{"equal"})
+	is.Equal(heartbeats, []string{"small"})
+	reports, heartbeats = large.broadcastReceivers()
+	is.Equal(len(reports), 1)
+	is.Equal(len(heartbeats), 0) // not due
 	large.Leave()
-	_, beats = large.broadcastReceivers()
-	is.Equal(len(beats), 1) // a planned stop is announced at once
+	_, heartbeats = large.broadcastReceivers()
+	is.Equal(len(heartbeats), 1) // a planned stop is announced at once
 	*now = now.Add(heartbeatInterval)
-	_, beats = large.broadcastReceivers()
-	is.Equal(len(beats), 1)
+	_, heartbeats = large.broadcastReceivers()
+	is.Equal(len(heartbeats), 1)
 
 	small, _, _ := newTestGossiper(0.144)
-	small.meet("small", 0.144)
-	small.meet("large", 0.8)
-	rooms, beats = small.broadcastReceivers()
-	is.Equal(rooms, []string{"large"})
-	is.Equal(len(beats), 0)
+	small.contact("small", 0.144)
+	small.contact("large", 0.8)
+	reports, heartbeats = small.broadcastReceivers()
+	is.Equal(reports, []string{"large"})
+	is.Equal(len(heartbeats), 0)
 }
 
 // Other failure domains must receive reports less often than the own one, but must neither miss a report nor get so few
 // messages that they consider the sender failed.
-func TestOtherDomainsHearLessOften(t *testing.T) {
+func TestOtherDomainsReceiveReportsLessOften(t *testing.T) {
 	is := is.New(t)
 	gossiper, _, now := newTestGossiper(0.4)
-	gossiper.meet("near", 0.4)
+	gossiper.contact("near", 0.4)
 	far := linker.Hello{Domain: "b", Incarnation: "far", Weight: 0.4}
 	gossiper.Receive(far, far)
 	counts := make(map[string]int)
@@ -167,10 +167,10 @@
 
 // A delegating instance with runs of its own must still receive reports. Without news of renewed leases it would
 // consider its runs lost, as after a power loss in Thang Long grown trouble-1.
-func TestBusyInstanceHearsOfRooms(t *testing.T) {
+func TestBusyInstanceReceivesReports(t *testing.T) {
 	is := is.New(t)
 	large, _, _ := newTestGossiper(0.8)
-	large.meet("small", 0.144)
+	large.contact("small", 0.144)
 	rooms, _ := large.broadcastReceivers()
 	is.Equal(len(rooms), 0)
 	large.Receive(linker.Hello{Domain: "a", Incarnation: "small", Weight: 0.144}, linker.News{Waiting: []int64{0}, Busy: true})
@@ -186,7 +186,7 @@
 func TestSilenceIsNoticed(t *testing.T) {
 	is := is.New(t)
 	gossiper, receiver, now := newTestGossiper(0.4)
-	gossiper.meet("peer", 0.4)
+	gossiper.contact("peer", 0.4)
 	*now = now.Add(10 * time.Second)
 	gossiper.detectLostPeers() // this process was paused
 	is.Equal(len(receiver.lost), 0)
@@ -197,6 +197,6 @@
 	}
 	is.Equal(receiver.lost, []string{"peer"})
 	is.True(!gossiper.Alive("peer"))
-	gossiper.meet("peer", 0.4)
+	gossiper.contact("peer", 0.4)
 	is.True(gossiper.Alive("peer"))
 }
--- a/gossiper/roles.go
+++ b/gossiper/roles.go
@@ -17,17 +17,17 @@
 		largest = max(largest, weight)
 		total += weight
 	}
-	bound := delegationRatio * largest
-	held := 0.0
+	threshold := delegationRatio * largest
+	remaining := 0.0
 	for _, weight := range weights {
-		if weight >= bound {
-			held += weight
+		if weight >= threshold {
+			remaining += weight
 		}
 	}
-	if held < minRemainingShare*total {
+	if remaining < minRemainingShare*total {
 		return 0
 	}
-	return bound
+	return threshold
 }
 
 // updateRoles determines which instances delegate their jobs, after a change of the live instances; the caller holds
@@ -40,10 +40,10 @@
 			weights = append(weights, peer.hello.Share())
 		}
 	}
-	bound := delegationThreshold(weights)
-	gossiper.delegating = gossiper.self.Share() < bound
+	threshold := delegationThreshold(weights)
+	gossiper.delegating = gossiper.self.Share() < threshold
 	for _, peer := range gossiper.peers {
-		peer.delegating = peer.hello.Share() < bound
+		peer.delegating = peer.hello.Share() < threshold
 	}
 }
 
--- a/scheduler/admit.go
+++ b/scheduler/admit.go
@@ -75,13 +75,13 @@
 		load.TasksAhead += demand.upTo(job.Priority)
 	}
 	load.FreeSlots = scheduler.freeSlots(job.Service, resources, needed+load.TasksAhead, now)
-	short := needed + load.TasksAhead - load.FreeSlots
+	shortfall := needed + load.TasksAhead - load.FreeSlots
 	switch {
-	case short <= 0:
+	case shortfall <= 0:
 	case rate.perHour <= 0:
 		load.ExpectedWait = job.Deadline.Sub(now)
 	default:
-		load.ExpectedWait = time.Duration(float64(short) / float64(rate.perHour) * float64(time.Hour))
+		load.ExpectedWait = time.Duration(float64(shortfall) / float64(rate.perHour) * float64(time.Hour))
 	}
 	return load
 }
@@ -91,10 +91,10 @@
 
 // totalSlots returns how many tasks of the given resources all targets can run at once. It stops counting once limit is
 // reached.
-func (scheduler *Scheduler) totalSlots(service string, resources Resources, enough int64) int64 {
+func (scheduler *Scheduler) totalSlots(service string, resources Resources, limit int64) int64 {
 	count := int64(0)
 	for _, target := range scheduler.byService[service] {
-		if count >= enough {
+		if count >= limit {
 			break
 		}
 		count += resources.countIn(target.Capacity)
@@ -104,10 +104,10 @@
 
 // freeSlots returns how many tasks of the given resources could start now. It stops counting once limit is reached, so
 // that all targets are visited only under load.
-func (scheduler *Scheduler) freeSlots(service string, resources Resources, enough int64, now time.Time) int64 {
+func (scheduler *Scheduler) freeSlots(service string, resources Resources, limit int64, now time.Time) int64 {
 	count := int64(0)
 	for _, target := range scheduler.byService[service] {
-		if count >= enough {
+		if count >= limit {
 			break
 		}
 		if !target.healthy(now) || now.Before(target.excludedUntil) {
--- a/scheduler/admit_test.go
+++ b/scheduler/admit_test.go
@@ -11,7 +11,7 @@
 
 // A burst beyond the total capacity must be refused at once with a retry time, or the queue fills with jobs that miss
 // their objective. Accepted jobs start on time.
-func TestBurstBeyondRoomIsRefusedAtOnce(t *testing.T) {
+func TestBurstBeyondCapacityIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	scheduler := newTestScheduler(4)
 	refused, taken := 0, 0
@@ -49,7 +49,7 @@
 }
 
 // A job must be refused early, not at its deadline, if none of its tasks can start in time.
-func TestUnstartedJobIsGivenUpEarly(t *testing.T) {
+func TestUnstartedJobIsRefusedEarly(t *testing.T) {
 	is := is.New(t)
 	scheduler := newTestScheduler(1)
 	scheduler.Submit(testJob("long", 2, 100, 0), at(0))
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -188,15 +188,15 @@
 	if end.Cause != NeverRan {
 		task.job.mayHaveStarted = true
 	}
-	own := task.latest(targetID, end.Run)
-	latest := own && task.mayBeRunning()
+	isLatest := task.latest(targetID, end.Run)
+	latest := isLatest && task.mayBeRunning()
 	switch {
 	case end.Cause == Done && task.state != done:
 		if task.mayBeRunning() && !latest {
 			scheduler.emit(StopRun{On: task.runTarget.Target, Run: task.run(), Reason: "an earlier run is done"})
 		}
 		scheduler.completeTask(task, now)
-	case !latest && task.state == waiting && own:
+	case !latest && task.state == waiting && isLatest:
 		// The run that was ordered to stop has ended.
 		task.notBefore = time.Time{}
 	case !latest:
--- a/scheduler/lease_test.go
+++ b/scheduler/lease_test.go
@@ -195,7 +195,7 @@
 // A run that its target lists may continue for a whole lease from then on, since another instance may have renewed the
 // lease unnoticed. Otherwise a second run is started, as on small instances that received no renewal reports (Thang
 // Long grown trouble-1, run c19b69c3efe06f77.0.0.1 at 46.558 s).
-func TestRunSeenAtWorkKeepsItsLease(t *testing.T) {
+func TestListedRunKeepsItsLease(t *testing.T) {
 	is := is.New(t)
 	scheduler := New("self", "a")
 	scheduler.SetTargets(testTargets(2), at(0))
@@ -238,7 +238,7 @@
 
 // Messages about a run of an earlier submission must not be applied to the current one, or the task is started a second
 // time. They arise when a job is delegated to the same instance again (fault soak, seeds 2, 3, 8, 11 and 20).
-func TestNewsOfAnEarlierSubmission(t *testing.T) {
+func TestMessagesAboutAnEarlierSubmission(t *testing.T) {
 	run := Run{Task: "j.0.0.0", Attempt: 1}
 	tests := []struct {
 		name string
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -90,7 +90,7 @@
 	step := task.spec()
 	rate := scheduler.releaseRateOf(task.job.Service, now)
 	// If some target can still meet the objective, targets that would miss it are not considered.
-	hopeful := now.Add(startOverhead + time.Duration(float64(step.Estimate)/rate.bestSpeed)).Before(task.job.Objective)
+	canMeetObjective := now.Add(startOverhead + time.Duration(float64(step.Estimate)/rate.bestSpeed)).Before(task.job.Objective)
 	var best *candidate
 	bestCost := time.Duration(0)
 	for i := range candidates {
@@ -103,7 +103,7 @@
 		}
 		cost := candidate.predict(step.Estimate)
 		if late := now.Add(startOverhead + cost).Sub(task.job.Objective); late > 0 {
-			if hopeful {
+			if canMeetObjective {
 				continue
 			}
 			cost += latenessWeight * late
@@ -210,10 +210,10 @@
 			continue
 		}
 		target.offerCount++
-		if winner := scheduler.drawRecipient(target.ID, target.offerCount, priority, waiting, own[priority]); winner != scheduler.self {
+		if recipient := scheduler.drawRecipient(target.ID, target.offerCount, priority, waiting, own[priority]); recipient != scheduler.self {
 			target.heldUntil = now.Add(offerTimeout)
 			scheduler.offered[target.ID] = true
-			scheduler.emit(OfferCapacity{To: winner, Target: target.ID, FreeCapacity: target.freeCapacity(now)})
+			scheduler.emit(OfferCapacity{To: recipient, Target: target.ID, FreeCapacity: target.freeCapacity(now)})
 		}
 		return
 	}
--- a/scheduler/place_test.go
+++ b/scheduler/place_test.go
@@ -10,7 +10,7 @@
 
 // Freed capacity must be offered to one instance before the others hear of it, or most of their starts are rejected
 // under load.
-func TestFreedRoomIsOfferedToOneInstance(t *testing.T) {
+func TestFreedCapacityIsOfferedToOneInstance(t *testing.T) {
 	is := is.New(t)
 	scheduler := newTestScheduler(1)
 	resources := Resources{MilliCores: 16000, MemoryMB: 64}
@@ -32,7 +32,7 @@
 }
 
 // A start that is rejected for lack of capacity must invalidate the report that promised it.
-func TestRejectionVoidsTheReportOfRoom(t *testing.T) {
+func TestRejectionInvalidatesTheReport(t *testing.T) {
 	is := is.New(t)
 	scheduler := New("self", "a")
 	scheduler.SetTargets(testTargets(1), at(0))
--- a/scheduler/target.go
+++ b/scheduler/target.go
@@ -141,9 +141,9 @@
 		return target.Capacity.Minus(target.used)
 	}
 	freeCapacity := target.reportedFree
-	included := target.reportedAt.Add(-reportLag)
+	includedBefore := target.reportedAt.Add(-reportLag)
 	for _, allocation := range target.allocations {
-		if allocation.claimedAt.After(included) {
+		if allocation.claimedAt.After(includedBefore) {
 			freeCapacity = freeCapacity.Minus(allocation.resources)
 		}
 	}
--- a/scheduler/target_test.go
+++ b/scheduler/target_test.go
@@ -90,7 +90,7 @@
 
 // The reader must report a target that fails its runs as full. When each instance had to find out for itself, 33
 // failing targets of 350, which always have free capacity, made 813 jobs fail until 15 instances had excluded them.
-func TestReaderTellsOfAFailingTarget(t *testing.T) {
+func TestReaderReportsFailingTarget(t *testing.T) {
 	is := is.New(t)
 	reader := newTestScheduler(1)
 	fail := func(number, now int) {
--- a/scheduler/tick.go
+++ b/scheduler/tick.go
@@ -84,8 +84,8 @@
 	for _, task := range job.tasks {
 		switch task.state {
 		case waiting, uncertain:
-			least := time.Duration(float64(task.spec().Estimate) / rate.bestSpeed)
-			if now.Add(least).After(job.Deadline) {
+			minRunTime := time.Duration(float64(task.spec().Estimate) / rate.bestSpeed)
+			if now.Add(minRunTime).After(job.Deadline) {
 				scheduler.abort(job, dispatcher.ReasonDeadline, "too little time is left for a task", now)
 				return
 			}
@@ -125,8 +125,8 @@
 	task.avoid(task.runTarget)
 	candidates := scheduler.candidatesFor(task.spec().Resources, now)
 	if best := scheduler.chooseTarget(task, candidates, now); best != nil {
-		least := MaxStopDuration + startOverhead + best.predict(task.spec().Estimate)
-		if now.Add(least).Before(task.job.Deadline) {
+		minTime := MaxStopDuration + startOverhead + best.predict(task.spec().Estimate)
+		if now.Add(minTime).Before(task.job.Deadline) {
 			task.state = stopping
 			task.runTarget.exclude(now)
 			// The run takes at least this long. A target that is six times too slow ends too few runs to learn its
@@ -187,8 +187,8 @@
 }
 
 // sortedRuns returns the runs in a fixed order, so that the same events lead to the same actions.
-func sortedRuns(occupants map[Run]*allocation) []Run {
-	return slices.SortedFunc(maps.Keys(occupants), func(a, b Run) int {
+func sortedRuns(allocations map[Run]*allocation) []Run {
+	return slices.SortedFunc(maps.Keys(allocations), func(a, b Run) int {
 		return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
 	})
 }
