--- a/executor/delegation.go
+++ b/executor/delegation.go
@@ -108,8 +108,8 @@
 		}
 		outcome, err := linker.DecodeOutcome(response.(linker.DelegationAnswer).Outcome, executor.now())
 		if err != nil {
-			executor.logger.Error("answer of delegate cannot be read", "job", job.ID, "delegate", to, "error", eris.ToString(err, false))
-			outcome = dispatcher.NewUnknown("the answer of the instance that ran the job cannot be read")
+			executor.logger.Error("cannot decode the delegate's answer", "job", job.ID, "delegate", to, "error", eris.ToString(err, false))
+			outcome = dispatcher.NewUnknown("the answer of the instance that ran the job cannot be decoded")
 		}
 		executor.answerDelegated(entry, outcome)
 	})
@@ -119,7 +119,7 @@
 // is unknown. The caller holds the lock.
 func (executor *Executor) delegationFailed(entry *delegation, err error) {
 	if eris.Is(err, linker.ErrNoLink) || eris.Is(err, linker.ErrQueueFull) {
-		executor.logger.Info("job is not passed on", "job", entry.job.ID, "delegate", entry.delegate, "error", eris.ToString(err, false))
+		executor.logger.Info("job not delegated", "job", entry.job.ID, "delegate", entry.delegate, "error", eris.ToString(err, false))
 		executor.scheduler.Submit(entry.job, executor.now())
 		executor.runActions()
 		return
@@ -132,8 +132,8 @@
 func (executor *Executor) handleDelegateLost(delegate string) {
 	for id, entry := range executor.delegated {
 		if entry.delegate == delegate {
-			executor.abandonDelegated(id, "the instance is not heard of")
-			executor.answerDelegated(entry, dispatcher.NewUnknown("the instance that ran the job is not heard of"))
+			executor.abandonDelegated(id, "the delegate cannot be reached")
+			executor.answerDelegated(entry, dispatcher.NewUnknown("the instance that ran the job cannot be reached"))
 		}
 	}
 }
@@ -141,7 +141,7 @@
 // answerDelegated sends the outcome of a delegated job to its callers; the caller holds the lock.
 func (executor *Executor) answerDelegated(entry *delegation, outcome dispatcher.Outcome) {
 	now := executor.now()
-	executor.logger.Info("job answered for delegate", "job", entry.job.ID, "delegate", entry.delegate, "outcome", dispatcher.ClassOf(outcome),
+	executor.logger.Info("delegated job answered", "job", entry.job.ID, "delegate", entry.delegate, "outcome", dispatcher.ClassOf(outcome),
 		"took-ms", now.Sub(entry.job.Arrived).Milliseconds(), "late-ms", max(0, now.Sub(entry.job.Objective)).Milliseconds())
 	executor.meter.countDelegated(outcome)
 	executor.deliver(entry.job.ID, outcome)
@@ -189,14 +189,14 @@
 		former()
 	}
 	executor.foreignJobs[key] = cancel
-	executor.logger.Info("job taken over", "job", job.ID, "origin", from, "age-ms", request.AgeUS/1000, "remaining-ms", request.RemainingUS/1000)
+	executor.logger.Info("delegated job accepted", "job", job.ID, "origin", from, "age-ms", request.AgeUS/1000, "remaining-ms", request.RemainingUS/1000)
 	answer := executor.runLocally(job)
 	executor.group.Go(func() {
 		defer cancel()
 		outcome := executor.await(ctx, job.ID, answer)
 		if outcome == nil {
 			// If the origin was only paused, its caller still waits.
-			outcome = dispatcher.NewUnknown("the job was given up since its instance was not heard of")
+			outcome = dispatcher.NewUnknown("the job was abandoned because its instance could not be reached")
 		}
 		executor.mu.Lock()
 		if ctx.Err() == nil {
@@ -205,7 +205,7 @@
 		executor.mu.Unlock()
 		message := linker.DelegationAnswer{ID: request.ID, Job: job.ID, Outcome: linker.EncodeOutcome(outcome, executor.now())}
 		if err := executor.peers.AnswerDelegation(from, message); err != nil {
-			executor.logger.Warn("outcome cannot be sent to the job's origin", "job", job.ID, "origin", from, "error", eris.ToString(err, false))
+			executor.logger.Warn("cannot send the outcome to the job's origin", "job", job.ID, "origin", from, "error", eris.ToString(err, false))
 		}
 	})
 }
--- a/executor/delegation_test.go
+++ b/executor/delegation_test.go
@@ -146,7 +146,7 @@
 	peers := []linker.Peer{small.peer(), large.peer()}
 	small.links.SetMembers(peers)
 	large.links.SetMembers(peers)
-	await(t, "the small instance passes its jobs on", func() bool {
+	await(t, "the small instance delegates its jobs", func() bool {
 		small.mu.Lock()
 		defer small.mu.Unlock()
 		return small.delegating
--- a/executor/executor.go
+++ b/executor/executor.go
@@ -375,7 +375,7 @@
 		now := executor.now()
 		executor.mu.Lock()
 		if now.Sub(lastTick) > pauseThreshold {
-			executor.logger.Warn("instance stood still", "for-ms", now.Sub(lastTick).Milliseconds())
+			executor.logger.Warn("instance was paused", "for-ms", now.Sub(lastTick).Milliseconds())
 			executor.scheduler.NotePause(now)
 			lastDomainCheck = now.Add(pauseThreshold)
 		}
@@ -422,9 +422,9 @@
 		executor.silent[domain] = silent
 		executor.scheduler.SetDomainSuspended(domain, silent)
 		if silent {
-			executor.logger.Warn("failure domain is not heard of", "domain", domain)
+			executor.logger.Warn("failure domain is silent", "domain", domain)
 		} else {
-			executor.logger.Info("failure domain is heard of again", "domain", domain)
+			executor.logger.Info("failure domain is no longer silent", "domain", domain)
 		}
 	}
 }
--- a/executor/news.go
+++ b/executor/news.go
@@ -65,7 +65,7 @@
 
 // PeerLost handles the failure of another instance.
 func (executor *Executor) PeerLost(from string) {
-	executor.logger.Warn("instance is not heard of", "peer", from)
+	executor.logger.Warn("instance is silent", "peer", from)
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
 	executor.scheduler.RemovePeer(from)
@@ -91,7 +91,7 @@
 	executor.assignedVersion, executor.reassign = version, false
 	if delegating := executor.peers.Delegating(); delegating != executor.delegating {
 		executor.delegating = delegating
-		executor.logger.Info("share of jobs changed", "passes-on", delegating, "weight", executor.self.Weight)
+		executor.logger.Info("delegation changed", "passes-on", delegating, "weight", executor.self.Weight)
 		if delegating {
 			executor.client.CloseIdle()
 		}
--- a/executor/poller.go
+++ b/executor/poller.go
@@ -247,7 +247,7 @@
 	poller.failures++
 	executor.lastPollFailure.Store(executor.now().UnixNano())
 	if poller.failures == 1 {
-		executor.logger.Info("look not answered", "target", poller.id, "error", eris.ToString(err, false))
+		executor.logger.Info("poll not answered", "target", poller.id, "error", eris.ToString(err, false))
 	}
 	if poller.failures == unreachableThreshold {
 		executor.logger.Warn("target does not answer", "target", poller.id, "error", eris.ToString(err, false))
--- a/executor/poller_test.go
+++ b/executor/poller_test.go
@@ -72,21 +72,21 @@
 	}{
 		{"reader of an occupied target", true, scheduler.TargetState{Occupied: true, LastHeard: now}, 0, true},
 		{"reader of an idle target", true, scheduler.TargetState{LastHeard: now}, 0, false},
-		{"not the reader, fresh news", false, scheduler.TargetState{Occupied: true, HasOwnRuns: true, LastHeard: now}, 0, false},
-		{"not the reader, old news", false, scheduler.TargetState{Occupied: true, HasOwnRuns: true, LastHeard: now.Add(-readerTimeout)}, 0, true},
-		{"reader, others not known yet", true, scheduler.TargetState{LastHeard: now}, 0, false},
-		{"own run, others not known yet", true, scheduler.TargetState{Occupied: true, HasOwnRuns: true, LastHeard: now}, 0, true},
-		{"repeat after a look without answer", false, scheduler.TargetState{LastHeard: now}, 1, true},
-		{"lost target, just asked", true, scheduler.TargetState{Unreachable: true, LastHeard: now}, unreachableThreshold, false},
+		{"not the reader, recent report", false, scheduler.TargetState{Occupied: true, HasOwnRuns: true, LastHeard: now}, 0, false},
+		{"not the reader, old report", false, scheduler.TargetState{Occupied: true, HasOwnRuns: true, LastHeard: now.Add(-readerTimeout)}, 0, true},
+		{"reader, peers not known yet", true, scheduler.TargetState{LastHeard: now}, 0, false},
+		{"own run, peers not known yet", true, scheduler.TargetState{Occupied: true, HasOwnRuns: true, LastHeard: now}, 0, true},
+		{"repeat after an unanswered poll", false, scheduler.TargetState{LastHeard: now}, 1, true},
+		{"unreachable target, just polled", true, scheduler.TargetState{Unreachable: true, LastHeard: now}, unreachableThreshold, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			poller := &poller{polled: true, failures: test.failures, lastPoll: now.Add(-probeInterval / 2)}
-			if test.name == "not the reader, old news" {
+			if test.name == "not the reader, old report" {
 				poller.lastPoll = now.Add(-probeInterval)
 			}
-			if strings.HasSuffix(test.name, "others not known yet") {
+			if strings.HasSuffix(test.name, "peers not known yet") {
 				poller.polled, poller.peersKnownAt = false, now.Add(startupGrace)
 			}
 			poller.isReader.Store(test.isReader)
--- a/executor/soak_test.go
+++ b/executor/soak_test.go
@@ -355,9 +355,9 @@
 			for _, broken := range soak.violations {
 				t.Errorf("seed %d: %s", seed, broken)
 			}
-			t.Logf("complete %d, refused %d, unknown %d, left %d", soak.complete.Load(), soak.refused.Load(), soak.unknown.Load(), soak.cancelled.Load())
+			t.Logf("complete %d, refused %d, unknown %d, cancelled %d", soak.complete.Load(), soak.refused.Load(), soak.unknown.Load(), soak.cancelled.Load())
 			if soak.complete.Load() == 0 {
-				t.Errorf("seed %d: no job is complete", seed)
+				t.Errorf("seed %d: no job completed", seed)
 			}
 		})
 	}
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -502,11 +502,11 @@
 func (gossiper *Gossiper) EligiblePeers() []linker.Hello {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	var staying []linker.Hello
+	var eligible []linker.Hello
 	for _, peer := range gossiper.peers {
 		if !peer.failed && !peer.leaving && !peer.delegating {
-			staying = append(staying, peer.hello)
+			eligible = append(eligible, peer.hello)
 		}
 	}
-	return staying
+	return eligible
 }
--- a/gossiper/gossiper_test.go
+++ b/gossiper/gossiper_test.go
@@ -24,8 +24,8 @@
 		delegating int
 	}{
 		{"alone", repeatWeight(0.4, 1), 0},
-		{"all alike", repeatWeight(0.4, 9), 0},
-		{"a little apart", append(repeatWeight(0.4, 5), repeatWeight(0.5, 5)...), 0},
+		{"all equal", repeatWeight(0.4, 9), 0},
+		{"slightly different", append(repeatWeight(0.4, 5), repeatWeight(0.5, 5)...), 0},
 		{"six large, nine medium, many small", append(append(repeatWeight(0.8, 6), repeatWeight(0.48, 9)...), repeatWeight(0.144, 22)...), 22},
 		{"one large, many small", append(repeatWeight(0.8, 1), repeatWeight(0.144, 22)...), 0},
 		{"none", nil, 0},
@@ -80,9 +80,9 @@
 	is.Equal(len(gossiper.EligiblePeers()), 1)
 	gossiper.contact("large", 0.8)
 	is.True(gossiper.Delegating())
-	staying := gossiper.EligiblePeers()
-	is.Equal(len(staying), 1)
-	is.Equal(staying[0].Incarnation, "large")
+	eligible := gossiper.EligiblePeers()
+	is.Equal(len(eligible), 1)
+	is.Equal(eligible[0].Incarnation, "large")
 	gossiper.Receive(linker.Hello{Domain: "a", Incarnation: "large", Weight: 0.8}, linker.News{Waiting: []int64{0}, Leaving: true})
 	is.True(!gossiper.Delegating()) // the only larger instance is leaving
 	gossiper.contact("next", 0.8)
@@ -171,15 +171,15 @@
 	is := is.New(t)
 	large, _, _ := newTestGossiper(0.8)
 	large.contact("small", 0.144)
-	rooms, _ := large.broadcastReceivers()
-	is.Equal(len(rooms), 0)
+	reports, _ := large.broadcastReceivers()
+	is.Equal(len(reports), 0)
 	large.Receive(linker.Hello{Domain: "a", Incarnation: "small", Weight: 0.144}, linker.News{Waiting: []int64{0}, Busy: true})
-	rooms, beats := large.broadcastReceivers()
-	is.Equal(rooms, []string{"small"})
-	is.Equal(len(beats), 0)
+	reports, heartbeats := large.broadcastReceivers()
+	is.Equal(reports, []string{"small"})
+	is.Equal(len(heartbeats), 0)
 	large.Receive(linker.Hello{Domain: "a", Incarnation: "small", Weight: 0.144}, linker.News{Waiting: []int64{0}})
-	rooms, _ = large.broadcastReceivers()
-	is.Equal(len(rooms), 0)
+	reports, _ = large.broadcastReceivers()
+	is.Equal(len(reports), 0)
 }
 
 // A pause of this process must not make its peers count as failed, and a silent peer must be detected.
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -50,7 +50,7 @@
 		task.state = running
 	case target != nil && (task == nil || !task.latest(target.ID, run) || task.state == waiting):
 		// The job was abandoned while the start order was in flight.
-		scheduler.emit(StopRun{On: target.Target, Run: run, Reason: "job was given up"})
+		scheduler.emit(StopRun{On: target.Target, Run: run, Reason: "job was abandoned"})
 	}
 }
 
@@ -97,7 +97,7 @@
 	case StartImpossible:
 		task.avoid(task.runTarget)
 		if len(task.avoided) >= task.job.MaxFailures {
-			scheduler.finish(task.job, dispatcher.NewFailed("targets hold the task to be wrong", nil), "task is wrong", now)
+			scheduler.finish(task.job, dispatcher.NewFailed("targets rejected the task as invalid", nil), "task is invalid", now)
 			return
 		}
 	case StartStale, StartRefused, StartUnsent:
@@ -113,7 +113,7 @@
 	if now.Before(job.startDeadline) || !job.neverStarted() {
 		return false
 	}
-	scheduler.abort(job, dispatcher.ReasonOverload, "no room in time", now)
+	scheduler.abort(job, dispatcher.ReasonOverload, "no capacity became free in time", now)
 	return true
 }
 
@@ -146,7 +146,7 @@
 func (scheduler *Scheduler) requeueLost(task *task, now time.Time) {
 	task.restarts++
 	if task.restarts > maxRestarts {
-		scheduler.finish(task.job, dispatcher.NewUnknown("a task was lost too often"), "task was lost too often", now)
+		scheduler.finish(task.job, dispatcher.NewUnknown("the runs of a task were lost or stopped too often"), "runs of a task were lost or stopped too often", now)
 		return
 	}
 	scheduler.enqueue(task)
@@ -193,7 +193,7 @@
 	switch {
 	case end.Cause == Done && task.state != done:
 		if task.mayBeRunning() && !latest {
-			scheduler.emit(StopRun{On: task.runTarget.Target, Run: task.run(), Reason: "an earlier run is done"})
+			scheduler.emit(StopRun{On: task.runTarget.Target, Run: task.run(), Reason: "an earlier run succeeded"})
 		}
 		scheduler.completeTask(task, now)
 	case !latest && task.state == waiting && isLatest:
@@ -231,7 +231,7 @@
 	task.failures++
 	task.avoid(task.runTarget)
 	if task.failures >= task.job.MaxFailures {
-		scheduler.finish(task.job, dispatcher.NewFailed("a task has failed as often as its route allows", nil), "a task has failed", now)
+		scheduler.finish(task.job, dispatcher.NewFailed("a task reached the failure limit of its route", nil), "a task failed too often", now)
 		return
 	}
 	scheduler.enqueue(task)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -91,8 +91,8 @@
 	peerDemands  map[string]Demand
 	completedAt  map[string]time.Time
 	releaseRates map[string]releaseRate
-	// suspendedDomains holds the failure domains whose instances are all silent.
-	suspendedDomains map[string]bool
+	// suspended holds the failure domains whose instances are all silent.
+	suspended map[string]bool
 	// lossDetectionFrom is the time before which no run is considered lost.
 	lossDetectionFrom time.Time
 	// offered holds the targets whose capacity was offered to another instance that has not claimed it yet.
@@ -119,20 +119,20 @@
 // New returns a scheduler for the instance with the incarnation self in the given failure domain.
 func New(self, domain string) *Scheduler {
 	return &Scheduler{
-		self:             self,
-		domain:           domain,
-		targets:          make(map[string]*target),
-		byService:        make(map[string][]*target),
-		groupSpeeds:      make(map[string]*learnedSpeed),
-		jobs:             make(map[string]*job),
-		tasks:            make(map[string]*task),
-		foreignEnds:      make(map[targetRun]recordedEnd),
-		changedTargets:   make(map[string]bool),
-		offered:          make(map[string]bool),
-		suspendedDomains: make(map[string]bool),
-		peerDemands:      make(map[string]Demand),
-		completedAt:      make(map[string]time.Time),
-		releaseRates:     make(map[string]releaseRate),
+		self:           self,
+		domain:         domain,
+		targets:        make(map[string]*target),
+		byService:      make(map[string][]*target),
+		groupSpeeds:    make(map[string]*learnedSpeed),
+		jobs:           make(map[string]*job),
+		tasks:          make(map[string]*task),
+		foreignEnds:    make(map[targetRun]recordedEnd),
+		changedTargets: make(map[string]bool),
+		offered:        make(map[string]bool),
+		suspended:      make(map[string]bool),
+		peerDemands:    make(map[string]Demand),
+		completedAt:    make(map[string]time.Time),
+		releaseRates:   make(map[string]releaseRate),
 	}
 }
 
@@ -196,7 +196,7 @@
 	known, ok := scheduler.targets[info.ID]
 	if !ok {
 		added := newTarget(info, scheduler.groupSpeed(info))
-		added.suspended = scheduler.suspendedDomains[info.Domain]
+		added.suspended = scheduler.suspended[info.Domain]
 		added.nonReaderBias = nonReaderSpread * RendezvousHash(scheduler.self, info.ID)
 		scheduler.targets[info.ID] = added
 		return
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -328,7 +328,7 @@
 		case AnswerJob:
 			simulation.outcomes[action.Job] = action.Outcome
 			if _, refused := action.Outcome.(dispatcher.Refused); refused && simulation.started[action.Job] {
-				simulation.recordViolation("job %s is refused though it has started", action.Job)
+				simulation.recordViolation("job %s was refused after it had started", action.Job)
 			}
 		case WithdrawClaim, OfferCapacity:
 		}
@@ -390,7 +390,7 @@
 		if other != target && other.runs[start.Run.Task] != nil {
 			simulation.duplicateRuns++
 			if !simulation.naive {
-				simulation.recordViolation("task %s starts on %s by %d beside %s", start.Run.Task, target.id, owner, other.id)
+				simulation.recordViolation("task %s started on %s by instance %d while it runs on %s", start.Run.Task, target.id, owner, other.id)
 			}
 		}
 	}
@@ -476,7 +476,7 @@
 		}
 	}
 	if complete < simulationSeeds*20 {
-		t.Errorf("only %d jobs are complete; the schedules show little", complete)
+		t.Errorf("only %d jobs completed; the schedules exercise too little", complete)
 	}
 }
 
--- a/scheduler/tick.go
+++ b/scheduler/tick.go
@@ -29,9 +29,9 @@
 // its instances are silent.
 func (scheduler *Scheduler) SetDomainSuspended(domain string, suspended bool) {
 	if suspended {
-		scheduler.suspendedDomains[domain] = true
+		scheduler.suspended[domain] = true
 	} else {
-		delete(scheduler.suspendedDomains, domain)
+		delete(scheduler.suspended, domain)
 	}
 	for _, target := range scheduler.targets {
 		if target.Domain == domain {
@@ -86,7 +86,7 @@
 		case waiting, uncertain:
 			minRunTime := time.Duration(float64(task.spec().Estimate) / rate.bestSpeed)
 			if now.Add(minRunTime).After(job.Deadline) {
-				scheduler.abort(job, dispatcher.ReasonDeadline, "too little time is left for a task", now)
+				scheduler.abort(job, dispatcher.ReasonDeadline, "too little time is left to run a task", now)
 				return
 			}
 			if task.state == uncertain && !now.Before(task.notBefore) && !now.Before(task.runTarget.leaseEnd) && !now.Before(scheduler.lossDetectionFrom) {
@@ -132,7 +132,7 @@
 			// The run takes at least this long. A target that is six times too slow ends too few runs to learn its
 			// speed from them alone.
 			task.runTarget.speed.add(float64(task.spec().Estimate)/float64(now.Sub(task.startedAt)), stragglerWeight)
-			scheduler.emit(StopRun{On: task.runTarget.Target, Run: task.run(), Reason: "run stands still"})
+			scheduler.emit(StopRun{On: task.runTarget.Target, Run: task.run(), Reason: "run is stalled"})
 		}
 	}
 }
@@ -182,7 +182,7 @@
 			continue
 		}
 		allocation.stopRequestedAt = now
-		scheduler.emit(StopRun{On: target.Target, Run: run, Reason: "its instance is gone"})
+		scheduler.emit(StopRun{On: target.Target, Run: run, Reason: "its instance has failed or abandoned it"})
 	}
 }
 
