--- a/executor/meter.go
+++ b/executor/meter.go
@@ -14,7 +14,7 @@
 type meter struct {
 	set    *metrics.Set
 	stops  *metrics.Counter
-	looks  *metrics.Counter
+	polls  *metrics.Counter
 	wait   *metrics.Histogram
 	orders *metrics.Histogram
 }
@@ -26,7 +26,7 @@
 	return &meter{
 		set:    set,
 		stops:  set.NewCounter("hyssoplift_stops_total"),
-		looks:  set.NewCounter("hyssoplift_looks_total"),
+		polls:  set.NewCounter("hyssoplift_looks_total"),
 		wait:   set.NewHistogram("hyssoplift_start_wait_seconds"),
 		orders: set.NewHistogram("hyssoplift_start_order_seconds"),
 	}
--- a/executor/poller.go
+++ b/executor/poller.go
@@ -121,26 +121,26 @@
 
 // nextPoll returns the next poll and how long to wait before it; a wait of zero or less means that it is due.
 func (poller *poller) nextPoll(state scheduler.TargetState, now time.Time) (PollRequest, time.Duration) {
-	sinceLook := now.Sub(poller.lastPoll)
+	sincePoll := now.Sub(poller.lastPoll)
 	switch {
 	case now.Before(poller.peersKnownAt) && !state.Occupied && poller.failures == 0:
 		return PollRequest{}, poller.peersKnownAt.Sub(now)
 	case poller.isReader.Load() && !poller.polled && !state.Unreachable && poller.failures == 0:
 		return PollRequest{}, 0
 	case state.Unreachable || poller.failures >= unreachableThreshold:
-		return PollRequest{}, probeInterval - sinceLook
+		return PollRequest{}, probeInterval - sincePoll
 	case poller.failures > 0:
 		return PollRequest{Acknowledged: poller.acknowledgeable}, 0
 	case poller.isReader.Load() && state.Occupied:
 		request := PollRequest{Acknowledged: poller.acknowledgeable, Wait: pollWait}
 		if len(poller.withheld) > 0 {
-			return request, withheldPollInterval - sinceLook
+			return request, withheldPollInterval - sincePoll
 		}
-		return request, minPollInterval - sinceLook
+		return request, minPollInterval - sincePoll
 	case poller.isReader.Load() && (poller.acknowledgeable > poller.acknowledged || len(poller.withheld) > 0):
 		return PollRequest{Acknowledged: poller.acknowledgeable}, acknowledgeDelay - now.Sub(poller.lastPoll)
 	case !poller.isReader.Load() && state.HasOwnRuns && now.Sub(state.LastHeard) >= readerTimeout:
-		return PollRequest{}, probeInterval - sinceLook
+		return PollRequest{}, probeInterval - sincePoll
 	case !poller.isReader.Load() && state.HasOwnRuns:
 		return PollRequest{}, readerTimeout - now.Sub(state.LastHeard)
 	}
@@ -168,7 +168,7 @@
 	pollContext, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	poll, err := executor.client.Poll(pollContext, target, request)
-	executor.meter.looks.Inc()
+	executor.meter.polls.Inc()
 	if ctx.Err() != nil {
 		return
 	}
--- a/gossiper/gossiper_test.go
+++ b/gossiper/gossiper_test.go
@@ -141,9 +141,9 @@
 func TestOtherDomainsReceiveReportsLessOften(t *testing.T) {
 	is := is.New(t)
 	gossiper, _, now := newTestGossiper(0.4)
-	gossiper.contact("near", 0.4)
-	far := linker.Hello{Domain: "b", Incarnation: "far", Weight: 0.4}
-	gossiper.Receive(far, far)
+	gossiper.contact("local", 0.4)
+	remote := linker.Hello{Domain: "b", Incarnation: "remote", Weight: 0.4}
+	gossiper.Receive(remote, remote)
 	counts := make(map[string]int)
 	pause := gossiper.plan(*now).pause
 	for range 30 {
@@ -155,8 +155,8 @@
 			}
 		}
 	}
-	is.Equal(counts["near"], 30)
-	is.True(counts["far"] >= 10 && counts["far"] <= 16)
+	is.Equal(counts["local"], 30)
+	is.True(counts["remote"] >= 10 && counts["remote"] <= 16)
 	gossiper.Report(scheduler.CapacityReport{Target: "t"})
 	gossiper.remoteSentAt = now.Add(-time.Millisecond)
 	gossiper.heartbeatSentAt = *now
--- a/scheduler/admit_test.go
+++ b/scheduler/admit_test.go
@@ -55,18 +55,18 @@
 	scheduler.Submit(testJob("long", 2, 100, 0), at(0))
 	acceptStarts(scheduler, drain(scheduler).starts, at(2))
 	scheduler.Submit(testJob("next", 1, 400, 10), at(10))
-	given := 0
-	for now := 10; now < 3000 && given == 0; now += 5 {
+	refusedAt := 0
+	for now := 10; now < 3000 && refusedAt == 0; now += 5 {
 		scheduler.Tick(at(now))
 		for _, answer := range drain(scheduler).answers {
 			if answer.Job == "next" {
 				is.Equal(outcome(answer), "refused overload")
-				given = now
+				refusedAt = now
 			}
 		}
 	}
 	// A quarter of the 700 ms to its objective.
-	is.True(given > 0 && given <= 10+700/4+5)
+	is.True(refusedAt > 0 && refusedAt <= 10+700/4+5)
 }
 
 // A job whose start orders were all rejected must be refused after its maximum wait, rather than kept until its
@@ -88,21 +88,21 @@
 			scheduler := newTestScheduler(1)
 			scheduler.Submit(testJob("j", 1, 400, 0), at(0))
 			var answer AnswerJob
-			given := 0
-			for now := 2; now < 3100 && given == 0; now += 5 {
+			answeredAt := 0
+			for now := 2; now < 3100 && answeredAt == 0; now += 5 {
 				drained := drain(scheduler)
 				for _, start := range drained.starts {
 					scheduler.HandleStartResult(start.Target, start.Run, test.result, at(now))
 				}
 				scheduler.Tick(at(now))
 				if len(drained.answers) > 0 {
-					answer, given = drained.answers[0], now
+					answer, answeredAt = drained.answers[0], now
 				}
 			}
 			is.Equal(outcome(answer), test.want)
 			if test.want != "unknown" {
 				// A quarter of the 700 ms to its objective, and one order in flight.
-				is.True(given <= 700/4+20)
+				is.True(answeredAt <= 700/4+20)
 			}
 		})
 	}
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -189,17 +189,17 @@
 		task.job.mayHaveStarted = true
 	}
 	isLatest := task.latest(targetID, end.Run)
-	latest := isLatest && task.mayBeRunning()
+	isActive := isLatest && task.mayBeRunning()
 	switch {
 	case end.Cause == Done && task.state != done:
-		if task.mayBeRunning() && !latest {
+		if task.mayBeRunning() && !isActive {
 			scheduler.emit(StopRun{On: task.runTarget.Target, Run: task.run(), Reason: "an earlier run succeeded"})
 		}
 		scheduler.completeTask(task, now)
-	case !latest && task.state == waiting && isLatest:
+	case !isActive && task.state == waiting && isLatest:
 		// The run that was ordered to stop has ended.
 		task.notBefore = time.Time{}
-	case !latest:
+	case !isActive:
 	case end.Cause == Failed:
 		scheduler.handleTaskFailure(task, now)
 	case end.Cause == Stopped, end.Cause == Lapsed:
--- a/scheduler/lease_test.go
+++ b/scheduler/lease_test.go
@@ -97,18 +97,18 @@
 	isAlive := func(owner string) bool { return alive[owner] }
 	claimed, unknown := Run{"p.0.0.0", 1}, Run{"q.0.0.0", 1}
 	scheduler.HandlePeerClaim("peer", Claim{Target: "t0", Run: claimed, Resources: Resources{MilliCores: 14000}, Estimate: time.Second}, at(0))
-	look := func(now int) {
+	poll := func(now int) {
 		scheduler.HandlePoll("t0", PollResult{Incarnation: 1, Running: []ActiveRun{{Run: claimed}, {Run: unknown}}, Sent: at(now), Answered: at(now + 1)})
 		scheduler.StopOrphans("t0", isAlive, at(now+1))
 	}
-	look(10)
+	poll(10)
 	is.Equal(len(drain(scheduler).stops), 0)
-	look(20 + int(orphanGrace/time.Millisecond))
+	poll(20 + int(orphanGrace/time.Millisecond))
 	stops := drain(scheduler).stops
 	is.Equal(len(stops), 1)
 	is.Equal(stops[0].Run, unknown)
 	alive["peer"] = false
-	look(30 + int(orphanGrace/time.Millisecond))
+	poll(30 + int(orphanGrace/time.Millisecond))
 	stops = drain(scheduler).stops
 	is.Equal(len(stops), 1)
 	is.Equal(stops[0].Run, claimed)
@@ -241,8 +241,8 @@
 func TestMessagesAboutAnEarlierSubmission(t *testing.T) {
 	run := Run{Task: "j.0.0.0", Attempt: 1}
 	tests := []struct {
-		name string
-		news func(*Scheduler)
+		name    string
+		deliver func(*Scheduler)
 	}{
 		{"end", func(scheduler *Scheduler) { scheduler.HandleEnd("t0", End{Seq: 1, Run: run, Cause: Stopped}, at(4)) }},
 		{"start not answered", func(scheduler *Scheduler) { scheduler.HandleStartResult("t0", run, StartUnanswered, at(4)) }},
@@ -252,7 +252,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			scheduler := newResubmittedScheduler(t)
-			test.news(scheduler)
+			test.deliver(scheduler)
 			scheduler.HandleStartResult("t1", run, StartTaken, at(5))
 			for now := 10; now < 300; now += 10 {
 				scheduler.Tick(at(now))
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -11,7 +11,7 @@
 	// startOverhead is the time that a start order and the report of the run's end add to the run time.
 	startOverhead = 6 * time.Millisecond
 	// crossDomainCost is how much faster a target in another failure domain must be to be chosen, since its round trips
-	// are longer and its traffic costs money.
+	// are longer and its traffic costs more.
 	crossDomainCost = 4 * time.Millisecond
 	// nonReaderCost is how much faster a target that another instance reads must be to be chosen, since its free
 	// capacity is known only as of the last broadcast. At 40 ms, the median latency of the shortest jobs rose from 93
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -97,7 +97,7 @@
 	lossDetectionFrom time.Time
 	// offered holds the targets whose capacity was offered to another instance that has not claimed it yet.
 	offered map[string]bool
-	// typicalMilliCores is a moving average of the processor share of claims.
+	// typicalMilliCores is a moving average of the claimed thousandths of a core.
 	typicalMilliCores int64
 	actions           []Action
 	// candidateBuffer is reused between placements.
