--- a/executor/poller_test.go
+++ b/executor/poller_test.go
@@ -41,7 +41,7 @@
 
 // An end must not be acknowledged before the run's owner was told. After all instances have failed, each one reads all
 // targets; the owner would find its run missing and start the task again.
-func TestEndWithoutAKnownOwnerIsHeldBack(t *testing.T) {
+func TestEndWithoutAKnownOwnerIsWithheld(t *testing.T) {
 	is := is.New(t)
 	executor := newTestExecutor(t)
 	poller := &poller{id: "t", withheld: make(map[int64]time.Time)}
@@ -66,7 +66,7 @@
 	tests := []struct {
 		name     string
 		isReader bool
-		work     scheduler.TargetState
+		state    scheduler.TargetState
 		failures int
 		due      bool
 	}{
@@ -90,7 +90,7 @@
 				poller.polled, poller.peersKnownAt = false, now.Add(startupGrace)
 			}
 			poller.isReader.Store(test.isReader)
-			_, pause := poller.nextPoll(test.work, now)
+			_, pause := poller.nextPoll(test.state, now)
 			is.Equal(pause <= 0, test.due)
 		})
 	}
--- a/executor/soak_test.go
+++ b/executor/soak_test.go
@@ -59,7 +59,7 @@
 }
 
 type leasedTarget struct {
-	lease          time.Time
+	leaseEnd       time.Time
 	running        map[scheduler.Run]time.Time
 	ended          []scheduler.End
 	highestAttempt map[string]int64
@@ -96,7 +96,7 @@
 			switch {
 			case now.Sub(started) >= targets.runTime:
 				targets.end(target, run, scheduler.Done)
-			case now.After(target.lease):
+			case now.After(target.leaseEnd):
 				targets.end(target, run, scheduler.Lapsed)
 			}
 		}
@@ -127,8 +127,8 @@
 	client.runs[start.Run.Task] = placedRun{on.ID, client.instance, start.Run.Attempt, now}
 	client.started[start.Job]++
 	target.running[start.Run] = now
-	if lease.After(target.lease) {
-		target.lease = lease
+	if lease.After(target.leaseEnd) {
+		target.leaseEnd = lease
 	}
 	return scheduler.StartTaken
 }
@@ -148,8 +148,8 @@
 	sent := time.Now()
 	targets.mu.Lock()
 	target := targets.targets[on.ID]
-	if request.Lease.After(target.lease) {
-		target.lease = request.Lease
+	if request.Lease.After(target.leaseEnd) {
+		target.leaseEnd = request.Lease
 	}
 	targets.mu.Unlock()
 	select {
