--- a/executor/delegation.go
+++ b/executor/delegation.go
@@ -75,11 +75,11 @@
 func pickWeighted(instances []linker.Hello, drawn float64) (string, bool) {
 	total := 0.0
 	for i := range instances {
-		total += instances[i].Share()
+		total += instances[i].EffectiveWeight()
 	}
 	remaining := drawn * total
 	for i := range instances {
-		if remaining -= instances[i].Share(); remaining < 0 {
+		if remaining -= instances[i].EffectiveWeight(); remaining < 0 {
 			return instances[i].Incarnation, true
 		}
 	}
@@ -141,7 +141,7 @@
 // answerDelegated sends the outcome of a delegated job to its callers; the caller holds the lock.
 func (executor *Executor) answerDelegated(entry *delegation, outcome dispatcher.Outcome) {
 	now := executor.now()
-	executor.logger.Info("delegated job answered", "job", entry.job.ID, "delegate", entry.delegate, "outcome", dispatcher.ClassOf(outcome),
+	executor.logger.Info("delegated job answered", "job", entry.job.ID, "delegate", entry.delegate, "outcome", dispatcher.OutcomeClass(outcome),
 		"took-ms", now.Sub(entry.job.Arrived).Milliseconds(), "late-ms", max(0, now.Sub(entry.job.Objective)).Milliseconds())
 	executor.meter.countDelegated(outcome)
 	executor.deliver(entry.job.ID, outcome)
@@ -236,7 +236,7 @@
 		step := &job.Steps[i]
 		steps[i] = linker.JobStep{
 			Tasks: step.Tasks, MilliCores: step.Resources.MilliCores, MemoryMB: step.Resources.MemoryMB, Accelerators: step.Resources.Accelerators,
-			EstimateUS: step.Estimate.Microseconds(), After: step.DependsOn, Label: step.Label, PerTarget: step.MaxPerTarget,
+			EstimateUS: step.Estimate.Microseconds(), DependsOn: step.DependsOn, Label: step.Label, MaxPerTarget: step.MaxPerTarget,
 		}
 	}
 	return linker.Delegation{
@@ -252,7 +252,7 @@
 		step := &request.Steps[i]
 		steps[i] = scheduler.Step{
 			Tasks: step.Tasks, Resources: scheduler.Resources{MilliCores: step.MilliCores, MemoryMB: step.MemoryMB, Accelerators: step.Accelerators},
-			Estimate: time.Duration(step.EstimateUS) * time.Microsecond, DependsOn: step.After, Label: step.Label, MaxPerTarget: step.PerTarget,
+			Estimate: time.Duration(step.EstimateUS) * time.Microsecond, DependsOn: step.DependsOn, Label: step.Label, MaxPerTarget: step.MaxPerTarget,
 		}
 	}
 	return scheduler.Job{
--- a/executor/meter.go
+++ b/executor/meter.go
@@ -34,7 +34,7 @@
 
 // countAnswer counts the outcome of a job that this instance ran or refused.
 func (meter *meter) countAnswer(answer scheduler.AnswerJob) {
-	labels := `outcome="` + dispatcher.ClassOf(answer.Outcome) + `"`
+	labels := `outcome="` + dispatcher.OutcomeClass(answer.Outcome) + `"`
 	if refused, ok := answer.Outcome.(dispatcher.Refused); ok {
 		labels += `,reason="` + string(refused.Reason()) + `"`
 	}
@@ -43,7 +43,7 @@
 
 // countDelegated counts the outcome of a job that another instance ran for this one.
 func (meter *meter) countDelegated(outcome dispatcher.Outcome) {
-	meter.set.GetOrCreateCounter(`hyssoplift_delegated_jobs_total{outcome="` + dispatcher.ClassOf(outcome) + `"}`).Inc()
+	meter.set.GetOrCreateCounter(`hyssoplift_delegated_jobs_total{outcome="` + dispatcher.OutcomeClass(outcome) + `"}`).Inc()
 }
 
 // recordStart records the result of a start order, the time from the job's arrival to that result, and the duration of
--- a/executor/news.go
+++ b/executor/news.go
@@ -8,36 +8,36 @@
 	"github.com/hyssoplift/hyssoplift/scheduler"
 )
 
-// HandleNews processes a message from another instance.
-func (executor *Executor) HandleNews(from string, news linker.News) {
+// HandleStateUpdate processes a message from another instance.
+func (executor *Executor) HandleStateUpdate(from string, update linker.StateUpdate) {
 	now := executor.now()
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
-	for _, claim := range news.Claims {
+	for _, claim := range update.Claims {
 		executor.handleClaim(from, claim, now)
 	}
-	for _, name := range news.Withdrawn {
-		executor.scheduler.HandlePeerWithdrawal(name.Target, runOf(name), now)
+	for _, id := range update.Withdrawn {
+		executor.scheduler.HandlePeerWithdrawal(id.Target, runOf(id), now)
 	}
-	for _, name := range news.Stops {
-		executor.scheduler.HandlePeerStop(name.Target, runOf(name))
+	for _, id := range update.Stops {
+		executor.scheduler.HandlePeerStop(id.Target, runOf(id))
 	}
-	for _, room := range news.Rooms {
-		resources := scheduler.Resources{MilliCores: room.MilliCores, MemoryMB: room.MemoryMB, Accelerators: room.Accelerators}
-		executor.scheduler.HandlePeerReport(scheduler.CapacityReport{Target: room.Target, FreeCapacity: resources, Unreachable: room.Lost}, now)
+	for _, free := range update.FreeCapacity {
+		resources := scheduler.Resources{MilliCores: free.MilliCores, MemoryMB: free.MemoryMB, Accelerators: free.Accelerators}
+		executor.scheduler.HandlePeerReport(scheduler.CapacityReport{Target: free.Target, FreeCapacity: resources, Unreachable: free.Unreachable}, now)
 	}
-	if len(news.Waiting) > 0 {
+	if len(update.Waiting) > 0 {
 		var demand scheduler.Demand
-		copy(demand[:], news.Waiting)
+		copy(demand[:], update.Waiting)
 		executor.scheduler.HandlePeerDemand(from, demand)
 	}
-	for _, end := range news.Ends {
+	for _, end := range update.Ends {
 		run := scheduler.Run{Task: end.Task, Attempt: end.Attempt}
 		decoded := scheduler.End{Seq: end.Number, Run: run, Cause: scheduler.Cause(end.Cause)}
 		executor.logEnd(end.Target, decoded, executor.self.Incarnation)
 		executor.scheduler.HandleEnd(end.Target, decoded, now)
 	}
-	for _, job := range news.Abandoned {
+	for _, job := range update.Abandoned {
 		executor.abandonForeign(from, job)
 	}
 	executor.scheduler.Place(now)
@@ -59,8 +59,8 @@
 	executor.wake(claim.Target)
 }
 
-func runOf(name linker.RunName) scheduler.Run {
-	return scheduler.Run{Task: name.Task, Attempt: name.Attempt}
+func runOf(id linker.RunID) scheduler.Run {
+	return scheduler.Run{Task: id.Task, Attempt: id.Attempt}
 }
 
 // PeerLost handles the failure of another instance.
@@ -142,7 +142,7 @@
 
 // rendezvousScore returns the weighted rendezvous hashing score of an instance for a target.
 func rendezvousScore(target string, instance *linker.Hello) float64 {
-	return -instance.Share() / math.Log(scheduler.RendezvousHash(instance.Incarnation, target))
+	return -instance.EffectiveWeight() / math.Log(scheduler.RendezvousHash(instance.Incarnation, target))
 }
 
 // Leave announces a planned stop and hands the targets that this instance reads to the others. If a leaving instance
--- a/executor/soak_test.go
+++ b/executor/soak_test.go
@@ -263,7 +263,7 @@
 	for number, weight := range []float64{0.1, 0.1, 0.8, 0.8} {
 		self := linker.Hello{Domain: "a", Name: fmt.Sprintf("n%d", number), Incarnation: fmt.Sprintf("n%d", number), Weight: weight}
 		limits := linker.DefaultLimits()
-		limits.SilenceLimit, limits.PingInterval = 700*time.Millisecond, 300*time.Millisecond
+		limits.IOTimeout, limits.PingInterval = 700*time.Millisecond, 300*time.Millisecond
 		added := newMember(t, self, leasedClient{soak.leasedTargets, self.Name}, limits, soak.infos())
 		proxy := newProxy(t, strings.TrimPrefix(added.server.URL, "http://"))
 		soak.members, soak.proxies = append(soak.members, added), append(soak.proxies, proxy)
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -34,8 +34,8 @@
 
 // Receiver handles messages and failures of other instances.
 type Receiver interface {
-	// HandleNews handles a message from another instance.
-	HandleNews(from string, news linker.News)
+	// HandleStateUpdate handles a message from another instance.
+	HandleStateUpdate(from string, update linker.StateUpdate)
 	// PeerLost is called when an instance is considered failed.
 	PeerLost(from string)
 	// HandleDelegation runs a job for another instance. It must not block.
@@ -71,7 +71,7 @@
 
 	mu sync.Mutex
 	// outbox holds the pending messages to single instances; urgent means that they are sent without flushDelay.
-	outbox map[string]*linker.News
+	outbox map[string]*linker.StateUpdate
 	urgent bool
 	// reports and demand go into the next broadcast.
 	reports map[string]scheduler.CapacityReport
@@ -101,7 +101,7 @@
 		cancel:        cancel,
 		wake:          make(chan struct{}, 1),
 		changed:       make(chan struct{}, 1),
-		outbox:        make(map[string]*linker.News),
+		outbox:        make(map[string]*linker.StateUpdate),
 		reports:       make(map[string]scheduler.CapacityReport),
 		remoteReports: make(map[string]scheduler.CapacityReport),
 		checkedAt:     now(),
@@ -135,23 +135,23 @@
 
 // newsFor returns the pending message to an instance, to be extended by the caller, and schedules its sending; the
 // caller holds the lock.
-func (gossiper *Gossiper) newsFor(incarnation string, urgent bool) *linker.News {
-	news, ok := gossiper.outbox[incarnation]
+func (gossiper *Gossiper) newsFor(incarnation string, urgent bool) *linker.StateUpdate {
+	update, ok := gossiper.outbox[incarnation]
 	if !ok {
-		news = &linker.News{}
-		gossiper.outbox[incarnation] = news
+		update = &linker.StateUpdate{}
+		gossiper.outbox[incarnation] = update
 	}
 	gossiper.urgent = gossiper.urgent || urgent
 	notify(gossiper.wake)
-	return news
+	return update
 }
 
 // Claim sends a claim to the reader of its target.
 func (gossiper *Gossiper) Claim(reader string, claim scheduler.Claim) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	news := gossiper.newsFor(reader, false)
-	news.Claims = append(news.Claims, linker.Claim{
+	update := gossiper.newsFor(reader, false)
+	update.Claims = append(update.Claims, linker.Claim{
 		Target: claim.Target, Task: claim.Run.Task, Attempt: claim.Run.Attempt,
 		MilliCores: claim.Resources.MilliCores, MemoryMB: claim.Resources.MemoryMB, Accelerators: claim.Resources.Accelerators,
 		EstimateMS: claim.Estimate.Milliseconds(),
@@ -162,24 +162,24 @@
 func (gossiper *Gossiper) Withdraw(reader, target string, run scheduler.Run) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	news := gossiper.newsFor(reader, false)
-	news.Withdrawn = append(news.Withdrawn, linker.RunName{Target: target, Task: run.Task, Attempt: run.Attempt})
+	update := gossiper.newsFor(reader, false)
+	update.Withdrawn = append(update.Withdrawn, linker.RunID{Target: target, Task: run.Task, Attempt: run.Attempt})
 }
 
 // RelayStop asks the reader of a target to stop a run.
 func (gossiper *Gossiper) RelayStop(reader, target string, run scheduler.Run) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	news := gossiper.newsFor(reader, true)
-	news.Stops = append(news.Stops, linker.RunName{Target: target, Task: run.Task, Attempt: run.Attempt})
+	update := gossiper.newsFor(reader, true)
+	update.Stops = append(update.Stops, linker.RunID{Target: target, Task: run.Task, Attempt: run.Attempt})
 }
 
 // SendRunEnd sends the end of a run to its owner without delay, since a caller waits for it.
 func (gossiper *Gossiper) SendRunEnd(owner, target string, end scheduler.End) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	news := gossiper.newsFor(owner, true)
-	news.Ends = append(news.Ends, linker.RunEnd{
+	update := gossiper.newsFor(owner, true)
+	update.Ends = append(update.Ends, linker.RunEnd{
 		Target: target, Task: end.Run.Task, Attempt: end.Run.Attempt, Number: end.Seq, Cause: int64(end.Cause),
 	})
 }
@@ -188,8 +188,8 @@
 func (gossiper *Gossiper) Abandon(delegate, job string) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	news := gossiper.newsFor(delegate, true)
-	news.Abandoned = append(news.Abandoned, job)
+	update := gossiper.newsFor(delegate, true)
+	update.Abandoned = append(update.Abandoned, job)
 }
 
 // Call sends a request to an instance and returns the response; see linker.Linker.Call.
@@ -221,8 +221,8 @@
 func (gossiper *Gossiper) Offer(to, target string, free scheduler.Resources) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	news := gossiper.newsFor(to, true)
-	news.Rooms = append(news.Rooms, encodeReport(scheduler.CapacityReport{Target: target, FreeCapacity: free}))
+	update := gossiper.newsFor(to, true)
+	update.FreeCapacity = append(update.FreeCapacity, encodeReport(scheduler.CapacityReport{Target: target, FreeCapacity: free}))
 }
 
 // Report broadcasts the free capacity of a target.
@@ -245,10 +245,10 @@
 	}
 }
 
-func encodeReport(report scheduler.CapacityReport) linker.Room {
+func encodeReport(report scheduler.CapacityReport) linker.FreeCapacity {
 	free := report.FreeCapacity
-	return linker.Room{
-		Target: report.Target, MilliCores: free.MilliCores, MemoryMB: free.MemoryMB, Accelerators: free.Accelerators, Lost: report.Unreachable,
+	return linker.FreeCapacity{
+		Target: report.Target, MilliCores: free.MilliCores, MemoryMB: free.MemoryMB, Accelerators: free.Accelerators, Unreachable: report.Unreachable,
 	}
 }
 
@@ -272,15 +272,15 @@
 		}
 		gossiper.mu.Lock()
 		outbox, links := gossiper.outbox, gossiper.links
-		gossiper.outbox, gossiper.urgent = make(map[string]*linker.News, len(outbox)), false
+		gossiper.outbox, gossiper.urgent = make(map[string]*linker.StateUpdate, len(outbox)), false
 		gossiper.mu.Unlock()
 		if links == nil {
 			continue
 		}
-		for incarnation, news := range outbox {
+		for incarnation, update := range outbox {
 			// Lost messages are made up for: owners repeat claims and orders to abandon jobs, and a claim that arrives
 			// after the run's end is answered with the end.
-			_ = links.Send(incarnation, *news)
+			_ = links.Send(incarnation, *update)
 		}
 	}
 }
@@ -326,7 +326,7 @@
 // broadcast is a message and its recipients.
 type broadcast struct {
 	to   []string
-	news linker.News
+	news linker.StateUpdate
 }
 
 // broadcastPlan holds the broadcasts that are due and the time until the next ones.
@@ -357,9 +357,9 @@
 	// instance failed.
 	pause := min(max(minBroadcastInterval, broadcastIntervalPerPeer*time.Duration(remoteIntervalFactor*len(sameDomain)+len(otherDomains))/remoteIntervalFactor), heartbeatInterval)
 	plan := broadcastPlan{pause: pause}
-	news := linker.News{Waiting: append([]int64(nil), gossiper.demand[:]...), Leaving: gossiper.leaving, Busy: gossiper.busy}
+	update := linker.StateUpdate{Waiting: append([]int64(nil), gossiper.demand[:]...), Leaving: gossiper.leaving, Busy: gossiper.busy}
 	if len(heartbeats) > 0 {
-		plan.broadcasts = append(plan.broadcasts, broadcast{heartbeats, news})
+		plan.broadcasts = append(plan.broadcasts, broadcast{heartbeats, update})
 	}
 	if heartbeatDue {
 		gossiper.heartbeatSentAt = now
@@ -367,22 +367,22 @@
 	if remoteDue := now.Sub(gossiper.remoteSentAt) >= (remoteIntervalFactor-1)*pause; remoteDue || heartbeatDue {
 		gossiper.remoteSentAt = now
 		if len(otherDomains) > 0 {
-			plan.broadcasts = append(plan.broadcasts, broadcast{otherDomains, withReports(news, gossiper.remoteReports)})
+			plan.broadcasts = append(plan.broadcasts, broadcast{otherDomains, withReports(update, gossiper.remoteReports)})
 		}
 		clear(gossiper.remoteReports)
 	}
 	if len(sameDomain) > 0 {
-		plan.broadcasts = append(plan.broadcasts, broadcast{sameDomain, withReports(news, gossiper.reports)})
+		plan.broadcasts = append(plan.broadcasts, broadcast{sameDomain, withReports(update, gossiper.reports)})
 	}
 	clear(gossiper.reports)
 	return plan
 }
 
-func withReports(news linker.News, reports map[string]scheduler.CapacityReport) linker.News {
+func withReports(update linker.StateUpdate, reports map[string]scheduler.CapacityReport) linker.StateUpdate {
 	for _, report := range reports {
-		news.Rooms = append(news.Rooms, encodeReport(report))
+		update.FreeCapacity = append(update.FreeCapacity, encodeReport(report))
 	}
-	return news
+	return update
 }
 
 // detectLostPeers finds the peers that have been silent for too long and reports them to the receiver.
@@ -425,20 +425,20 @@
 	switch message := message.(type) {
 	case linker.LinkEnded:
 		gossiper.receiver.LinkEnded(from.Incarnation)
-	case linker.News:
+	case linker.StateUpdate:
 		gossiper.recordContact(from, message)
-		gossiper.receiver.HandleNews(from.Incarnation, message)
+		gossiper.receiver.HandleStateUpdate(from.Incarnation, message)
 	case linker.Delegation:
-		gossiper.recordContact(from, linker.News{})
+		gossiper.recordContact(from, linker.StateUpdate{})
 		gossiper.receiver.HandleDelegation(from.Incarnation, message)
 	default:
-		gossiper.recordContact(from, linker.News{})
+		gossiper.recordContact(from, linker.StateUpdate{})
 	}
 }
 
 // recordContact records a sign of life of an instance. Only broadcasts carry the state of the sender; they are
 // recognized by their waiting tasks.
-func (gossiper *Gossiper) recordContact(from linker.Hello, news linker.News) {
+func (gossiper *Gossiper) recordContact(from linker.Hello, update linker.StateUpdate) {
 	now := gossiper.now()
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
@@ -448,8 +448,8 @@
 		gossiper.peers[from.Incarnation] = known
 	}
 	leaving := known.leaving
-	if len(news.Waiting) > 0 {
-		leaving, known.busy = news.Leaving, news.Busy
+	if len(update.Waiting) > 0 {
+		leaving, known.busy = update.Leaving, update.Busy
 	}
 	changed := !ok || known.failed || leaving != known.leaving
 	known.lastHeard, known.failed, known.leaving = now, false, leaving
--- a/gossiper/gossiper_test.go
+++ b/gossiper/gossiper_test.go
@@ -48,10 +48,10 @@
 // recorder is a Receiver that records the lost peers.
 type recorder struct{ lost []string }
 
-func (*recorder) HandleNews(string, linker.News)             {}
-func (recorder *recorder) PeerLost(from string)              { recorder.lost = append(recorder.lost, from) }
-func (*recorder) HandleDelegation(string, linker.Delegation) {}
-func (*recorder) LinkEnded(string)                           {}
+func (*recorder) HandleStateUpdate(string, linker.StateUpdate) {}
+func (recorder *recorder) PeerLost(from string)                { recorder.lost = append(recorder.lost, from) }
+func (*recorder) HandleDelegation(string, linker.Delegation)   {}
+func (*recorder) LinkEnded(string)                             {}
 
 // newTestGossiper returns a gossiper without goroutines; its clock is set through the returned pointer.
 func newTestGossiper(weight float64) (*Gossiper, *recorder, *time.Time) {
@@ -59,7 +59,7 @@
 	receiver := &recorder{}
 	return &Gossiper{
 		self: linker.Hello{Domain: "a", Incarnation: "self", Weight: weight}, receiver: receiver, now: func() time.Time { return now },
-		wake: make(chan struct{}, 1), changed: make(chan struct{}, 1), outbox: make(map[string]*linker.News), peers: make(map[string]*peer), checkedAt: now,
+		wake: make(chan struct{}, 1), changed: make(chan struct{}, 1), outbox: make(map[string]*linker.StateUpdate), peers: make(map[string]*peer), checkedAt: now,
 		reports: make(map[string]scheduler.CapacityReport), remoteReports: make(map[string]scheduler.CapacityReport),
 	}, receiver, &now
 }
@@ -83,7 +83,7 @@
 	eligible := gossiper.EligiblePeers()
 	is.Equal(len(eligible), 1)
 	is.Equal(eligible[0].Incarnation, "large")
-	gossiper.Receive(linker.Hello{Domain: "a", Incarnation: "large", Weight: 0.8}, linker.News{Waiting: []int64{0}, Leaving: true})
+	gossiper.Receive(linker.Hello{Domain: "a", Incarnation: "large", Weight: 0.8}, linker.StateUpdate{Waiting: []int64{0}, Leaving: true})
 	is.True(!gossiper.Delegating()) // the only larger instance is leaving
 	gossiper.contact("next", 0.8)
 	is.True(gossiper.Delegating())
@@ -99,7 +99,7 @@
 func (gossiper *Gossiper) broadcastReceivers() (reports, heartbeats []string) {
 	gossiper.Report(scheduler.CapacityReport{Target: "t"})
 	for _, broadcast := range gossiper.plan(gossiper.now()).broadcasts {
-		if len(broadcast.news.Rooms) > 0 {
+		if len(broadcast.news.FreeCapacity) > 0 {
 			reports = append(reports, broadcast.to...)
 		} else {
 			heartbeats = append(heartbeats, broadcast.to...)
@@ -151,7 +151,7 @@
 		gossiper.Report(scheduler.CapacityReport{Target: "t"})
 		for _, broadcast := range gossiper.plan(*now).broadcasts {
 			for _, to := range broadcast.to {
-				counts[to] += len(broadcast.news.Rooms)
+				counts[to] += len(broadcast.news.FreeCapacity)
 			}
 		}
 	}
@@ -173,11 +173,11 @@
 	large.contact("small", 0.144)
 	reports, _ := large.broadcastReceivers()
 	is.Equal(len(reports), 0)
-	large.Receive(linker.Hello{Domain: "a", Incarnation: "small", Weight: 0.144}, linker.News{Waiting: []int64{0}, Busy: true})
+	large.Receive(linker.Hello{Domain: "a", Incarnation: "small", Weight: 0.144}, linker.StateUpdate{Waiting: []int64{0}, Busy: true})
 	reports, heartbeats := large.broadcastReceivers()
 	is.Equal(reports, []string{"small"})
 	is.Equal(len(heartbeats), 0)
-	large.Receive(linker.Hello{Domain: "a", Incarnation: "small", Weight: 0.144}, linker.News{Waiting: []int64{0}})
+	large.Receive(linker.Hello{Domain: "a", Incarnation: "small", Weight: 0.144}, linker.StateUpdate{Waiting: []int64{0}})
 	reports, _ = large.broadcastReceivers()
 	is.Equal(len(reports), 0)
 }
--- a/gossiper/roles.go
+++ b/gossiper/roles.go
@@ -34,16 +34,16 @@
 // the lock.
 func (gossiper *Gossiper) updateRoles() {
 	gossiper.peersVersion++
-	weights := []float64{gossiper.self.Share()}
+	weights := []float64{gossiper.self.EffectiveWeight()}
 	for _, peer := range gossiper.peers {
 		if !peer.failed && !peer.leaving {
-			weights = append(weights, peer.hello.Share())
+			weights = append(weights, peer.hello.EffectiveWeight())
 		}
 	}
 	threshold := delegationThreshold(weights)
-	gossiper.delegating = gossiper.self.Share() < threshold
+	gossiper.delegating = gossiper.self.EffectiveWeight() < threshold
 	for _, peer := range gossiper.peers {
-		peer.delegating = peer.hello.Share() < threshold
+		peer.delegating = peer.hello.EffectiveWeight() < threshold
 	}
 }
 
