--- a/leaser/leaser_test.go
+++ b/leaser/leaser_test.go
@@ -33,8 +33,8 @@
 	}{
 		{"finishes", emulator.WorkerHealthy, task(10, 100), "leaser.Completed", 1},
 		{"answer to the start is lost", emulator.WorkerLosesAnswers, task(10, 100), "leaser.Completed", 1},
-		{"task fails", emulator.WorkerFailing, task(10, 100), "leaser.Broken", 1},
-		{"guard stops the task", emulator.WorkerHealthy, task(10, 5000), "leaser.Broken", 1},
+		{"task fails", emulator.WorkerFailing, task(10, 100), "leaser.TaskFailed", 1},
+		{"guard stops the task", emulator.WorkerHealthy, task(10, 5000), "leaser.TaskFailed", 1},
 		{"worker leaves", emulator.WorkerLeaving, task(10, 100), "leaser.NotStarted", 0},
 		{"deadline passes while running", emulator.WorkerHealthy, task(60_000, 100), "leaser.Lost", 1},
 	}
