--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -9,19 +9,19 @@
 type taskState int
 
 const (
-	// blocked: waits for earlier steps.
+	// A blocked task waits for earlier steps.
 	blocked taskState = iota
-	// waiting: queued until a target has capacity.
+	// A waiting task is queued until a target has capacity.
 	waiting
-	// starting: a start request is in flight.
+	// A starting task has a start request in flight.
 	starting
-	// running: a target accepted the task.
+	// A running task was accepted by a target.
 	running
-	// stopping: a stop request is in flight, after which the task is queued again.
+	// A stopping task has a stop request in flight, after which it is queued again.
 	stopping
-	// uncertain: may be running on a target that does not answer, until the target's lease has ended.
+	// An uncertain task may be running on a target that does not answer, until the target's lease has ended.
 	uncertain
-	// done: ended with success.
+	// A done task has ended with success.
 	done
 )
 
