--- a/executor/delegation.go
+++ b/executor/delegation.go
@@ -13,40 +13,42 @@
 )
 
 const (
-	// delegationSlack is waited beyond a job's deadline for the answer of its delegate, which answers at the deadline.
-	delegationSlack = 5 * time.Millisecond
-	// abandonTime is how long a delegate is told again that a job is abandoned, in case a link was lost in between: after
-	// it, the delegate has noticed the silence of the link. A caller sends its job again 1,300 ms after a lost answer.
-	abandonTime = 500 * time.Millisecond
-	// maxDelegatedTasks bounds the tasks of a delegated job, which is sent as one message.
+	// delegationMargin is how long to wait beyond a job's deadline for the answer of its delegate, which answers by the
+	// deadline.
+	delegationMargin = 5 * time.Millisecond
+	// abandonRepeatPeriod is how long the request to abandon a job is repeated to its delegate, in case a link broke in
+	// between. After this time the delegate has detected the broken link by itself. A caller sends its job again 1,300
+	// ms after a lost answer.
+	abandonRepeatPeriod = 500 * time.Millisecond
+	// maxDelegatedTasks limits the tasks of a delegated job, since the job is sent as one message.
 	maxDelegatedTasks = 1000
 )
 
-// delegation is a job of an own caller that another instance runs.
+// delegation is a job of one of this instance's callers that another instance runs.
 type delegation struct {
 	job      scheduler.Job
 	delegate string
 	cancel   context.CancelFunc
 }
 
-// abandonment is a job that its delegate is told to give up.
+// abandonment is a job whose delegate is repeatedly told to abandon it.
 type abandonment struct {
 	delegate string
 	job      string
 	until    time.Time
 }
 
-// foreignJob is a job that this instance runs for another one.
+// foreignJob identifies a job that this instance runs for another one.
 type foreignJob struct {
 	origin string
 	job    string
 }
 
-// delegateFor returns the instance that is to run a job, or false if this one runs it: instances that are much smaller
-// than others pass their jobs on, to one of their own failure domain if there is any, drawn by weight. The caller holds
-// the lock.
+// delegateFor returns the instance that should run a job, or false if it is this one. Instances that are much smaller
+// than others delegate their jobs, preferably within their own failure domain; the delegate is drawn by weight. The
+// caller holds the lock.
 func (executor *Executor) delegateFor(job *scheduler.Job) (string, bool) {
-	if !executor.delegates || executor.has(job.ID) {
+	if !executor.delegating || executor.has(job.ID) {
 		return "", false
 	}
 	tasks := 0
@@ -56,115 +58,115 @@
 	if tasks > maxDelegatedTasks {
 		return "", false
 	}
-	staying := executor.peers.EligiblePeers()
-	near := make([]linker.Hello, 0, len(staying))
-	for _, peer := range staying {
+	eligible := executor.peers.EligiblePeers()
+	sameDomain := make([]linker.Hello, 0, len(eligible))
+	for _, peer := range eligible {
 		if peer.Domain == executor.self.Domain && executor.peers.Reachable(peer.Incarnation) {
-			near = append(near, peer)
+			sameDomain = append(sameDomain, peer)
 		}
 	}
-	if len(near) == 0 {
-		near = staying
+	if len(sameDomain) == 0 {
+		sameDomain = eligible
 	}
-	return drawByWeight(near, rand.Float64())
+	return pickWeighted(sameDomain, rand.Float64())
 }
 
-// drawByWeight returns one of the instances by its weight; drawn is between 0 and 1.
-func drawByWeight(instances []linker.Hello, drawn float64) (string, bool) {
+// pickWeighted picks an instance with a probability proportional to its weight; drawn is a random number in [0, 1).
+func pickWeighted(instances []linker.Hello, drawn float64) (string, bool) {
 	total := 0.0
 	for i := range instances {
 		total += instances[i].EffectiveWeight()
 	}
-	left := drawn * total
+	remaining := drawn * total
 	for i := range instances {
-		if left -= instances[i].EffectiveWeight(); left < 0 {
+		if remaining -= instances[i].EffectiveWeight(); remaining < 0 {
 			return instances[i].Incarnation, true
 		}
 	}
 	return "", false
 }
 
-// delegate passes a job on; the caller holds the lock.
+// delegate sends a job to another instance; the caller holds the lock.
 func (executor *Executor) delegate(job scheduler.Job, to string) {
 	now := executor.now()
-	ctx, cancel := context.WithTimeout(executor.ctx, job.Deadline.Sub(now)+delegationSlack)
-	passed := &delegation{job: job, delegate: to, cancel: cancel}
-	executor.delegated[job.ID] = passed
+	ctx, cancel := context.WithTimeout(executor.ctx, job.Deadline.Sub(now)+delegationMargin)
+	entry := &delegation{job: job, delegate: to, cancel: cancel}
+	executor.delegated[job.ID] = entry
 	executor.group.Go(func() {
 		defer cancel()
 		response, err := executor.peers.Call(ctx, to, encodeJob(&job, now))
 		executor.mu.Lock()
 		defer executor.mu.Unlock()
-		if executor.delegated[job.ID] != passed {
+		if executor.delegated[job.ID] != entry {
 			// The caller left or cancelled the job.
 			return
 		}
 		delete(executor.delegated, job.ID)
 		if err != nil {
-			executor.delegationFailed(passed, err)
+			executor.delegationFailed(entry, err)
 			return
 		}
 		outcome, err := linker.DecodeOutcome(response.(linker.DelegationAnswer).Outcome, executor.now())
 		if err != nil {
-			executor.logger.Error("answer of delegate cannot be read", "job", job.ID, "delegate", to, "error", eris.ToString(err, false))
-			outcome = dispatcher.NewUnknown("the answer of the instance that ran the job cannot be read")
+			executor.logger.Error("cannot decode the delegate's answer", "job", job.ID, "delegate", to, "error", eris.ToString(err, false))
+			outcome = dispatcher.NewUnknown("the answer of the instance that ran the job cannot be decoded")
 		}
-		executor.answerDelegated(passed, outcome)
+		executor.answerDelegated(entry, outcome)
 	})
 }
 
-// delegationFailed runs a job here that was not sent, and answers one unknown whose delegate may run it; the caller
-// holds the lock.
-func (executor *Executor) delegationFailed(passed *delegation, err error) {
+// delegationFailed runs the job locally if it was never sent. Otherwise the delegate may be running it, so the outcome
+// is unknown. The caller holds the lock.
+func (executor *Executor) delegationFailed(entry *delegation, err error) {
 	if eris.Is(err, linker.ErrNoLink) || eris.Is(err, linker.ErrQueueFull) {
-		executor.logger.Info("job is not passed on", "job", passed.job.ID, "delegate", passed.delegate, "error", eris.ToString(err, false))
-		executor.scheduler.Submit(passed.job, executor.now())
-		executor.settle()
+		executor.logger.Info("job not delegated", "job", entry.job.ID, "delegate", entry.delegate, "error", eris.ToString(err, false))
+		executor.scheduler.Submit(entry.job, executor.now())
+		executor.runActions()
 		return
 	}
-	executor.abandon(passed.delegate, passed.job.ID)
-	executor.answerDelegated(passed, dispatcher.NewUnknown("the instance that ran the job did not answer"))
+	executor.abandon(entry.delegate, entry.job.ID)
+	executor.answerDelegated(entry, dispatcher.NewUnknown("the instance that ran the job did not answer"))
 }
 
-// delegateGone answers the jobs that an instance ran which is not heard of any more; the caller holds the lock.
-func (executor *Executor) delegateGone(delegate string) {
-	for id, passed := range executor.delegated {
-		if passed.delegate == delegate {
-			executor.abandonDelegated(id, "the instance is not heard of")
-			executor.answerDelegated(passed, dispatcher.NewUnknown("the instance that ran the job is not heard of"))
+// handleDelegateLost answers the jobs that were delegated to a lost instance; the caller holds the lock.
+func (executor *Executor) handleDelegateLost(delegate string) {
+	for id, entry := range executor.delegated {
+		if entry.delegate == delegate {
+			executor.abandonDelegated(id, "the delegate cannot be reached")
+			executor.answerDelegated(entry, dispatcher.NewUnknown("the instance that ran the job cannot be reached"))
 		}
 	}
 }
 
-// answerDelegated gives the outcome of a delegated job to its callers; the caller holds the lock.
-func (executor *Executor) answerDelegated(passed *delegation, outcome dispatcher.Outcome) {
+// answerDelegated sends the outcome of a delegated job to its callers; the caller holds the lock.
+func (executor *Executor) answerDelegated(entry *delegation, outcome dispatcher.Outcome) {
 	now := executor.now()
-	executor.logger.Info("job answered for delegate", "job", passed.job.ID, "delegate", passed.delegate, "outcome", dispatcher.OutcomeClass(outcome),
-		"took-ms", now.Sub(passed.job.Arrived).Milliseconds(), "late-ms", max(0, now.Sub(passed.job.Objective)).Milliseconds())
-	executor.meter.delegated(outcome)
-	executor.deliver(passed.job.ID, outcome)
+	executor.logger.Info("delegated job answered", "job", entry.job.ID, "delegate", entry.delegate, "outcome", dispatcher.OutcomeClass(outcome),
+		"took-ms", now.Sub(entry.job.Arrived).Milliseconds(), "late-ms", max(0, now.Sub(entry.job.Objective)).Milliseconds())
+	executor.meter.countDelegated(outcome)
+	executor.deliver(entry.job.ID, outcome)
 }
 
-// abandonDelegated gives a delegated job up and reports whether there was one; the caller holds the lock.
+// abandonDelegated abandons a delegated job and reports whether there was one; the caller holds the lock.
 func (executor *Executor) abandonDelegated(job, reason string) bool {
-	passed, ok := executor.delegated[job]
+	entry, ok := executor.delegated[job]
 	if !ok {
 		return false
 	}
 	delete(executor.delegated, job)
-	passed.cancel()
-	executor.logger.Info("delegated job abandoned", "job", job, "delegate", passed.delegate, "reason", reason)
-	executor.abandon(passed.delegate, job)
+	entry.cancel()
+	executor.logger.Info("delegated job abandoned", "job", job, "delegate", entry.delegate, "reason", reason)
+	executor.abandon(entry.delegate, job)
 	return true
 }
 
-// abandon tells a delegate, now and for a while, to give a job up; the caller holds the lock.
+// abandon tells a delegate to abandon a job, now and repeatedly for abandonRepeatPeriod; the caller holds the lock.
 func (executor *Executor) abandon(delegate, job string) {
 	executor.peers.Abandon(delegate, job)
-	executor.abandoned = append(executor.abandoned, abandonment{delegate, job, executor.now().Add(abandonTime)})
+	executor.abandoned = append(executor.abandoned, abandonment{delegate, job, executor.now().Add(abandonRepeatPeriod)})
 }
 
-// repeatAbandonments tells delegates again what they are to give up; the caller holds the lock.
+// repeatAbandonments repeats the recent requests to abandon jobs; the caller holds the lock.
 func (executor *Executor) repeatAbandonments(now time.Time) {
 	kept := executor.abandoned[:0]
 	for _, abandoned := range executor.abandoned {
@@ -176,58 +178,58 @@
 	executor.abandoned = kept
 }
 
-// HandleDelegation runs a job for another instance; it returns at once.
+// HandleDelegation runs a job for another instance. It does not wait for the outcome.
 func (executor *Executor) HandleDelegation(from string, request linker.Delegation) {
 	job := decodeJob(&request, executor.now())
 	key := foreignJob{from, job.ID}
 	ctx, cancel := context.WithCancel(executor.ctx)
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
-	if former, ok := executor.foreign[key]; ok {
+	if former, ok := executor.foreignJobs[key]; ok {
 		former()
 	}
-	executor.foreign[key] = cancel
-	executor.logger.Info("job taken over", "job", job.ID, "origin", from, "age-ms", request.AgeUS/1000, "remaining-ms", request.RemainingUS/1000)
-	answer := executor.accept(job)
+	executor.foreignJobs[key] = cancel
+	executor.logger.Info("delegated job accepted", "job", job.ID, "origin", from, "age-ms", request.AgeUS/1000, "remaining-ms", request.RemainingUS/1000)
+	answer := executor.runLocally(job)
 	executor.group.Go(func() {
 		defer cancel()
 		outcome := executor.await(ctx, job.ID, answer)
 		if outcome == nil {
 			// If the origin was only paused, its caller still waits.
-			outcome = dispatcher.NewUnknown("the job was given up since its instance was not heard of")
+			outcome = dispatcher.NewUnknown("the job was abandoned because its instance could not be reached")
 		}
 		executor.mu.Lock()
 		if ctx.Err() == nil {
-			delete(executor.foreign, key)
+			delete(executor.foreignJobs, key)
 		}
 		executor.mu.Unlock()
 		message := linker.DelegationAnswer{ID: request.ID, Job: job.ID, Outcome: linker.EncodeOutcome(outcome, executor.now())}
 		if err := executor.peers.AnswerDelegation(from, message); err != nil {
-			executor.logger.Warn("outcome cannot be sent to the job's origin", "job", job.ID, "origin", from, "error", eris.ToString(err, false))
+			executor.logger.Warn("cannot send the outcome to the job's origin", "job", job.ID, "origin", from, "error", eris.ToString(err, false))
 		}
 	})
 }
 
-// abandonForeign gives up what this instance runs for another one: one job, or all of them if job is empty. The caller
-// holds the lock.
+// abandonForeign abandons the given job of another instance, or all of its jobs if job is empty. The caller holds the
+// lock.
 func (executor *Executor) abandonForeign(origin, job string) {
-	for key, cancel := range executor.foreign {
+	for key, cancel := range executor.foreignJobs {
 		if key.origin == origin && (job == "" || key.job == job) {
-			delete(executor.foreign, key)
+			delete(executor.foreignJobs, key)
 			cancel()
 		}
 	}
 }
 
-// LinkEnded gives up the jobs of an instance that a link was lost to: it answers their callers that the outcome is
-// unknown, and they send the jobs again after 1,300 ms.
+// LinkEnded abandons the jobs that this instance runs for an instance to which a link was lost. The origin answers its
+// callers that the outcome is unknown, and they send the jobs again after 1,300 ms.
 func (executor *Executor) LinkEnded(from string) {
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
 	executor.abandonForeign(from, "")
 }
 
-// encodeJob returns the message that passes a job on at now.
+// encodeJob returns the message that delegates a job; times are sent relative to now.
 func encodeJob(job *scheduler.Job, now time.Time) linker.Delegation {
 	steps := make([]linker.JobStep, len(job.Steps))
 	for i := range job.Steps {
@@ -243,7 +245,7 @@
 	}
 }
 
-// decodeJob returns the job that a message received at now passes on.
+// decodeJob returns the job of a delegation that was received at now.
 func decodeJob(request *linker.Delegation, now time.Time) scheduler.Job {
 	steps := make([]scheduler.Step, len(request.Steps))
 	for i := range request.Steps {
--- a/executor/executor.go
+++ b/executor/executor.go
@@ -16,140 +16,142 @@
 )
 
 const (
-	// settleTime is how long after its start an instance looks only at targets that it uses itself: it does not know yet
-	// which ones others read. The links between instances are up within half of it.
-	settleTime = time.Second
-	// tickTime is how often what is due by time is handled: a quarter of the shortest time that a job may wait, 39 ms.
-	tickTime = 10 * time.Millisecond
-	// idleTickTime is how often it is while an instance passes its jobs on and has none of its own; below pauseTime.
-	idleTickTime = 50 * time.Millisecond
-	// sweepTime is how often runs without a live owner, changed readers and what is out of date are looked for.
-	sweepTime = 100 * time.Millisecond
-	// pauseTime is a gap between ticks that shows that this instance stood still.
-	pauseTime = 150 * time.Millisecond
-	// watchTime is how often silent failure domains are looked for, and domainSilence how long all instances of one must
-	// be silent: more than a heartbeat and a half.
-	watchTime     = 20 * time.Millisecond
-	domainSilence = 200 * time.Millisecond
-	// startTimeout bounds the wait for the answer to a start: thirty round trips between failure domains, and more than
-	// twice what starts of a busy instance take.
+	// startupGrace is how long after its start an instance polls only the targets that it uses itself, since it does
+	// not know yet which targets the other instances read. The links between instances are up within half of this time.
+	startupGrace = time.Second
+	// tickInterval is how often time-based events are handled: a quarter of the shortest maximum wait of a job, 39 ms.
+	tickInterval = 10 * time.Millisecond
+	// idleTickInterval replaces tickInterval while an instance delegates its jobs and has none of its own. It must stay
+	// below pauseThreshold.
+	idleTickInterval = 50 * time.Millisecond
+	// sweepInterval is how often stale state is removed, readers are reassigned and orphaned runs are stopped.
+	sweepInterval = 100 * time.Millisecond
+	// pauseThreshold is the gap between ticks that indicates that this process was paused.
+	pauseThreshold = 150 * time.Millisecond
+	// domainCheckInterval is how often failure domains are checked. domainTimeout is how long all instances of a domain
+	// must be silent for the domain to be unresponsive: more than one and a half heartbeats.
+	domainCheckInterval = 20 * time.Millisecond
+	domainTimeout       = 200 * time.Millisecond
+	// startTimeout limits the wait for the answer to a start request: thirty round trips between failure domains, and
+	// more than twice what a busy instance needs.
 	startTimeout = 60 * time.Millisecond
-	// stopTimeout bounds the wait for the answer to a stop, and stopTries how often it is ordered: a target that leaves
-	// one order in twenty unanswered is not given up.
-	stopTimeout = 60 * time.Millisecond
-	stopTries   = 2
+	// stopTimeout limits the wait for the answer to a stop request, and stopAttempts is how often the request is sent,
+	// so that a target that leaves one request in twenty unanswered does not count as unreachable.
+	stopTimeout  = 60 * time.Millisecond
+	stopAttempts = 2
 )
 
-// TargetClient gives orders to targets. Times are those of this instance's clock.
+// TargetClient sends requests to targets. Times are those of this instance's clock.
 type TargetClient interface {
-	// Start orders a start whose lease, and whose validity, ends at lease.
+	// Start starts a run; the request and the lease that it asks for expire at lease.
 	Start(ctx context.Context, on scheduler.Target, start scheduler.StartTask, lease time.Time) scheduler.StartResult
-	// Stop orders a stop and returns nil once the target has taken it, or does not know the run.
+	// Stop stops a run. It returns nil once the target has accepted the request or does not know the run.
 	Stop(ctx context.Context, on scheduler.Target, run scheduler.Run) error
-	// Poll asks for the runs and ends of a target.
+	// Poll asks for the running and ended runs of a target.
 	Poll(ctx context.Context, on scheduler.Target, request PollRequest) (scheduler.PollResult, error)
-	// CloseIdle closes connections that are not in use, since few orders will follow.
+	// CloseIdle closes unused connections; few requests will follow.
 	CloseIdle()
 }
 
-// PollRequest is what a look at a target asks for.
+// PollRequest holds the parameters of a poll.
 type PollRequest struct {
-	// Acknowledged is the number up to which the target may forget ends; 0 for none.
+	// Acknowledged is the sequence number up to which the target may drop ends; 0 for none.
 	Acknowledged int64
-	// Lease is the time until which runs are to go on, zero to leave it as it is.
+	// Lease is the new end of the target's lease, or zero to leave the lease unchanged.
 	Lease time.Time
-	// Wait is how long the target may wait for an end.
+	// Wait is how long the target may hold back its answer until a run ends.
 	Wait time.Duration
 }
 
 // Executor runs jobs on targets.
 type Executor struct {
-	orderer TargetClient
-	peers   *gossiper.Gossiper
-	self    linker.Hello
-	logger  hclog.Logger
-	now     func() time.Time
-	meter   *meter
-	ctx     context.Context
-	cancel  context.CancelFunc
-	group   sync.WaitGroup
-	// settled is when the other instances are known, if there are any.
-	settled time.Time
-
-	// lookLost is the time in nanoseconds since 1970 of the last look without an answer.
-	lookLost atomic.Int64
+	client TargetClient
+	peers  *gossiper.Gossiper
+	self   linker.Hello
+	logger hclog.Logger
+	now    func() time.Time
+	meter  *meter
+	ctx    context.Context
+	cancel context.CancelFunc
+	group  sync.WaitGroup
+	// peersKnownAt is the time by which the other instances, if any, are known.
+	peersKnownAt time.Time
+
+	// lastPollFailure is the time of the last unanswered poll, in nanoseconds since 1970.
+	lastPollFailure atomic.Int64
 
 	mu        sync.Mutex
 	scheduler *scheduler.Scheduler
 	waiters   map[string][]chan dispatcher.Outcome
-	lookers   map[string]*looker
-	// silent holds the failure domains of which nothing is heard.
-	silent map[string]bool
-	// assigned is the version of the peers for which the readers were decided.
-	assigned int64
-	// delegates means that this instance passes its jobs on. delegated holds the jobs that were, abandoned those whose
-	// delegates are told to give them up, and foreign ends what this instance runs for others.
-	delegates bool
-	delegated map[string]*delegation
-	abandoned []abandonment
-	foreign   map[foreignJob]context.CancelFunc
-	// leaving means that a planned stop has begun, and reassign that the readers have to be decided anew.
+	pollers   map[string]*poller
+	// unresponsive holds the failure domains whose instances are all unresponsive.
+	unresponsive map[string]bool
+	// assignedVersion is the peers version for which the readers were last assigned.
+	assignedVersion int64
+	// delegating means that this instance delegates its jobs. delegated holds the jobs that were delegated, abandoned
+	// those whose delegates are being told to abandon them, and foreignJobs the cancel functions of the jobs that this
+	// instance runs for others.
+	delegating  bool
+	delegated   map[string]*delegation
+	abandoned   []abandonment
+	foreignJobs map[foreignJob]context.CancelFunc
+	// leaving means that a planned stop has begun, and reassign that the readers must be assigned again.
 	leaving  bool
 	reassign bool
 }
 
-// New returns an executor of the instance self, whose hello names its failure domain.
+// New returns an executor for the instance self, whose hello names its failure domain.
 func New(self linker.Hello, client TargetClient, now func() time.Time, logger hclog.Logger) *Executor {
 	ctx, cancel := context.WithCancel(context.Background())
 	executor := &Executor{
-		orderer:   client,
-		self:      self,
-		logger:    logger,
-		now:       now,
-		meter:     newMeter(),
-		ctx:       ctx,
-		cancel:    cancel,
-		settled:   now().Add(settleTime),
-		scheduler: scheduler.New(self.Incarnation, self.Domain),
-		waiters:   make(map[string][]chan dispatcher.Outcome),
-		lookers:   make(map[string]*looker),
-		silent:    make(map[string]bool),
-		delegated: make(map[string]*delegation),
-		foreign:   make(map[foreignJob]context.CancelFunc),
+		client:       client,
+		self:         self,
+		logger:       logger,
+		now:          now,
+		meter:        newMeter(),
+		ctx:          ctx,
+		cancel:       cancel,
+		peersKnownAt: now().Add(startupGrace),
+		scheduler:    scheduler.New(self.Incarnation, self.Domain),
+		waiters:      make(map[string][]chan dispatcher.Outcome),
+		pollers:      make(map[string]*poller),
+		unresponsive: make(map[string]bool),
+		delegated:    make(map[string]*delegation),
+		foreignJobs:  make(map[foreignJob]context.CancelFunc),
 	}
-	executor.meter.gauges(executor)
+	executor.meter.registerGauges(executor)
 	executor.peers = gossiper.New(self, executor, now)
 	executor.group.Go(executor.tick)
 	return executor
 }
 
-// Peers returns the exchange of news with the other instances.
+// Peers returns the gossiper that exchanges messages with the other instances.
 func (executor *Executor) Peers() *gossiper.Gossiper { return executor.peers }
 
-// Close ends all work at once.
+// Close stops all work at once.
 func (executor *Executor) Close() {
 	executor.cancel()
 	executor.peers.Close()
 	executor.group.Wait()
 }
 
-// SetTargets replaces what discovery tells of the targets.
+// SetTargets replaces the set of targets found by service discovery.
 func (executor *Executor) SetTargets(targets []scheduler.Target) {
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
 	executor.scheduler.SetTargets(targets, executor.now())
-	executor.settle()
+	executor.runActions()
 	known := make(map[string]bool)
 	for _, id := range executor.scheduler.Targets() {
 		known[id] = true
-		if _, ok := executor.lookers[id]; !ok {
-			executor.newLooker(id)
+		if _, ok := executor.pollers[id]; !ok {
+			executor.startPoller(id)
 		}
 	}
-	for id, looker := range executor.lookers {
+	for id, poller := range executor.pollers {
 		if !known[id] {
-			looker.cancel()
-			delete(executor.lookers, id)
+			poller.cancel()
+			delete(executor.pollers, id)
 		}
 	}
 }
@@ -158,7 +160,7 @@
 func (executor *Executor) Ready() bool {
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
-	return len(executor.lookers) > 0
+	return len(executor.pollers) > 0
 }
 
 // Pending returns the number of jobs of a route of which no task has started.
@@ -168,20 +170,20 @@
 	return executor.scheduler.Pending(route)
 }
 
-// Has reports whether the job has no answer yet.
+// Has reports whether the job is active, that is, has no outcome yet.
 func (executor *Executor) Has(job string) bool {
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
 	return executor.has(job)
 }
 
-// has reports whether the job has no answer yet; the caller holds the lock.
+// has is Has for callers that hold the lock.
 func (executor *Executor) has(job string) bool {
 	_, delegated := executor.delegated[job]
 	return delegated || executor.scheduler.Has(job)
 }
 
-// Cancel gives a job up and reports whether it had no answer yet.
+// Cancel abandons a job and reports whether it was active.
 func (executor *Executor) Cancel(job string) bool {
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
@@ -193,37 +195,38 @@
 		return false
 	}
 	executor.scheduler.Abandon(job, "the caller cancelled the job", executor.now())
-	executor.settle()
+	executor.runActions()
 	return true
 }
 
-// Submit runs a job and returns its outcome, or nil if the caller left first; a job that is sent again while it runs
-// gets the same outcome.
+// Submit runs a job and returns its outcome, or nil if the caller left first. A job that is submitted again while it
+// runs gets the same outcome.
 func (executor *Executor) Submit(ctx context.Context, job scheduler.Job) dispatcher.Outcome {
 	executor.mu.Lock()
 	var answer chan dispatcher.Outcome
 	if to, ok := executor.delegateFor(&job); ok {
-		answer = executor.waitFor(job.ID)
+		answer = executor.addWaiter(job.ID)
 		executor.delegate(job, to)
 	} else {
-		answer = executor.accept(job)
+		answer = executor.runLocally(job)
 	}
 	executor.mu.Unlock()
 	return executor.await(ctx, job.ID, answer)
 }
 
-// accept runs a job here unless it runs already, and returns where its outcome will be; the caller holds the lock.
-func (executor *Executor) accept(job scheduler.Job) chan dispatcher.Outcome {
-	answer := executor.waitFor(job.ID)
+// runLocally runs a job on this instance unless it is running already, and returns the channel for its outcome; the
+// caller holds the lock.
+func (executor *Executor) runLocally(job scheduler.Job) chan dispatcher.Outcome {
+	answer := executor.addWaiter(job.ID)
 	if !executor.has(job.ID) {
 		executor.scheduler.Submit(job, executor.now())
 	}
-	executor.settle()
+	executor.runActions()
 	return answer
 }
 
-// waitFor returns where the outcome of a job will be; the caller holds the lock.
-func (executor *Executor) waitFor(job string) chan dispatcher.Outcome {
+// addWaiter returns a new channel for the outcome of a job; the caller holds the lock.
+func (executor *Executor) addWaiter(job string) chan dispatcher.Outcome {
 	answer := make(chan dispatcher.Outcome, 1)
 	executor.waiters[job] = append(executor.waiters[job], answer)
 	return answer
@@ -235,13 +238,13 @@
 	case outcome := <-answer:
 		return outcome
 	case <-ctx.Done():
-		executor.leave(job, answer)
+		executor.removeWaiter(job, answer)
 		return nil
 	}
 }
 
-// leave takes a caller that went away off a job, and gives the job up if it was the last one.
-func (executor *Executor) leave(job string, answer chan dispatcher.Outcome) {
+// removeWaiter removes a caller that has left, and abandons the job if it was the last caller.
+func (executor *Executor) removeWaiter(job string, answer chan dispatcher.Outcome) {
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
 	waiters := executor.waiters[job]
@@ -255,26 +258,26 @@
 		delete(executor.waiters, job)
 		executor.abandonDelegated(job, "the caller left")
 		executor.scheduler.Abandon(job, "the caller left", executor.now())
-		executor.settle()
+		executor.runActions()
 	}
 }
 
-// Drain waits until no job is left without an answer, or until ctx is done.
+// Drain waits until no job is active or ctx is done.
 func (executor *Executor) Drain(ctx context.Context) {
 	for {
 		executor.mu.Lock()
 		active := executor.scheduler.ActiveJobs()
 		executor.mu.Unlock()
-		if active == 0 || !sleeper.For(ctx, tickTime) {
+		if active == 0 || !sleeper.For(ctx, tickInterval) {
 			return
 		}
 	}
 }
 
-// settle carries out the actions of the scheduler; the caller holds the lock.
-func (executor *Executor) settle() {
+// runActions carries out the queued actions of the scheduler; the caller holds the lock.
+func (executor *Executor) runActions() {
 	for _, action := range executor.scheduler.TakeActions() {
-		executor.carryOut(action)
+		executor.runAction(action)
 	}
 	for _, report := range executor.scheduler.DueReports(executor.now()) {
 		executor.peers.Report(report)
@@ -282,7 +285,7 @@
 	executor.peers.SetDemand(executor.scheduler.Demand(), executor.scheduler.ActiveJobs() > 0)
 }
 
-func (executor *Executor) carryOut(action scheduler.Action) {
+func (executor *Executor) runAction(action scheduler.Action) {
 	switch action := action.(type) {
 	case scheduler.StartTask:
 		if reader := executor.reader(action.Target); reader != executor.self.Incarnation {
@@ -308,12 +311,12 @@
 }
 
 func (executor *Executor) answer(answer scheduler.AnswerJob) {
-	executor.meter.count(answer)
+	executor.meter.countAnswer(answer)
 	executor.logAnswer(answer)
 	executor.deliver(answer.Job, answer.Outcome)
 }
 
-// deliver gives an outcome to all who wait for the job; the caller holds the lock.
+// deliver sends an outcome to all callers that wait for the job; the caller holds the lock.
 func (executor *Executor) deliver(job string, outcome dispatcher.Outcome) {
 	for _, waiter := range executor.waiters[job] {
 		waiter <- outcome
@@ -321,27 +324,27 @@
 	delete(executor.waiters, job)
 }
 
-// start orders a start and passes on what came of it.
+// start sends a start request and reports the result to the scheduler.
 func (executor *Executor) start(start scheduler.StartTask) {
 	ctx, cancel := context.WithTimeout(executor.ctx, startTimeout)
 	defer cancel()
 	sent := executor.now()
-	result := executor.orderer.Start(ctx, start.On, start, start.Issued.Add(scheduler.LeaseDuration))
+	result := executor.client.Start(ctx, start.On, start, start.Issued.Add(scheduler.LeaseDuration))
 	now := executor.now()
-	executor.meter.started(result, now.Sub(start.Arrived), now.Sub(sent))
+	executor.meter.recordStart(result, now.Sub(start.Arrived), now.Sub(sent))
 	executor.logStart(start, result, now.Sub(sent))
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
 	executor.scheduler.HandleStartResult(start.Target, start.Run, result, now)
-	executor.settle()
+	executor.runActions()
 }
 
-// stop orders a stop and passes on whether the target has taken it.
+// stop sends a stop request and reports to the scheduler whether the target accepted it.
 func (executor *Executor) stop(stop scheduler.StopRun) {
 	var err error
-	for range stopTries {
+	for range stopAttempts {
 		ctx, cancel := context.WithTimeout(executor.ctx, stopTimeout)
-		err = executor.orderer.Stop(ctx, stop.On, stop.Run)
+		err = executor.client.Stop(ctx, stop.On, stop.Run)
 		cancel()
 		if err == nil {
 			break
@@ -352,17 +355,17 @@
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
 	executor.scheduler.HandleStopResult(stop.On.ID, stop.Run, err == nil, executor.now())
-	executor.settle()
+	executor.runActions()
 	executor.wake(stop.On.ID)
 }
 
-// tick handles what is due by time.
+// tick handles time-based events until the executor is closed.
 func (executor *Executor) tick() {
-	every := tickTime
-	ticker := time.NewTicker(every)
+	interval := tickInterval
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
-	var swept, repeated, watched time.Time
-	ticked := executor.now()
+	var lastSweep, lastRepeat, lastDomainCheck time.Time
+	lastTick := executor.now()
 	for {
 		select {
 		case <-executor.ctx.Done():
@@ -371,65 +374,66 @@
 		}
 		now := executor.now()
 		executor.mu.Lock()
-		if now.Sub(ticked) > pauseTime {
-			executor.logger.Warn("instance stood still", "for-ms", now.Sub(ticked).Milliseconds())
+		if now.Sub(lastTick) > pauseThreshold {
+			executor.logger.Warn("instance was paused", "for-ms", now.Sub(lastTick).Milliseconds())
 			executor.scheduler.NotePause(now)
-			watched = now.Add(pauseTime)
+			lastDomainCheck = now.Add(pauseThreshold)
 		}
-		ticked = now
-		if now.Sub(watched) >= watchTime {
-			watched = now
+		lastTick = now
+		if now.Sub(lastDomainCheck) >= domainCheckInterval {
+			lastDomainCheck = now
 			executor.watchDomains()
 		}
 		if executor.scheduler.ActiveJobs() > 0 {
 			executor.scheduler.Tick(now)
 		}
 		executor.scheduler.ExpireOffers(now)
-		if now.Sub(swept) >= sweepTime {
-			swept = now
+		if now.Sub(lastSweep) >= sweepInterval {
+			lastSweep = now
 			executor.scheduler.Sweep(now)
 			executor.assignReaders(now)
 			executor.stopOrphans(now)
 			executor.repeatAbandonments(now)
 		}
-		if now.Sub(repeated) >= scheduler.ClaimRepeatInterval {
-			repeated = now
+		if now.Sub(lastRepeat) >= scheduler.ClaimRepeatInterval {
+			lastRepeat = now
 			executor.repeatClaims()
 		}
-		executor.settle()
-		next := tickTime
-		if executor.delegates && executor.scheduler.ActiveJobs() == 0 {
-			next = idleTickTime
+		executor.runActions()
+		next := tickInterval
+		if executor.delegating && executor.scheduler.ActiveJobs() == 0 {
+			next = idleTickInterval
 		}
 		executor.mu.Unlock()
-		if next != every {
-			every = next
-			ticker.Reset(every)
+		if next != interval {
+			interval = next
+			ticker.Reset(interval)
 		}
 	}
 }
 
-// watchDomains keeps work back from failure domains of which nothing is heard; the caller holds the lock. A partition
-// would otherwise take the starts on each of their targets until it is found out on its own.
+// watchDomains suspends failure domains whose instances are all unresponsive. During a partition, starts would
+// otherwise be sent to each of their targets until that target is found unreachable on its own. The caller holds the
+// lock.
 func (executor *Executor) watchDomains() {
-	for domain, silent := range executor.peers.SilentDomains(domainSilence) {
-		if domain == executor.self.Domain || executor.silent[domain] == silent {
+	for domain, unresponsive := range executor.peers.SilentDomains(domainTimeout) {
+		if domain == executor.self.Domain || executor.unresponsive[domain] == unresponsive {
 			continue
 		}
-		executor.silent[domain] = silent
-		executor.scheduler.SetDomainSuspended(domain, silent)
-		if silent {
-			executor.logger.Warn("failure domain is not heard of", "domain", domain)
+		executor.unresponsive[domain] = unresponsive
+		executor.scheduler.SetDomainSuspended(domain, unresponsive)
+		if unresponsive {
+			executor.logger.Warn("failure domain is unresponsive", "domain", domain)
 		} else {
-			executor.logger.Info("failure domain is heard of again", "domain", domain)
+			executor.logger.Info("failure domain responds again", "domain", domain)
 		}
 	}
 }
 
 // stopOrphans stops runs without a live owner on the targets that this instance reads; the caller holds the lock.
 func (executor *Executor) stopOrphans(now time.Time) {
-	for id, looker := range executor.lookers {
-		if looker.reads.Load() {
+	for id, poller := range executor.pollers {
+		if poller.isReader.Load() {
 			executor.scheduler.StopOrphans(id, executor.peers.Alive, now)
 		}
 	}
--- a/executor/meter.go
+++ b/executor/meter.go
@@ -12,28 +12,28 @@
 
 // meter holds the metrics of the executor.
 type meter struct {
-	set    *metrics.Set
-	stops  *metrics.Counter
-	looks  *metrics.Counter
-	wait   *metrics.Histogram
-	orders *metrics.Histogram
+	set            *metrics.Set
+	stops          *metrics.Counter
+	polls          *metrics.Counter
+	wait           *metrics.Histogram
+	startDurations *metrics.Histogram
 }
 
 func newMeter() *meter {
 	set := metrics.NewSet()
-	// Listed from the start, also where nothing is passed on.
+	// Exported from the start, even if no job is ever delegated.
 	set.NewCounter(`hyssoplift_delegated_jobs_total{outcome="complete"}`)
 	return &meter{
-		set:    set,
-		stops:  set.NewCounter("hyssoplift_stops_total"),
-		looks:  set.NewCounter("hyssoplift_looks_total"),
-		wait:   set.NewHistogram("hyssoplift_start_wait_seconds"),
-		orders: set.NewHistogram("hyssoplift_start_order_seconds"),
+		set:            set,
+		stops:          set.NewCounter("hyssoplift_stops_total"),
+		polls:          set.NewCounter("hyssoplift_looks_total"),
+		wait:           set.NewHistogram("hyssoplift_start_wait_seconds"),
+		startDurations: set.NewHistogram("hyssoplift_start_order_seconds"),
 	}
 }
 
-// count counts the outcome of a job that this instance ran or refused.
-func (meter *meter) count(answer scheduler.AnswerJob) {
+// countAnswer counts the outcome of a job that this instance ran or refused.
+func (meter *meter) countAnswer(answer scheduler.AnswerJob) {
 	labels := `outcome="` + dispatcher.OutcomeClass(answer.Outcome) + `"`
 	if refused, ok := answer.Outcome.(dispatcher.Refused); ok {
 		labels += `,reason="` + string(refused.Reason()) + `"`
@@ -41,20 +41,21 @@
 	meter.set.GetOrCreateCounter("hyssoplift_jobs_total{" + labels + "}").Inc()
 }
 
-// delegated counts the outcome of a job that another instance ran for this one.
-func (meter *meter) delegated(outcome dispatcher.Outcome) {
+// countDelegated counts the outcome of a job that another instance ran for this one.
+func (meter *meter) countDelegated(outcome dispatcher.Outcome) {
 	meter.set.GetOrCreateCounter(`hyssoplift_delegated_jobs_total{outcome="` + dispatcher.OutcomeClass(outcome) + `"}`).Inc()
 }
 
-// started counts an order to start: how long after the job's arrival it was answered, and how long the order took.
-func (meter *meter) started(result scheduler.StartResult, sinceArrival, order time.Duration) {
+// recordStart records the result of a start request, the time from the job's arrival to that result, and the duration
+// of the request.
+func (meter *meter) recordStart(result scheduler.StartResult, sinceArrival, duration time.Duration) {
 	meter.set.GetOrCreateCounter(`hyssoplift_starts_total{result="` + result.String() + `"}`).Inc()
 	meter.wait.Update(sinceArrival.Seconds())
-	meter.orders.Update(order.Seconds())
+	meter.startDurations.Update(duration.Seconds())
 }
 
-// gauges adds what is read from the executor when metrics are written.
-func (meter *meter) gauges(executor *Executor) {
+// registerGauges registers the gauges that read the executor's state when metrics are written.
+func (meter *meter) registerGauges(executor *Executor) {
 	read := func(value func() int) func() float64 {
 		return func() float64 {
 			executor.mu.Lock()
@@ -69,15 +70,15 @@
 	}))
 	meter.set.NewGauge("hyssoplift_targets_read", read(func() int {
 		count := 0
-		for _, looker := range executor.lookers {
-			if looker.reads.Load() {
+		for _, poller := range executor.pollers {
+			if poller.isReader.Load() {
 				count++
 			}
 		}
 		return count
 	}))
-	meter.set.NewGauge("hyssoplift_targets_known", read(func() int { return len(executor.lookers) }))
+	meter.set.NewGauge("hyssoplift_targets_known", read(func() int { return len(executor.pollers) }))
 }
 
-// WriteMetrics writes the metrics of the executor in text format.
+// WriteMetrics writes the metrics of the executor in the Prometheus text format.
 func (executor *Executor) WriteMetrics(writer io.Writer) { executor.meter.set.WritePrometheus(writer) }
--- a/executor/news.go
+++ b/executor/peers.go
@@ -8,13 +8,13 @@
 	"github.com/hyssoplift/hyssoplift/scheduler"
 )
 
-// HandleStateUpdate takes what another instance tells.
+// HandleStateUpdate processes a state update from another instance.
 func (executor *Executor) HandleStateUpdate(from string, update linker.StateUpdate) {
 	now := executor.now()
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
 	for _, claim := range update.Claims {
-		executor.claimed(from, claim, now)
+		executor.handleClaim(from, claim, now)
 	}
 	for _, id := range update.Withdrawn {
 		executor.scheduler.HandlePeerWithdrawal(id.Target, runOf(id), now)
@@ -41,11 +41,11 @@
 		executor.abandonForeign(from, job)
 	}
 	executor.scheduler.Place(now)
-	executor.settle()
+	executor.runActions()
 }
 
-// claimed takes the claim of another instance, or answers it with the end that is known already.
-func (executor *Executor) claimed(from string, claim linker.Claim, now time.Time) {
+// handleClaim records a claim of another instance, or answers it with the run's end if that is already known.
+func (executor *Executor) handleClaim(from string, claim linker.Claim, now time.Time) {
 	decoded := scheduler.Claim{
 		Target:    claim.Target,
 		Run:       scheduler.Run{Task: claim.Task, Attempt: claim.Attempt},
@@ -63,90 +63,90 @@
 	return scheduler.Run{Task: id.Task, Attempt: id.Attempt}
 }
 
-// PeerLost takes that another instance is not heard of any more.
+// PeerLost handles the loss of another instance.
 func (executor *Executor) PeerLost(from string) {
-	executor.logger.Warn("instance is not heard of", "peer", from)
+	executor.logger.Warn("instance is unresponsive", "peer", from)
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
 	executor.scheduler.RemovePeer(from)
 	executor.abandonForeign(from, "")
-	executor.delegateGone(from)
-	executor.settle()
+	executor.handleDelegateLost(from)
+	executor.runActions()
 }
 
-// reader returns the incarnation that reads a target; the caller holds the lock.
+// reader returns the incarnation of a target's reader; the caller holds the lock.
 func (executor *Executor) reader(target string) string {
-	if looker, ok := executor.lookers[target]; ok {
-		return looker.reader
+	if poller, ok := executor.pollers[target]; ok {
+		return poller.reader
 	}
 	return executor.self.Incarnation
 }
 
-// assignReaders decides anew who reads each target, if the instances or targets have changed; the caller holds the lock.
+// assignReaders assigns a reader to each target if the instances or targets have changed; the caller holds the lock.
 func (executor *Executor) assignReaders(now time.Time) {
 	version := executor.peers.PeersVersion()
-	if version == executor.assigned && !executor.reassign {
+	if version == executor.assignedVersion && !executor.reassign {
 		return
 	}
-	executor.assigned, executor.reassign = version, false
-	if delegates := executor.peers.Delegating(); delegates != executor.delegates {
-		executor.delegates = delegates
-		executor.logger.Info("share of jobs changed", "passes-on", delegates, "weight", executor.self.Weight)
-		if delegates {
-			executor.orderer.CloseIdle()
+	executor.assignedVersion, executor.reassign = version, false
+	if delegating := executor.peers.Delegating(); delegating != executor.delegating {
+		executor.delegating = delegating
+		executor.logger.Info("delegation changed", "passes-on", delegating, "weight", executor.self.Weight)
+		if delegating {
+			executor.client.CloseIdle()
 		}
 	}
-	staying := executor.peers.EligiblePeers()
-	for _, looker := range executor.lookers {
-		executor.assignReader(looker, staying, now)
+	eligible := executor.peers.EligiblePeers()
+	for _, poller := range executor.pollers {
+		executor.assignReader(poller, eligible, now)
 	}
 }
 
-// assignReader decides who reads a target: rendezvous hashing by weight over the instances that stay and do not pass
-// their jobs on, those of the target's failure domain before others. The caller holds the lock.
-func (executor *Executor) assignReader(looker *looker, staying []linker.Hello, now time.Time) {
-	target, ok := executor.scheduler.Target(looker.id)
+// assignReader assigns the reader of a target by weighted rendezvous hashing over the instances that neither leave nor
+// delegate their jobs, with preference for the target's failure domain. The caller holds the lock.
+func (executor *Executor) assignReader(poller *poller, eligible []linker.Hello, now time.Time) {
+	target, ok := executor.scheduler.Target(poller.id)
 	if !ok {
 		return
 	}
-	candidates := staying
-	if !executor.leaving && !executor.delegates || len(staying) == 0 {
-		candidates = append([]linker.Hello{executor.self}, staying...)
+	candidates := eligible
+	if !executor.leaving && !executor.delegating || len(eligible) == 0 {
+		candidates = append([]linker.Hello{executor.self}, eligible...)
 	}
 	best := pickReader(&target, candidates)
-	looker.reader = best.Incarnation
-	reads := best.Incarnation == executor.self.Incarnation
-	if looker.reads.Swap(reads) != reads {
-		executor.logger.Debug("reader of target changed", "target", looker.id, "own", reads, "reader", best.Name)
+	poller.reader = best.Incarnation
+	isReader := best.Incarnation == executor.self.Incarnation
+	if poller.isReader.Swap(isReader) != isReader {
+		executor.logger.Debug("reader of target changed", "target", poller.id, "own", isReader, "reader", best.Name)
 	}
-	executor.scheduler.SetReader(looker.id, reads, now)
-	executor.wake(looker.id)
+	executor.scheduler.SetReader(poller.id, isReader, now)
+	executor.wake(poller.id)
 }
 
 // pickReader returns the instance that reads a target; there is at least one candidate.
 func pickReader(target *scheduler.Target, candidates []linker.Hello) *linker.Hello {
 	best := &candidates[0]
-	bestNear, bestScore := best.Domain == target.Domain, score(target.ID, best)
+	bestInDomain, bestScore := best.Domain == target.Domain, rendezvousScore(target.ID, best)
 	for i := range candidates[1:] {
 		candidate := &candidates[i+1]
-		near := candidate.Domain == target.Domain
-		if bestNear && !near {
+		inDomain := candidate.Domain == target.Domain
+		if bestInDomain && !inDomain {
 			continue
 		}
-		if own := score(target.ID, candidate); near != bestNear || own > bestScore {
-			best, bestNear, bestScore = candidate, near, own
+		if score := rendezvousScore(target.ID, candidate); inDomain != bestInDomain || score > bestScore {
+			best, bestInDomain, bestScore = candidate, inDomain, score
 		}
 	}
 	return best
 }
 
-// score returns the weighted rendezvous score of an instance for a target.
-func score(target string, instance *linker.Hello) float64 {
+// rendezvousScore returns the weighted rendezvous hashing score of an instance for a target.
+func rendezvousScore(target string, instance *linker.Hello) float64 {
 	return -instance.EffectiveWeight() / math.Log(scheduler.RendezvousHash(instance.Incarnation, target))
 }
 
-// Leave hands the targets that this instance reads to the others, which hear that it is about to stop. A leaving
-// instance that went on reading would take the runs of the others for orphans, since their claims go elsewhere.
+// Leave announces a planned stop and hands the targets that this instance reads to the others. If a leaving instance
+// remained a reader, it would stop the runs of the others as orphans, since their claims go elsewhere.
 func (executor *Executor) Leave() {
 	executor.mu.Lock()
 	executor.leaving, executor.reassign = true, true
@@ -154,8 +154,8 @@
 	executor.peers.Leave()
 }
 
-// repeatClaims tells the readers of the targets of own runs again, since they may have changed or missed a claim; the
-// caller holds the lock.
+// repeatClaims sends the claims of this instance's runs again, since a target's reader may have changed or missed a
+// claim; the caller holds the lock.
 func (executor *Executor) repeatClaims() {
 	for _, claim := range executor.scheduler.Claims() {
 		executor.peers.Claim(executor.reader(claim.Target), claim)
--- /dev/null
+++ b/executor/poller.go
@@ -0,0 +1,260 @@
+package executor
+
+import (
+	"context"
+	"sync/atomic"
+	"time"
+
+	"github.com/rotisserie/eris"
+
+	"github.com/hyssoplift/hyssoplift/scheduler"
+	"github.com/hyssoplift/hyssoplift/sleeper"
+)
+
+const (
+	// pollWait is how long a target may hold back the answer to a poll while no run ends. Each poll renews the lease,
+	// and two polls and a lost connection must fit into the lease duration.
+	pollWait = 300 * time.Millisecond
+	// pollTimeout is how long to wait for an answer beyond the requested wait: a few slow round trips.
+	pollTimeout = 100 * time.Millisecond
+	// degradedPollWait and degradedPollTimeout apply for degradedPeriod after an unanswered poll. If one request in
+	// twenty is lost, longer polls would delay the ends on a third of the targets.
+	degradedPollWait    = 50 * time.Millisecond
+	degradedPollTimeout = 40 * time.Millisecond
+	degradedPeriod      = 5 * time.Second
+	// minPollInterval is the minimum time between two polls of a target, so that ends in quick succession share a poll.
+	minPollInterval = 4 * time.Millisecond
+	// acknowledgeDelay is how long ends stay unacknowledged while nothing else runs on the target.
+	acknowledgeDelay = 300 * time.Millisecond
+	// readerTimeout is how long an instance with runs on a target waits for a report from the target's reader before it
+	// polls the target itself; the lease must not expire meanwhile.
+	readerTimeout = 650 * time.Millisecond
+	// probeInterval is how often an unreachable target is polled.
+	probeInterval = 400 * time.Millisecond
+	// withholdPeriod is how long the acknowledgment of an end is withheld if the run's owner is unknown or unreachable.
+	// Within it, owners repeat their claims, or poll the target themselves after readerTimeout. After a loss of all
+	// instances, each one reads all targets until it knows the others. When such ends were acknowledged at once, their
+	// owners started the tasks again.
+	withholdPeriod = readerTimeout + 150*time.Millisecond
+	// withheldPollInterval is the minimum time between two polls while an end is withheld, since the target then
+	// answers each poll at once.
+	withheldPollInterval = 25 * time.Millisecond
+	// idleInterval is how often a poller without work checks for some.
+	idleInterval = 3 * time.Second
+	// unreachableThreshold is how many polls in a row must fail for a target to be unreachable; a single one may have
+	// used a connection that had gone silent.
+	unreachableThreshold = 2
+)
+
+// poller polls one target to renew its lease and collect run ends.
+type poller struct {
+	id     string
+	cancel context.CancelFunc
+	wake   chan struct{}
+	// isReader reports whether this instance reads the target for all instances.
+	isReader atomic.Bool
+	// reader is the incarnation of the target's reader; guarded by the executor's lock.
+	reader string
+	// peersKnownAt is the time by which the other instances are known, so that isReader is reliable.
+	peersKnownAt time.Time
+	// The following fields are used only by the poller's goroutine.
+	incarnation  int64
+	acknowledged int64
+	// acknowledgeable is the sequence number of the last end that may be acknowledged.
+	acknowledgeable int64
+	failures        int
+	polled          bool
+	lastPoll        time.Time
+	// forwarded is the sequence number of the last end that was processed, and withheld holds until when each withheld
+	// end stays unacknowledged.
+	forwarded int64
+	withheld  map[int64]time.Time
+}
+
+// startPoller starts the poller of a target; the caller holds the lock.
+func (executor *Executor) startPoller(id string) {
+	ctx, cancel := context.WithCancel(executor.ctx)
+	poller := &poller{id: id, cancel: cancel, wake: make(chan struct{}, 1), peersKnownAt: executor.peersKnownAt, withheld: make(map[int64]time.Time)}
+	executor.pollers[id] = poller
+	executor.assignReader(poller, executor.peers.EligiblePeers(), executor.now())
+	executor.group.Go(func() {
+		for ctx.Err() == nil {
+			executor.pollNext(ctx, poller)
+		}
+	})
+}
+
+// wake makes the poller of a target check for work; the caller holds the lock.
+func (executor *Executor) wake(target string) {
+	if poller, ok := executor.pollers[target]; ok {
+		select {
+		case poller.wake <- struct{}{}:
+		default:
+		}
+	}
+}
+
+// pollNext polls the target if a poll is due, and waits otherwise.
+func (executor *Executor) pollNext(ctx context.Context, poller *poller) {
+	now := executor.now()
+	executor.mu.Lock()
+	target, known := executor.scheduler.Target(poller.id)
+	state := executor.scheduler.TargetState(poller.id)
+	executor.mu.Unlock()
+	request, pause := poller.nextPoll(state, now)
+	if !known || pause > 0 {
+		poller.sleep(ctx, max(pause, minPollInterval))
+		return
+	}
+	poller.lastPoll = now
+	if state.Occupied && !state.Unreachable && !state.UnreachableByReader && poller.failures == 0 {
+		request.Lease = now.Add(scheduler.LeaseDuration)
+		executor.mu.Lock()
+		executor.scheduler.NoteRenewal(poller.id, now)
+		executor.mu.Unlock()
+	}
+	if executor.degraded(now) {
+		request.Wait = min(request.Wait, degradedPollWait)
+	}
+	executor.poll(ctx, poller, target, request)
+}
+
+// nextPoll returns the next poll and how long to wait before it; a wait of zero or less means that it is due.
+func (poller *poller) nextPoll(state scheduler.TargetState, now time.Time) (PollRequest, time.Duration) {
+	sincePoll := now.Sub(poller.lastPoll)
+	switch {
+	case now.Before(poller.peersKnownAt) && !state.Occupied && poller.failures == 0:
+		return PollRequest{}, poller.peersKnownAt.Sub(now)
+	case poller.isReader.Load() && !poller.polled && !state.Unreachable && poller.failures == 0:
+		return PollRequest{}, 0
+	case state.Unreachable || poller.failures >= unreachableThreshold:
+		return PollRequest{}, probeInterval - sincePoll
+	case poller.failures > 0:
+		return PollRequest{Acknowledged: poller.acknowledgeable}, 0
+	case poller.isReader.Load() && state.Occupied:
+		request := PollRequest{Acknowledged: poller.acknowledgeable, Wait: pollWait}
+		if len(poller.withheld) > 0 {
+			return request, withheldPollInterval - sincePoll
+		}
+		return request, minPollInterval - sincePoll
+	case poller.isReader.Load() && (poller.acknowledgeable > poller.acknowledged || len(poller.withheld) > 0):
+		return PollRequest{Acknowledged: poller.acknowledgeable}, acknowledgeDelay - now.Sub(poller.lastPoll)
+	case !poller.isReader.Load() && state.HasOwnRuns && now.Sub(state.LastHeard) >= readerTimeout:
+		return PollRequest{}, probeInterval - sincePoll
+	case !poller.isReader.Load() && state.HasOwnRuns:
+		return PollRequest{}, readerTimeout - now.Sub(state.LastHeard)
+	}
+	return PollRequest{}, idleInterval
+}
+
+// sleep waits for the pause to pass or for a wakeup.
+func (poller *poller) sleep(ctx context.Context, pause time.Duration) {
+	timer := time.NewTimer(pause)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+	case <-timer.C:
+	case <-poller.wake:
+		sleeper.For(ctx, time.Millisecond)
+	}
+}
+
+// poll polls the target and processes its answer.
+func (executor *Executor) poll(ctx context.Context, poller *poller, target scheduler.Target, request PollRequest) {
+	timeout := request.Wait + pollTimeout
+	if executor.degraded(poller.lastPoll) {
+		timeout = request.Wait + degradedPollTimeout
+	}
+	pollContext, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	poll, err := executor.client.Poll(pollContext, target, request)
+	executor.meter.polls.Inc()
+	if ctx.Err() != nil {
+		return
+	}
+	if err != nil {
+		executor.handlePollFailure(poller, err)
+		return
+	}
+	if poller.failures > 0 {
+		executor.logger.Info("target answers again", "target", poller.id, "incarnation", poll.Incarnation)
+	}
+	poller.failures, poller.polled = 0, true
+	if poll.Incarnation != poller.incarnation {
+		poller.incarnation, poller.acknowledged, poller.acknowledgeable, poller.forwarded = poll.Incarnation, 0, 0, 0
+		clear(poller.withheld)
+	} else {
+		poller.acknowledged = max(poller.acknowledged, request.Acknowledged)
+	}
+	executor.mu.Lock()
+	defer executor.mu.Unlock()
+	executor.scheduler.HandlePoll(poller.id, poll)
+	executor.processEnds(poller, poll)
+	if report, due := executor.scheduler.RenewalReport(poller.id, poll.Answered); due {
+		executor.peers.Report(report)
+	}
+	executor.runActions()
+}
+
+// processEnds forwards new ends and decides which may be acknowledged; the caller holds the lock.
+func (executor *Executor) processEnds(poller *poller, poll scheduler.PollResult) {
+	acknowledging := poller.isReader.Load()
+	for _, end := range poll.Ended {
+		if end.Seq > poller.forwarded {
+			executor.forwardEnd(poller, end, poll.Answered)
+		}
+		if acknowledging = acknowledging && !poller.withholds(end.Seq, poll.Answered); acknowledging && end.Seq > poller.acknowledgeable {
+			poller.acknowledgeable = end.Seq
+		}
+	}
+}
+
+// forwardEnd reports an end to the scheduler and to the owner of the run. If the owner is unknown or unreachable, the
+// acknowledgment is withheld for withholdPeriod, so that an owner that polls the target itself still finds the end. The
+// caller holds the lock.
+func (executor *Executor) forwardEnd(poller *poller, end scheduler.End, now time.Time) {
+	owner := executor.scheduler.Owner(poller.id, end.Run)
+	switch {
+	case owner == executor.self.Incarnation:
+	case owner != "" && executor.peers.Reachable(owner):
+		if poller.isReader.Load() {
+			executor.peers.SendRunEnd(owner, poller.id, end)
+		}
+	default:
+		poller.withheld[end.Seq] = now.Add(withholdPeriod)
+	}
+	poller.forwarded = end.Seq
+	executor.logEnd(poller.id, end, owner)
+	executor.scheduler.HandleEnd(poller.id, end, now)
+}
+
+// withholds reports whether an end must stay unacknowledged for now.
+func (poller *poller) withholds(seq int64, now time.Time) bool {
+	until, withheld := poller.withheld[seq]
+	if withheld && !now.Before(until) {
+		delete(poller.withheld, seq)
+		return false
+	}
+	return withheld
+}
+
+// degraded reports whether a poll failed within the last degradedPeriod.
+func (executor *Executor) degraded(now time.Time) bool {
+	return now.UnixNano()-executor.lastPollFailure.Load() < int64(degradedPeriod)
+}
+
+func (executor *Executor) handlePollFailure(poller *poller, err error) {
+	poller.failures++
+	executor.lastPollFailure.Store(executor.now().UnixNano())
+	if poller.failures == 1 {
+		executor.logger.Info("poll not answered", "target", poller.id, "error", eris.ToString(err, false))
+	}
+	if poller.failures == unreachableThreshold {
+		executor.logger.Warn("target does not answer", "target", poller.id, "error", eris.ToString(err, false))
+	}
+	if poller.failures >= unreachableThreshold {
+		executor.mu.Lock()
+		defer executor.mu.Unlock()
+		executor.scheduler.MarkUnreachable(poller.id)
+	}
+}
--- /dev/null
+++ b/executor/poller_test.go
@@ -0,0 +1,129 @@
+package executor
+
+import (
+	"context"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/matryer/is"
+	"github.com/rotisserie/eris"
+
+	"github.com/hyssoplift/hyssoplift/linker"
+	"github.com/hyssoplift/hyssoplift/scheduler"
+)
+
+// silentClient is the client of a target that answers no request.
+type silentClient struct{}
+
+func (silentClient) CloseIdle() {}
+
+func (silentClient) Start(context.Context, scheduler.Target, scheduler.StartTask, time.Time) scheduler.StartResult {
+	return scheduler.StartUnanswered
+}
+
+func (silentClient) Stop(context.Context, scheduler.Target, scheduler.Run) error {
+	return eris.New("no answer")
+}
+
+func (silentClient) Poll(context.Context, scheduler.Target, PollRequest) (scheduler.PollResult, error) {
+	return scheduler.PollResult{}, eris.New("no answer")
+}
+
+func newTestExecutor(t *testing.T) *Executor {
+	self := linker.Hello{Domain: "a", Name: "n1", Incarnation: "self"}
+	executor := New(self, silentClient{}, time.Now, hclog.NewNullLogger())
+	t.Cleanup(executor.Close)
+	executor.SetTargets([]scheduler.Target{{ID: "t", Service: "work", Domain: "a", Capacity: scheduler.Resources{MilliCores: 32000}}})
+	return executor
+}
+
+// An end must not be acknowledged before the run's owner was told. After a loss of all instances, each one reads all
+// targets; the owner would find its run missing and start the task again.
+func TestEndWithoutAKnownOwnerIsWithheld(t *testing.T) {
+	is := is.New(t)
+	executor := newTestExecutor(t)
+	poller := &poller{id: "t", withheld: make(map[int64]time.Time)}
+	poller.isReader.Store(true)
+	now := time.Now()
+	ends := []scheduler.End{
+		{Seq: 1, Run: scheduler.Run{Task: "j.0.0.0", Attempt: 1}, Cause: scheduler.Done},
+		{Seq: 2, Run: scheduler.Run{Task: "k.0.0.0", Attempt: 1}, Cause: scheduler.Done},
+	}
+	executor.mu.Lock()
+	defer executor.mu.Unlock()
+	executor.processEnds(poller, scheduler.PollResult{Ended: ends, Answered: now})
+	is.Equal(poller.forwarded, int64(2))
+	is.Equal(poller.acknowledgeable, int64(0))
+	executor.processEnds(poller, scheduler.PollResult{Ended: ends, Answered: now.Add(withholdPeriod)})
+	is.Equal(poller.acknowledgeable, int64(2))
+}
+
+// Polls must neither delay ends, renew the lease of an unreachable target, nor visit targets without work.
+func TestNextPoll(t *testing.T) {
+	now := time.Now()
+	tests := []struct {
+		name     string
+		isReader bool
+		state    scheduler.TargetState
+		failures int
+		due      bool
+	}{
+		{"reader of an occupied target", true, scheduler.TargetState{Occupied: true, LastHeard: now}, 0, true},
+		{"reader of an idle target", true, scheduler.TargetState{LastHeard: now}, 0, false},
+		{"not the reader, recent report", false, scheduler.TargetState{Occupied: true, HasOwnRuns: true, LastHeard: now}, 0, false},
+		{"not the reader, old report", false, scheduler.TargetState{Occupied: true, HasOwnRuns: true, LastHeard: now.Add(-readerTimeout)}, 0, true},
+		{"reader, peers not known yet", true, scheduler.TargetState{LastHeard: now}, 0, false},
+		{"own run, peers not known yet", true, scheduler.TargetState{Occupied: true, HasOwnRuns: true, LastHeard: now}, 0, true},
+		{"repeat after an unanswered poll", false, scheduler.TargetState{LastHeard: now}, 1, true},
+		{"unreachable target, just polled", true, scheduler.TargetState{Unreachable: true, LastHeard: now}, unreachableThreshold, false},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			is := is.New(t)
+			poller := &poller{polled: true, failures: test.failures, lastPoll: now.Add(-probeInterval / 2)}
+			if test.name == "not the reader, old report" {
+				poller.lastPoll = now.Add(-probeInterval)
+			}
+			if strings.HasSuffix(test.name, "peers not known yet") {
+				poller.polled, poller.peersKnownAt = false, now.Add(startupGrace)
+			}
+			poller.isReader.Store(test.isReader)
+			_, pause := poller.nextPoll(test.state, now)
+			is.Equal(pause <= 0, test.due)
+		})
+	}
+}
+
+// Targets must be distributed by weight, by a score on which all instances agree; otherwise two instances may each
+// believe that the other one reads a target.
+func TestReadersAreSharedByWeight(t *testing.T) {
+	is := is.New(t)
+	small, large := linker.Hello{Incarnation: "s", Weight: 0.2}, linker.Hello{Incarnation: "l", Weight: 0.8}
+	count := 0
+	for number := range 2000 {
+		if target := time.Duration(number).String(); rendezvousScore(target, &large) > rendezvousScore(target, &small) {
+			count++
+		}
+	}
+	is.True(count > 1500 && count < 1700) // four out of five
+}
+
+// A leaving instance must not remain a reader: the claims of the others go elsewhere, so it would stop their runs as
+// orphans.
+func TestLeavingInstanceReadsNothing(t *testing.T) {
+	is := is.New(t)
+	executor := newTestExecutor(t)
+	other := []linker.Hello{{Domain: "b", Name: "n2", Incarnation: "other"}}
+	executor.mu.Lock()
+	defer executor.mu.Unlock()
+	poller := executor.pollers["t"]
+	executor.assignReader(poller, other, time.Now())
+	is.Equal(poller.reader, "self") // same failure domain as the target
+	executor.leaving = true
+	executor.assignReader(poller, other, time.Now())
+	is.Equal(poller.reader, "other")
+	executor.assignReader(poller, nil, time.Now())
+	is.Equal(poller.reader, "self") // no other instance is left
+}
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -10,52 +10,54 @@
 )
 
 const (
-	// flushTime is how long a claim waits for others so that one frame carries them.
-	flushTime = 2 * time.Millisecond
-	// reportTimePerPeer is the time between two broadcasts for each other instance of the own failure domain, and for
-	// farTimes of other ones: an instance then receives one frame in this time from all, however many they are.
-	reportTimePerPeer = 2400 * time.Microsecond
-	// farTimes is how many times less often instances of other failure domains hear of rooms: their targets are used
-	// only when the own ones are full or much slower.
-	farTimes = 3
-	// minReportTime is the least time between two broadcasts.
-	minReportTime = 4 * time.Millisecond
-	// heartbeatTime is how often an instance is heard of without news.
-	heartbeatTime = 120 * time.Millisecond
-	// PeerTimeout is how long an instance may not be heard of before it counts as gone: four heartbeats. Its runs are
-	// stopped then, well before a caller that it lost sends its job again.
+	// flushDelay is how long a claim waits for further ones to share its frame.
+	flushDelay = 2 * time.Millisecond
+	// broadcastIntervalPerPeer is the time between two broadcasts for each other instance of the same failure domain,
+	// and for every remoteIntervalFactor instances of other domains. Thus each instance receives one frame in this time
+	// in total, however many instances there are.
+	broadcastIntervalPerPeer = 2400 * time.Microsecond
+	// remoteIntervalFactor is how many times less often instances of other failure domains receive reports; they use
+	// these targets only when their own are full or much slower.
+	remoteIntervalFactor = 3
+	// minBroadcastInterval is the minimum time between two broadcasts.
+	minBroadcastInterval = 4 * time.Millisecond
+	// heartbeatInterval is the maximum time between two messages to a peer.
+	heartbeatInterval = 120 * time.Millisecond
+	// PeerTimeout is how long an instance may be silent before it is considered lost: four heartbeats. Its runs are
+	// then stopped, well before a caller that it lost sends its job again.
 	PeerTimeout = 500 * time.Millisecond
-	// pauseTime is how late a heartbeat must be to show that this instance itself stood still.
-	pauseTime = 300 * time.Millisecond
-	// forgetTime is how long an instance that is gone stays known.
-	forgetTime = time.Minute
+	// pauseThreshold is the delay of a heartbeat that indicates that this process was paused.
+	pauseThreshold = 300 * time.Millisecond
+	// forgetTimeout is how long a lost instance is remembered.
+	forgetTimeout = time.Minute
 )
 
-// Receiver takes what other instances tell.
+// Receiver handles messages and losses of other instances.
 type Receiver interface {
-	// HandleStateUpdate takes the news of one instance.
+	// HandleStateUpdate handles a state update from another instance.
 	HandleStateUpdate(from string, update linker.StateUpdate)
-	// PeerLost takes that an instance is not heard of any more.
+	// PeerLost is called when an instance is considered lost.
 	PeerLost(from string)
-	// HandleDelegation takes a job to run for another instance, and must not block.
+	// HandleDelegation runs a job for another instance. It must not block.
 	HandleDelegation(from string, delegation linker.Delegation)
-	// LinkEnded takes that a link to an instance has ended; there may be another one.
+	// LinkEnded is called when a link to an instance has ended; another link may still be up.
 	LinkEnded(from string)
 }
 
-// peer is another instance.
+// peer is the state of another instance.
 type peer struct {
-	hello   linker.Hello
-	heard   time.Time
-	leaving bool
-	gone    bool
-	// delegates means that the instance passes its jobs on. Two such instances send each other nothing.
-	delegates bool
-	// busy means that it has jobs of its own all the same, such as those of before it knew the others.
+	hello        linker.Hello
+	lastHeard    time.Time
+	leaving      bool
+	unresponsive bool
+	// delegating means that the instance delegates its jobs. Two delegating instances send each other nothing.
+	delegating bool
+	// busy means that a delegating instance has jobs of its own nevertheless, such as jobs accepted before it knew its
+	// peers.
 	busy bool
 }
 
-// Gossiper sends and receives news between instances.
+// Gossiper sends and receives messages between instances.
 type Gossiper struct {
 	self     linker.Hello
 	links    *linker.Linker
@@ -63,91 +65,92 @@
 	now      func() time.Time
 	group    sync.WaitGroup
 	cancel   context.CancelFunc
-	// wake starts sending to single instances, and changed a broadcast.
+	// wake triggers sending the outbox, and changed triggers a broadcast.
 	wake    chan struct{}
 	changed chan struct{}
 
 	mu sync.Mutex
-	// direct holds what is not sent yet to single instances, and urgent that it is sent at once.
-	direct map[string]*linker.StateUpdate
+	// outbox holds the pending state updates to single instances; urgent means that they are sent without flushDelay.
+	outbox map[string]*linker.StateUpdate
 	urgent bool
-	// reports and demand are broadcast next.
+	// reports and demand go into the next broadcast.
 	reports map[string]scheduler.CapacityReport
-	// farReports are broadcast next to other failure domains, and farSent is when they were last.
-	farReports map[string]scheduler.CapacityReport
-	farSent    time.Time
-	demand     scheduler.Demand
-	busy       bool
-	leaving    bool
-	ticked     time.Time
-	peers      map[string]*peer
-	// delegates means that this instance passes its jobs on.
-	delegates bool
-	// beaten is when heartbeats were last sent to all, zero if they are due at once.
-	beaten time.Time
-	// version counts the changes of the instances that stay.
-	version int64
-}
-
-// New returns a gossiper of the instance self that passes news on to receiver; now returns the time.
+	// remoteReports go into the next broadcast to other failure domains; remoteSentAt is when the last one was sent.
+	remoteReports map[string]scheduler.CapacityReport
+	remoteSentAt  time.Time
+	demand        scheduler.Demand
+	busy          bool
+	leaving       bool
+	checkedAt     time.Time
+	peers         map[string]*peer
+	// delegating means that this instance delegates its jobs.
+	delegating bool
+	// heartbeatSentAt is when heartbeats were last sent to all peers; zero makes them due at once.
+	heartbeatSentAt time.Time
+	// peersVersion counts the changes of the eligible peers.
+	peersVersion int64
+}
+
+// New returns a gossiper for the instance self that passes messages to receiver; now returns the current time.
 func New(self linker.Hello, receiver Receiver, now func() time.Time) *Gossiper {
 	ctx, cancel := context.WithCancel(context.Background())
 	gossiper := &Gossiper{
-		self:       self,
-		receiver:   receiver,
-		now:        now,
-		cancel:     cancel,
-		wake:       make(chan struct{}, 1),
-		changed:    make(chan struct{}, 1),
-		direct:     make(map[string]*linker.StateUpdate),
-		reports:    make(map[string]scheduler.CapacityReport),
-		farReports: make(map[string]scheduler.CapacityReport),
-		ticked:     now(),
-		peers:      make(map[string]*peer),
+		self:          self,
+		receiver:      receiver,
+		now:           now,
+		cancel:        cancel,
+		wake:          make(chan struct{}, 1),
+		changed:       make(chan struct{}, 1),
+		outbox:        make(map[string]*linker.StateUpdate),
+		reports:       make(map[string]scheduler.CapacityReport),
+		remoteReports: make(map[string]scheduler.CapacityReport),
+		checkedAt:     now(),
+		peers:         make(map[string]*peer),
 	}
-	gossiper.group.Go(func() { gossiper.sendDirect(ctx) })
+	gossiper.group.Go(func() { gossiper.sendOutbox(ctx) })
 	gossiper.group.Go(func() { gossiper.broadcast(ctx) })
 	return gossiper
 }
 
-// SetLinks sets the links to send on; it is called once, before the first member is known.
+// SetLinks sets the links to send on. It is called once, before any peer is known.
 func (gossiper *Gossiper) SetLinks(links *linker.Linker) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	gossiper.links = links
 }
 
-// Close ends sending.
+// Close stops sending.
 func (gossiper *Gossiper) Close() {
 	gossiper.cancel()
 	gossiper.group.Wait()
 }
 
-// Leave tells the other instances that this one has begun a planned stop.
+// Leave announces to the other instances that this one has begun a planned stop.
 func (gossiper *Gossiper) Leave() {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	gossiper.leaving, gossiper.beaten = true, time.Time{}
-	poke(gossiper.changed)
+	gossiper.leaving, gossiper.heartbeatSentAt = true, time.Time{}
+	notify(gossiper.changed)
 }
 
-// to adds news for one instance; the caller holds the lock.
-func (gossiper *Gossiper) to(incarnation string, urgent bool) *linker.StateUpdate {
-	update, ok := gossiper.direct[incarnation]
+// updateFor returns the pending state update to an instance, to be extended by the caller, and schedules its sending;
+// the caller holds the lock.
+func (gossiper *Gossiper) updateFor(incarnation string, urgent bool) *linker.StateUpdate {
+	update, ok := gossiper.outbox[incarnation]
 	if !ok {
 		update = &linker.StateUpdate{}
-		gossiper.direct[incarnation] = update
+		gossiper.outbox[incarnation] = update
 	}
 	gossiper.urgent = gossiper.urgent || urgent
-	poke(gossiper.wake)
+	notify(gossiper.wake)
 	return update
 }
 
-// Claim tells the reader of a target of a start.
+// Claim sends a claim to the reader of its target.
 func (gossiper *Gossiper) Claim(reader string, claim scheduler.Claim) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	update := gossiper.to(reader, false)
+	update := gossiper.updateFor(reader, false)
 	update.Claims = append(update.Claims, linker.Claim{
 		Target: claim.Target, Task: claim.Run.Task, Attempt: claim.Run.Attempt,
 		MilliCores: claim.Resources.MilliCores, MemoryMB: claim.Resources.MemoryMB, Accelerators: claim.Resources.Accelerators,
@@ -155,11 +158,11 @@
 	})
 }
 
-// Withdraw tells the reader of a target that a run does not occupy it.
+// Withdraw tells the reader of a target that a claimed run does not occupy it.
 func (gossiper *Gossiper) Withdraw(reader, target string, run scheduler.Run) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	update := gossiper.to(reader, false)
+	update := gossiper.updateFor(reader, false)
 	update.Withdrawn = append(update.Withdrawn, linker.RunID{Target: target, Task: run.Task, Attempt: run.Attempt})
 }
 
@@ -167,97 +170,97 @@
 func (gossiper *Gossiper) RelayStop(reader, target string, run scheduler.Run) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	update := gossiper.to(reader, true)
+	update := gossiper.updateFor(reader, true)
 	update.Stops = append(update.Stops, linker.RunID{Target: target, Task: run.Task, Attempt: run.Attempt})
 }
 
-// SendRunEnd tells the owner of a run of its end, at once, since a caller waits for it.
+// SendRunEnd sends the end of a run to its owner without delay, since a caller waits for it.
 func (gossiper *Gossiper) SendRunEnd(owner, target string, end scheduler.End) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	update := gossiper.to(owner, true)
+	update := gossiper.updateFor(owner, true)
 	update.Ends = append(update.Ends, linker.RunEnd{
 		Target: target, Task: end.Run.Task, Attempt: end.Run.Attempt, Number: end.Seq, Cause: int64(end.Cause),
 	})
 }
 
-// Abandon tells the instance that runs a job for this one that its caller needs it no more.
+// Abandon tells the instance that runs a job for this one to abandon it.
 func (gossiper *Gossiper) Abandon(delegate, job string) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	update := gossiper.to(delegate, true)
+	update := gossiper.updateFor(delegate, true)
 	update.Abandoned = append(update.Abandoned, job)
 }
 
 // Call sends a request to an instance and returns the response; see linker.Linker.Call.
 func (gossiper *Gossiper) Call(ctx context.Context, incarnation string, request linker.Request) (linker.Response, error) {
-	links := gossiper.linked()
+	links := gossiper.currentLinks()
 	if links == nil {
 		return nil, linker.ErrNoLink
 	}
 	return links.Call(ctx, incarnation, request)
 }
 
-// AnswerDelegation sends the outcome of a delegated job to the instance that asked for it; if that fails, the link has ended and
-// the instance no longer waits.
+// AnswerDelegation sends the outcome of a delegated job to its origin. If that fails, the link has ended and the origin
+// no longer waits.
 func (gossiper *Gossiper) AnswerDelegation(incarnation string, answer linker.DelegationAnswer) error {
-	links := gossiper.linked()
+	links := gossiper.currentLinks()
 	if links == nil {
 		return linker.ErrNoLink
 	}
 	return links.Send(incarnation, answer)
 }
 
-func (gossiper *Gossiper) linked() *linker.Linker {
+func (gossiper *Gossiper) currentLinks() *linker.Linker {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	return gossiper.links
 }
 
-// Offer tells one instance at once of the room of a target.
-func (gossiper *Gossiper) Offer(to, target string, room scheduler.Resources) {
+// Offer sends the free capacity of a target to one instance without delay.
+func (gossiper *Gossiper) Offer(to, target string, free scheduler.Resources) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	update := gossiper.to(to, true)
-	update.FreeCapacity = append(update.FreeCapacity, newRoom(scheduler.CapacityReport{Target: target, FreeCapacity: room}))
+	update := gossiper.updateFor(to, true)
+	update.FreeCapacity = append(update.FreeCapacity, encodeReport(scheduler.CapacityReport{Target: target, FreeCapacity: free}))
 }
 
-// Report tells all instances of the room of a target.
+// Report broadcasts the free capacity of a target.
 func (gossiper *Gossiper) Report(report scheduler.CapacityReport) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	gossiper.reports[report.Target], gossiper.farReports[report.Target] = report, report
-	poke(gossiper.changed)
+	gossiper.reports[report.Target], gossiper.remoteReports[report.Target] = report, report
+	notify(gossiper.changed)
 }
 
-// SetDemand tells all instances how many tasks wait, and whether this instance has any jobs of its own.
+// SetDemand sets the broadcast number of waiting tasks, and whether this instance has active jobs of its own.
 func (gossiper *Gossiper) SetDemand(demand scheduler.Demand, busy bool) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	// Only an instance that passes its jobs on is treated by whether it is busy.
-	changed := demand != gossiper.demand || busy != gossiper.busy && gossiper.delegates
+	// Peers consider busy only for a delegating instance.
+	changed := demand != gossiper.demand || busy != gossiper.busy && gossiper.delegating
 	gossiper.demand, gossiper.busy = demand, busy
 	if changed {
-		poke(gossiper.changed)
+		notify(gossiper.changed)
 	}
 }
 
-func newRoom(report scheduler.CapacityReport) linker.FreeCapacity {
-	room := report.FreeCapacity
+func encodeReport(report scheduler.CapacityReport) linker.FreeCapacity {
+	free := report.FreeCapacity
 	return linker.FreeCapacity{
-		Target: report.Target, MilliCores: room.MilliCores, MemoryMB: room.MemoryMB, Accelerators: room.Accelerators, Unreachable: report.Unreachable,
+		Target: report.Target, MilliCores: free.MilliCores, MemoryMB: free.MemoryMB, Accelerators: free.Accelerators, Unreachable: report.Unreachable,
 	}
 }
 
-func poke(wake chan struct{}) {
+func notify(wake chan struct{}) {
 	select {
 	case wake <- struct{}{}:
 	default:
 	}
 }
 
-// sendDirect sends what concerns single instances.
-func (gossiper *Gossiper) sendDirect(ctx context.Context) {
+// sendOutbox sends the state updates to single instances until ctx is done.
+func (gossiper *Gossiper) sendOutbox(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -265,18 +268,18 @@
 		case <-gossiper.wake:
 		}
 		if !gossiper.isUrgent() {
-			time.Sleep(flushTime)
+			time.Sleep(flushDelay)
 		}
 		gossiper.mu.Lock()
-		direct, links := gossiper.direct, gossiper.links
-		gossiper.direct, gossiper.urgent = make(map[string]*linker.StateUpdate, len(direct)), false
+		outbox, links := gossiper.outbox, gossiper.links
+		gossiper.outbox, gossiper.urgent = make(map[string]*linker.StateUpdate, len(outbox)), false
 		gossiper.mu.Unlock()
 		if links == nil {
 			continue
 		}
-		for incarnation, update := range direct {
-			// What cannot be sent is repeated: claims and abandoned jobs by their owner, and ends when a claim comes after
-			// them.
+		for incarnation, update := range outbox {
+			// Lost messages are made up for: owners repeat claims and requests to abandon jobs, and a claim that
+			// arrives after the run's end is answered with the end.
 			_ = links.Send(incarnation, *update)
 		}
 	}
@@ -288,9 +291,9 @@
 	return gossiper.urgent
 }
 
-// broadcast sends rooms and demand to all, and a heartbeat if there is nothing to tell.
+// broadcast sends reports and demand, or a heartbeat if there are no changes, until ctx is done.
 func (gossiper *Gossiper) broadcast(ctx context.Context) {
-	timer := time.NewTimer(heartbeatTime)
+	timer := time.NewTimer(heartbeatInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -300,115 +303,116 @@
 		case <-gossiper.changed:
 		}
 		pause := gossiper.sendAll()
-		gossiper.watch()
-		timer.Reset(heartbeatTime)
+		gossiper.detectLostPeers()
+		timer.Reset(heartbeatInterval)
 		time.Sleep(pause)
 	}
 }
 
-// sendAll sends what is due and returns the time to the next broadcast.
+// sendAll sends the due broadcasts and returns the time until the next ones.
 func (gossiper *Gossiper) sendAll() time.Duration {
 	gossiper.mu.Lock()
 	links := gossiper.links
-	due := gossiper.due(gossiper.now())
+	plan := gossiper.plan(gossiper.now())
 	gossiper.mu.Unlock()
 	if links != nil {
-		for _, broadcast := range due.broadcasts {
-			links.Broadcast(broadcast.to, broadcast.news)
+		for _, broadcast := range plan.broadcasts {
+			links.Broadcast(broadcast.to, broadcast.update)
 		}
 	}
-	return due.pause
+	return plan.pause
 }
 
-// broadcast is one message and the instances that get it.
+// broadcast is a state update and its recipients.
 type broadcast struct {
-	to   []string
-	news linker.StateUpdate
+	to     []string
+	update linker.StateUpdate
 }
 
-// dueNews is what is sent now, and the time to the next broadcast.
-type dueNews struct {
+// broadcastPlan holds the broadcasts that are due and the time until the next ones.
+type broadcastPlan struct {
 	broadcasts []broadcast
 	pause      time.Duration
 }
 
-// due returns what is to be sent at now: rooms to the own failure domain, less often to others, and heartbeats only to
-// instances that pass their jobs on. Those that have jobs of their own all the same get the rooms too: the owner of a run
-// has to know how long its lease may last. The caller holds the lock.
-func (gossiper *Gossiper) due(now time.Time) dueNews {
-	beatDue := now.Sub(gossiper.beaten) >= heartbeatTime
-	var near, far, beats []string
+// plan returns the broadcasts that are due at now: reports to the same failure domain, less often to other domains, and
+// only heartbeats to delegating instances. Busy delegating instances get the reports too, since the owner of a run must
+// know how long its lease may last. The caller holds the lock.
+func (gossiper *Gossiper) plan(now time.Time) broadcastPlan {
+	heartbeatDue := now.Sub(gossiper.heartbeatSentAt) >= heartbeatInterval
+	var sameDomain, otherDomains, heartbeats []string
 	for incarnation, peer := range gossiper.peers {
 		switch {
-		case peer.delegates && (gossiper.delegates || !peer.busy):
-			if beatDue && !gossiper.delegates {
-				beats = append(beats, incarnation)
+		case peer.delegating && (gossiper.delegating || !peer.busy):
+			if heartbeatDue && !gossiper.delegating {
+				heartbeats = append(heartbeats, incarnation)
 			}
 		case peer.hello.Domain == gossiper.self.Domain:
-			near = append(near, incarnation)
+			sameDomain = append(sameDomain, incarnation)
 		default:
-			far = append(far, incarnation)
+			otherDomains = append(otherDomains, incarnation)
 		}
 	}
-	// However many instances there are, the others take one that is not heard of for some heartbeats to be gone.
-	pause := min(max(minReportTime, reportTimePerPeer*time.Duration(farTimes*len(near)+len(far))/farTimes), heartbeatTime)
-	due := dueNews{pause: pause}
+	// Even with very many instances, the interval must not exceed a heartbeat, or the peers would consider this
+	// instance lost.
+	pause := min(max(minBroadcastInterval, broadcastIntervalPerPeer*time.Duration(remoteIntervalFactor*len(sameDomain)+len(otherDomains))/remoteIntervalFactor), heartbeatInterval)
+	plan := broadcastPlan{pause: pause}
 	update := linker.StateUpdate{Waiting: append([]int64(nil), gossiper.demand[:]...), Leaving: gossiper.leaving, Busy: gossiper.busy}
-	if len(beats) > 0 {
-		due.broadcasts = append(due.broadcasts, broadcast{beats, update})
+	if len(heartbeats) > 0 {
+		plan.broadcasts = append(plan.broadcasts, broadcast{heartbeats, update})
 	}
-	if beatDue {
-		gossiper.beaten = now
+	if heartbeatDue {
+		gossiper.heartbeatSentAt = now
 	}
-	if farDue := now.Sub(gossiper.farSent) >= (farTimes-1)*pause; farDue || beatDue {
-		gossiper.farSent = now
-		if len(far) > 0 {
-			due.broadcasts = append(due.broadcasts, broadcast{far, withRooms(update, gossiper.farReports)})
+	if remoteDue := now.Sub(gossiper.remoteSentAt) >= (remoteIntervalFactor-1)*pause; remoteDue || heartbeatDue {
+		gossiper.remoteSentAt = now
+		if len(otherDomains) > 0 {
+			plan.broadcasts = append(plan.broadcasts, broadcast{otherDomains, withReports(update, gossiper.remoteReports)})
 		}
-		clear(gossiper.farReports)
+		clear(gossiper.remoteReports)
 	}
-	if len(near) > 0 {
-		due.broadcasts = append(due.broadcasts, broadcast{near, withRooms(update, gossiper.reports)})
+	if len(sameDomain) > 0 {
+		plan.broadcasts = append(plan.broadcasts, broadcast{sameDomain, withReports(update, gossiper.reports)})
 	}
 	clear(gossiper.reports)
-	return due
+	return plan
 }
 
-func withRooms(update linker.StateUpdate, reports map[string]scheduler.CapacityReport) linker.StateUpdate {
+func withReports(update linker.StateUpdate, reports map[string]scheduler.CapacityReport) linker.StateUpdate {
 	for _, report := range reports {
-		update.FreeCapacity = append(update.FreeCapacity, newRoom(report))
+		update.FreeCapacity = append(update.FreeCapacity, encodeReport(report))
 	}
 	return update
 }
 
-// watch finds the peers that are not heard of any more.
-func (gossiper *Gossiper) watch() {
+// detectLostPeers finds the peers that have been silent for too long and reports them to the receiver.
+func (gossiper *Gossiper) detectLostPeers() {
 	now := gossiper.now()
 	var lost []string
-	links := gossiper.linked()
+	links := gossiper.currentLinks()
 	gossiper.mu.Lock()
-	if now.Sub(gossiper.ticked) > heartbeatTime+pauseTime {
-		// This instance stood still, so that the silence says nothing of the others.
+	if now.Sub(gossiper.checkedAt) > heartbeatInterval+pauseThreshold {
+		// This process was paused, so the silence says nothing about the peers.
 		for _, peer := range gossiper.peers {
-			peer.heard = now
+			peer.lastHeard = now
 		}
 	}
-	gossiper.ticked = now
+	gossiper.checkedAt = now
 	for incarnation, peer := range gossiper.peers {
-		if gossiper.delegates && peer.delegates && links != nil && links.Connected(incarnation) {
-			// It sends nothing to this instance, and nothing depends on how soon its loss is known.
+		if gossiper.delegating && peer.delegating && links != nil && links.Connected(incarnation) {
+			// The peer sends nothing to this instance, and nothing depends on detecting its loss quickly.
 			continue
 		}
-		if !peer.gone && now.Sub(peer.heard) > PeerTimeout {
-			peer.gone = true
+		if !peer.unresponsive && now.Sub(peer.lastHeard) > PeerTimeout {
+			peer.unresponsive = true
 			lost = append(lost, incarnation)
 		}
-		if now.Sub(peer.heard) > forgetTime {
+		if now.Sub(peer.lastHeard) > forgetTimeout {
 			delete(gossiper.peers, incarnation)
 		}
 	}
 	if len(lost) > 0 {
-		gossiper.share()
+		gossiper.updateRoles()
 	}
 	gossiper.mu.Unlock()
 	for _, incarnation := range lost {
@@ -416,24 +420,25 @@
 	}
 }
 
-// Receive takes a message of a link.
+// Receive handles a message from a link.
 func (gossiper *Gossiper) Receive(from linker.Hello, message linker.Message) {
 	switch message := message.(type) {
 	case linker.LinkEnded:
 		gossiper.receiver.LinkEnded(from.Incarnation)
 	case linker.StateUpdate:
-		gossiper.hear(from, message)
+		gossiper.recordContact(from, message)
 		gossiper.receiver.HandleStateUpdate(from.Incarnation, message)
 	case linker.Delegation:
-		gossiper.hear(from, linker.StateUpdate{})
+		gossiper.recordContact(from, linker.StateUpdate{})
 		gossiper.receiver.HandleDelegation(from.Incarnation, message)
 	default:
-		gossiper.hear(from, linker.StateUpdate{})
+		gossiper.recordContact(from, linker.StateUpdate{})
 	}
 }
 
-// hear notes that an instance was heard of; only broadcast news, which name the waiting tasks, tell its state.
-func (gossiper *Gossiper) hear(from linker.Hello, update linker.StateUpdate) {
+// recordContact records a sign of life of an instance. Only broadcasts carry the state of the sender; they are
+// recognized by their waiting tasks.
+func (gossiper *Gossiper) recordContact(from linker.Hello, update linker.StateUpdate) {
 	now := gossiper.now()
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
@@ -446,60 +451,62 @@
 	if len(update.Waiting) > 0 {
 		leaving, known.busy = update.Leaving, update.Busy
 	}
-	changed := !ok || known.gone || leaving != known.leaving
-	known.heard, known.gone, known.leaving = now, false, leaving
+	changed := !ok || known.unresponsive || leaving != known.leaving
+	known.lastHeard, known.unresponsive, known.leaving = now, false, leaving
 	if changed {
-		gossiper.share()
+		gossiper.updateRoles()
 	}
 }
 
-// SilentDomains returns the other failure domains with instances that stay, and whether none of them was heard of for a time.
+// SilentDomains returns, for each failure domain with peers that are not leaving, whether all of them have been silent
+// for longer than duration. While both this instance and a peer delegate, the peer is left out.
 func (gossiper *Gossiper) SilentDomains(duration time.Duration) map[string]bool {
 	now := gossiper.now()
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	silent := make(map[string]bool)
 	for _, peer := range gossiper.peers {
-		if peer.leaving || peer.delegates && gossiper.delegates {
+		if peer.leaving || peer.delegating && gossiper.delegating {
 			continue
 		}
-		quiet := now.Sub(peer.heard) > duration
+		silentPeer := now.Sub(peer.lastHeard) > duration
 		known, ok := silent[peer.hello.Domain]
-		silent[peer.hello.Domain] = quiet && (known || !ok)
+		silent[peer.hello.Domain] = silentPeer && (known || !ok)
 	}
 	return silent
 }
 
-// Alive reports whether the instance was heard of lately.
+// Alive reports whether the instance is known and not considered lost.
 func (gossiper *Gossiper) Alive(incarnation string) bool {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	peer, ok := gossiper.peers[incarnation]
-	return ok && !peer.gone
+	return ok && !peer.unresponsive
 }
 
-// Reachable reports whether news can be sent to the instance now.
+// Reachable reports whether a message can be sent to the instance now.
 func (gossiper *Gossiper) Reachable(incarnation string) bool {
-	links := gossiper.linked()
+	links := gossiper.currentLinks()
 	return links != nil && links.Connected(incarnation)
 }
 
-// PeersVersion returns a number that rises with each change of what Staying returns.
+// PeersVersion returns a number that grows with each change of the result of EligiblePeers.
 func (gossiper *Gossiper) PeersVersion() int64 {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	return gossiper.version
+	return gossiper.peersVersion
 }
 
-// EligiblePeers returns the hellos of the instances that are heard of, do not leave and do not pass their jobs on.
+// EligiblePeers returns the instances that can be readers and delegates: those that are alive, are not leaving and do
+// not delegate their jobs.
 func (gossiper *Gossiper) EligiblePeers() []linker.Hello {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	var staying []linker.Hello
+	var eligible []linker.Hello
 	for _, peer := range gossiper.peers {
-		if !peer.gone && !peer.leaving && !peer.delegates {
-			staying = append(staying, peer.hello)
+		if !peer.unresponsive && !peer.leaving && !peer.delegating {
+			eligible = append(eligible, peer.hello)
 		}
 	}
-	return staying
+	return eligible
 }
--- /dev/null
+++ b/gossiper/gossiper_test.go
@@ -0,0 +1,202 @@
+package gossiper
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/hyssoplift/hyssoplift/linker"
+	"github.com/hyssoplift/hyssoplift/scheduler"
+)
+
+func repeatWeight(weight float64, count int) []float64 {
+	return slices.Repeat([]float64{weight}, count)
+}
+
+// Small instances get as many callers as large ones and would be overloaded, so they must delegate. Equal instances
+// must not, and a few large instances must not get the jobs of many small ones.
+func TestDelegationThreshold(t *testing.T) {
+	tests := []struct {
+		name       string
+		weights    []float64
+		delegating int
+	}{
+		{"alone", repeatWeight(0.4, 1), 0},
+		{"all equal", repeatWeight(0.4, 9), 0},
+		{"slightly different", append(repeatWeight(0.4, 5), repeatWeight(0.5, 5)...), 0},
+		{"six large, nine medium, many small", append(append(repeatWeight(0.8, 6), repeatWeight(0.48, 9)...), repeatWeight(0.144, 22)...), 22},
+		{"one large, many small", append(repeatWeight(0.8, 1), repeatWeight(0.144, 22)...), 0},
+		{"none", nil, 0},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			is := is.New(t)
+			threshold := delegationThreshold(test.weights)
+			delegating := 0
+			for _, weight := range test.weights {
+				if weight < threshold {
+					delegating++
+				}
+			}
+			is.Equal(delegating, test.delegating)
+		})
+	}
+}
+
+// recorder is a Receiver that records the lost peers.
+type recorder struct{ lost []string }
+
+func (*recorder) HandleStateUpdate(string, linker.StateUpdate) {}
+func (recorder *recorder) PeerLost(from string)                { recorder.lost = append(recorder.lost, from) }
+func (*recorder) HandleDelegation(string, linker.Delegation)   {}
+func (*recorder) LinkEnded(string)                             {}
+
+// newTestGossiper returns a gossiper without goroutines; its clock is set through the returned pointer.
+func newTestGossiper(weight float64) (*Gossiper, *recorder, *time.Time) {
+	now := time.Unix(1_000_000, 0)
+	receiver := &recorder{}
+	return &Gossiper{
+		self: linker.Hello{Domain: "a", Incarnation: "self", Weight: weight}, receiver: receiver, now: func() time.Time { return now },
+		wake: make(chan struct{}, 1), changed: make(chan struct{}, 1), outbox: make(map[string]*linker.StateUpdate), peers: make(map[string]*peer), checkedAt: now,
+		reports: make(map[string]scheduler.CapacityReport), remoteReports: make(map[string]scheduler.CapacityReport),
+	}, receiver, &now
+}
+
+func (gossiper *Gossiper) contact(incarnation string, weight float64) {
+	hello := linker.Hello{Domain: "a", Incarnation: incarnation, Weight: weight}
+	gossiper.Receive(hello, hello)
+}
+
+// An instance must delegate only while larger ones are alive and not leaving, and delegating instances must not be
+// eligible as readers or delegates.
+func TestRolesFollowTheInstances(t *testing.T) {
+	is := is.New(t)
+	gossiper, _, now := newTestGossiper(0.144)
+	is.True(!gossiper.Delegating())
+	gossiper.contact("small", 0.144)
+	is.True(!gossiper.Delegating())
+	is.Equal(len(gossiper.EligiblePeers()), 1)
+	gossiper.contact("large", 0.8)
+	is.True(gossiper.Delegating())
+	eligible := gossiper.EligiblePeers()
+	is.Equal(len(eligible), 1)
+	is.Equal(eligible[0].Incarnation, "large")
+	gossiper.Receive(linker.Hello{Domain: "a", Incarnation: "large", Weight: 0.8}, linker.StateUpdate{Waiting: []int64{0}, Leaving: true})
+	is.True(!gossiper.Delegating()) // the only larger instance is leaving
+	gossiper.contact("next", 0.8)
+	is.True(gossiper.Delegating())
+	*now = now.Add(PeerTimeout / 2)
+	gossiper.detectLostPeers()
+	*now = now.Add(PeerTimeout)
+	gossiper.checkedAt = *now
+	gossiper.detectLostPeers()
+	is.True(!gossiper.Delegating()) // the larger instance is lost
+}
+
+// broadcastReceivers returns which instances get reports, and which only heartbeats, in the broadcasts that are due.
+func (gossiper *Gossiper) broadcastReceivers() (reports, heartbeats []string) {
+	gossiper.Report(scheduler.CapacityReport{Target: "t"})
+	for _, broadcast := range gossiper.plan(gossiper.now()).broadcasts {
+		if len(broadcast.update.FreeCapacity) > 0 {
+			reports = append(reports, broadcast.to...)
+		} else {
+			heartbeats = append(heartbeats, broadcast.to...)
+		}
+	}
+	return reports, heartbeats
+}
+
+// Reports must not be broadcast to all instances: a delegating instance needs only a few heartbeats a second, and two
+// delegating instances need nothing from each other.
+func TestReceiversOfBroadcasts(t *testing.T) {
+	is := is.New(t)
+	large, _, now := newTestGossiper(0.8)
+	large.contact("small", 0.144)
+	large.contact("equal", 0.8)
+	reports, heartbeats := large.broadcastReceivers()
+	is.Equal(reports, []string{"equal"})
+	is.Equal(heartbeats, []string{"small"})
+	reports, heartbeats = large.broadcastReceivers()
+	is.Equal(len(reports), 1)
+	is.Equal(len(heartbeats), 0) // not due
+	large.Leave()
+	_, heartbeats = large.broadcastReceivers()
+	is.Equal(len(heartbeats), 1) // a planned stop is announced at once
+	*now = now.Add(heartbeatInterval)
+	_, heartbeats = large.broadcastReceivers()
+	is.Equal(len(heartbeats), 1)
+
+	small, _, _ := newTestGossiper(0.144)
+	small.contact("small", 0.144)
+	small.contact("large", 0.8)
+	reports, heartbeats = small.broadcastReceivers()
+	is.Equal(reports, []string{"large"})
+	is.Equal(len(heartbeats), 0)
+}
+
+// Other failure domains must receive reports less often than the own one, but must neither miss a report nor get so few
+// messages that they consider the sender lost.
+func TestOtherDomainsReceiveReportsLessOften(t *testing.T) {
+	is := is.New(t)
+	gossiper, _, now := newTestGossiper(0.4)
+	gossiper.contact("local", 0.4)
+	remote := linker.Hello{Domain: "b", Incarnation: "remote", Weight: 0.4}
+	gossiper.Receive(remote, remote)
+	counts := make(map[string]int)
+	pause := gossiper.plan(*now).pause
+	for range 30 {
+		*now = now.Add(pause)
+		gossiper.Report(scheduler.CapacityReport{Target: "t"})
+		for _, broadcast := range gossiper.plan(*now).broadcasts {
+			for _, to := range broadcast.to {
+				counts[to] += len(broadcast.update.FreeCapacity)
+			}
+		}
+	}
+	is.Equal(counts["local"], 30)
+	is.True(counts["remote"] >= 10 && counts["remote"] <= 16)
+	gossiper.Report(scheduler.CapacityReport{Target: "t"})
+	gossiper.remoteSentAt = now.Add(-time.Millisecond)
+	gossiper.heartbeatSentAt = *now
+	is.Equal(len(gossiper.plan(*now).broadcasts), 1)
+	*now = now.Add(heartbeatInterval)
+	is.Equal(len(gossiper.plan(*now).broadcasts), 2) // includes the report that has not been sent there yet
+}
+
+// A delegating instance with runs of its own must still receive reports. Without reports of renewed leases it would
+// consider its runs lost, as after a power loss in Thang Long grown trouble-1.
+func TestBusyInstanceReceivesReports(t *testing.T) {
+	is := is.New(t)
+	large, _, _ := newTestGossiper(0.8)
+	large.contact("small", 0.144)
+	reports, _ := large.broadcastReceivers()
+	is.Equal(len(reports), 0)
+	large.Receive(linker.Hello{Domain: "a", Incarnation: "small", Weight: 0.144}, linker.StateUpdate{Waiting: []int64{0}, Busy: true})
+	reports, heartbeats := large.broadcastReceivers()
+	is.Equal(reports, []string{"small"})
+	is.Equal(len(heartbeats), 0)
+	large.Receive(linker.Hello{Domain: "a", Incarnation: "small", Weight: 0.144}, linker.StateUpdate{Waiting: []int64{0}})
+	reports, _ = large.broadcastReceivers()
+	is.Equal(len(reports), 0)
+}
+
+// A pause of this process must not make its peers count as lost, and an unresponsive peer must be detected.
+func TestSilenceIsNoticed(t *testing.T) {
+	is := is.New(t)
+	gossiper, receiver, now := newTestGossiper(0.4)
+	gossiper.contact("peer", 0.4)
+	*now = now.Add(10 * time.Second)
+	gossiper.detectLostPeers() // this process was paused
+	is.Equal(len(receiver.lost), 0)
+	is.True(gossiper.Alive("peer"))
+	for range 5 {
+		*now = now.Add(heartbeatInterval)
+		gossiper.detectLostPeers()
+	}
+	is.Equal(receiver.lost, []string{"peer"})
+	is.True(!gossiper.Alive("peer"))
+	gossiper.contact("peer", 0.4)
+	is.True(gossiper.Alive("peer"))
+}
--- a/scheduler/admit_test.go
+++ b/scheduler/admit_test.go
@@ -9,9 +9,9 @@
 	"github.com/hyssoplift/hyssoplift/dispatcher"
 )
 
-// Guards against a queue that fills with jobs that will miss their objective: the burst of jobs beyond all room is
-// refused at once with a time to return, and what is taken on starts in time.
-func TestBurstBeyondRoomIsRefusedAtOnce(t *testing.T) {
+// A burst beyond the total capacity must be refused at once with a retry time, or the queue fills with jobs that miss
+// their objective. Accepted jobs start on time.
+func TestBurstBeyondCapacityIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	scheduler := newTestScheduler(4)
 	refused, taken := 0, 0
@@ -28,18 +28,18 @@
 	}
 	taken = scheduler.ActiveJobs()
 	is.Equal(taken+refused, 20)
-	is.True(taken >= 2) // room for two jobs at once
-	is.True(taken <= 4) // a third waits 50 ms for its last task; later ones would miss their objective
+	is.True(taken >= 2) // capacity for two jobs at once
+	is.True(taken <= 4) // the last task of a third job waits 50 ms; later jobs would miss their objective
 }
 
-// Guards against a refusal that is untrue: a job of which a task has started is never refused.
+// A job must not be refused once one of its tasks has started.
 func TestStartedJobIsNotRefused(t *testing.T) {
 	is := is.New(t)
 	scheduler := newTestScheduler(1)
 	scheduler.Submit(testJob("j", 3, 100, 0), at(0))
 	first := drain(scheduler)
 	is.Equal(len(first.starts), 2)
-	take(scheduler, first.starts, at(2))
+	acceptStarts(scheduler, first.starts, at(2))
 	for now := 5; now < 3100; now += 5 {
 		scheduler.Tick(at(now))
 	}
@@ -48,29 +48,30 @@
 	is.Equal(outcome(answers[0]), "unknown")
 }
 
-// Guards against a job that waits on although nothing of it can start in time.
-func TestUnstartedJobIsGivenUpEarly(t *testing.T) {
+// A job must be refused early, not at its deadline, if none of its tasks can start in time.
+func TestUnstartedJobIsRefusedEarly(t *testing.T) {
 	is := is.New(t)
 	scheduler := newTestScheduler(1)
 	scheduler.Submit(testJob("long", 2, 100, 0), at(0))
-	take(scheduler, drain(scheduler).starts, at(2))
+	acceptStarts(scheduler, drain(scheduler).starts, at(2))
 	scheduler.Submit(testJob("next", 1, 400, 10), at(10))
-	given := 0
-	for now := 10; now < 3000 && given == 0; now += 5 {
+	refusedAt := 0
+	for now := 10; now < 3000 && refusedAt == 0; now += 5 {
 		scheduler.Tick(at(now))
 		for _, answer := range drain(scheduler).answers {
 			if answer.Job == "next" {
 				is.Equal(outcome(answer), "refused overload")
-				given = now
+				refusedAt = now
 			}
 		}
 	}
-	// A quarter of the time to its objective of 700 ms.
-	is.True(given > 0 && given <= 10+700/4+5)
+	// A quarter of the 700 ms to its objective.
+	is.True(refusedAt > 0 && refusedAt <= 10+700/4+5)
 }
 
-// Guards against a job that is held to its deadline and then told that it may have run although every order to start it
-// was rejected: it is refused once its patience is over. A start that was not answered, or a target that knows a later run, keeps it.
+// A job whose start requests were all rejected must be refused after its maximum wait, rather than kept until its
+// deadline and answered as possibly started. An unanswered start, or a target that knows a later run, means that it may
+// have started.
 func TestRejectedStartsAreNoStart(t *testing.T) {
 	tests := []struct {
 		result StartResult
@@ -87,27 +88,27 @@
 			scheduler := newTestScheduler(1)
 			scheduler.Submit(testJob("j", 1, 400, 0), at(0))
 			var answer AnswerJob
-			given := 0
-			for now := 2; now < 3100 && given == 0; now += 5 {
+			answeredAt := 0
+			for now := 2; now < 3100 && answeredAt == 0; now += 5 {
 				drained := drain(scheduler)
 				for _, start := range drained.starts {
 					scheduler.HandleStartResult(start.Target, start.Run, test.result, at(now))
 				}
 				scheduler.Tick(at(now))
 				if len(drained.answers) > 0 {
-					answer, given = drained.answers[0], now
+					answer, answeredAt = drained.answers[0], now
 				}
 			}
 			is.Equal(outcome(answer), test.want)
 			if test.want != "unknown" {
-				// A quarter of the time to its objective of 700 ms, and an order that is under way.
-				is.True(given <= 700/4+20)
+				// A quarter of the 700 ms to its objective, and one request in flight.
+				is.True(answeredAt <= 700/4+20)
 			}
 		})
 	}
 }
 
-// Guards against a refusal while an order to start is under way: the target may take it.
+// A job must not be refused while a start request is in flight, since the target may accept it.
 func TestJobIsNotRefusedWhileAStartIsUnderWay(t *testing.T) {
 	is := is.New(t)
 	scheduler := newTestScheduler(1)
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// taskState is where a task of an own job stands.
+// taskState is the state of a task of this instance.
 type taskState int
 
 const (
-	// blocked tasks wait for earlier steps.
+	// A blocked task waits for earlier steps.
 	blocked taskState = iota
-	// waiting tasks wait for room.
+	// A waiting task is queued until a target has capacity.
 	waiting
-	// starting tasks have an order to start under way.
+	// A starting task has a start request in flight.
 	starting
-	// running tasks were taken by their target.
+	// A running task was accepted by a target.
 	running
-	// stopping tasks have an order to stop under way, after which they start anew.
+	// A stopping task has a stop request in flight, after which it is queued again.
 	stopping
-	// uncertain tasks may run on a target that does not answer, until its lease has ended.
+	// An uncertain task may be running on a target that does not answer, until the target's lease has ended.
 	uncertain
-	// done tasks have ended with success.
+	// A done task has ended with success.
 	done
 )
 
-// task is a task of an own job.
+// task is one task of a job of this instance.
 type task struct {
 	job      *job
 	step     int
@@ -35,30 +35,30 @@
 	failures int
 	// restarts counts the starts after a run that was lost or stopped.
 	restarts int
-	// on is the target of the latest run.
-	on *target
-	// notBefore keeps the task from starting while an earlier run may still be at work.
+	// runTarget is the target of the latest run.
+	runTarget *target
+	// notBefore delays the next start while an earlier run may still be active.
 	notBefore time.Time
-	started   time.Time
+	startedAt time.Time
 	predicted time.Duration
-	// missing is when the target first listed its runs without this one, zero if it did not.
-	missing time.Time
-	// avoided holds the targets that failed or rejected the task.
+	// missingSince is when the target first omitted the run from its list, or zero.
+	missingSince time.Time
+	// avoided holds the IDs of the targets that failed or rejected the task.
 	avoided map[string]bool
 }
 
 func (task *task) run() Run { return Run{task.name, task.attempt} }
 
-// latest reports whether a run on a target is the latest one of the task. The numbers of attempts begin anew when a job
-// is submitted again, so that news of runs of an earlier submission can name the same attempt on another target.
+// latest reports whether run on the given target is the latest run of the task. Attempt numbers start over when a job
+// is submitted again, so messages about an earlier submission can carry the same attempt number on another target.
 func (task *task) latest(targetID string, run Run) bool {
-	return task.on != nil && task.on.ID == targetID && task.attempt == run.Attempt
+	return task.runTarget != nil && task.runTarget.ID == targetID && task.attempt == run.Attempt
 }
 
 func (task *task) spec() *Step { return &task.job.Steps[task.step] }
 
-// occupies reports whether a run of the task may be at work.
-func (task *task) occupies() bool {
+// mayBeRunning reports whether a run of the task may be active.
+func (task *task) mayBeRunning() bool {
 	switch task.state {
 	case starting, running, stopping, uncertain:
 		return true
@@ -74,23 +74,23 @@
 	task.avoided[target.ID] = true
 }
 
-// job is an own job that has no answer yet.
+// job is a job of this instance that has no outcome yet.
 type job struct {
 	Job
 	tasks []*task
-	// open counts the tasks of each step that are not done.
-	open []int
-	// started means that a target has taken a start, or may have taken one.
-	started bool
-	load    Load
-	// giveUp is when the job is refused if no task has started.
-	giveUp time.Time
+	// unfinished counts the tasks of each step that are not done.
+	unfinished []int
+	// mayHaveStarted means that a target accepted a start, or may have.
+	mayHaveStarted bool
+	load           Load
+	// startDeadline is when the job is refused if no task has started.
+	startDeadline time.Time
 }
 
 func newJob(info Job) *job {
-	job := &job{Job: info, open: make([]int, len(info.Steps))}
+	job := &job{Job: info, unfinished: make([]int, len(info.Steps))}
 	for number, step := range info.Steps {
-		job.open[number] = len(step.Tasks)
+		job.unfinished[number] = len(step.Tasks)
 		state := blocked
 		if len(step.DependsOn) == 0 {
 			state = waiting
@@ -102,26 +102,27 @@
 	return job
 }
 
-// untouched reports whether certainly no task of the job has run or is about to.
-func (job *job) untouched() bool {
-	if job.started {
+// neverStarted reports whether it is certain that no task of the job has run or is about to run.
+func (job *job) neverStarted() bool {
+	if job.mayHaveStarted {
 		return false
 	}
 	for _, task := range job.tasks {
-		if task.occupies() {
+		if task.mayBeRunning() {
 			return false
 		}
 	}
 	return true
 }
 
-// chain returns the declared run time of the longest chain of steps that are not done.
-func (job *job) chain() time.Duration {
-	return longestChain(job.Steps, func(step int) bool { return job.open[step] > 0 })
+// remainingCriticalPath returns the total estimate along the longest chain of dependent steps that are not done.
+func (job *job) remainingCriticalPath() time.Duration {
+	return criticalPath(job.Steps, func(step int) bool { return job.unfinished[step] > 0 })
 }
 
-// longestChain returns the declared run time of the longest chain of the steps that count.
-func longestChain(steps []Step, counts func(step int) bool) time.Duration {
+// criticalPath returns the total estimate along the longest chain of dependent steps, including only steps for which
+// counts returns true.
+func criticalPath(steps []Step, counts func(step int) bool) time.Duration {
 	ends := make([]time.Duration, len(steps))
 	longest := time.Duration(0)
 	for number := range steps {
@@ -136,10 +137,10 @@
 	return longest
 }
 
-// ready reports whether all steps that the step waits for are done.
-func (job *job) ready(step int) bool {
+// stepReady reports whether all steps that the step depends on are done.
+func (job *job) stepReady(step int) bool {
 	for _, earlier := range job.Steps[step].DependsOn {
-		if job.open[earlier] > 0 {
+		if job.unfinished[earlier] > 0 {
 			return false
 		}
 	}
@@ -147,15 +148,15 @@
 }
 
 func (job *job) finished() bool {
-	for _, open := range job.open {
-		if open > 0 {
+	for _, unfinished := range job.unfinished {
+		if unfinished > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// jobOf returns the ID of the job that a task belongs to: the name of a task begins with it and a dot.
+// jobOf returns the ID of a task's job: task names start with the job ID and a dot.
 func jobOf(taskName string) string {
 	id, _, _ := strings.Cut(taskName, ".")
 	return id
--- a/scheduler/tick.go
+++ b/scheduler/tick.go
@@ -9,21 +9,24 @@
 	"github.com/hyssoplift/hyssoplift/dispatcher"
 )
 
-// Tick handles what is due by time: jobs out of time, runs that stand still, and tasks that may start again.
+// Tick handles expired deadlines, lost runs and stragglers, and tasks that may start again.
 func (scheduler *Scheduler) Tick(now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(scheduler.jobs)) {
-		scheduler.tickJob(scheduler.jobs[id], now)
+		scheduler.checkJob(scheduler.jobs[id], now)
 	}
 	scheduler.place(now)
 }
 
-// NotePause notes that the instance itself stood still before now: news of renewed leases may wait to be read.
-func (scheduler *Scheduler) NotePause(now time.Time) { scheduler.awake = now.Add(awakeTime) }
+// NotePause records that this instance was paused until now; messages about renewed leases may still be unread.
+func (scheduler *Scheduler) NotePause(now time.Time) {
+	scheduler.lossDetectionFrom = now.Add(pauseGrace)
+}
 
-// awakeTime is how long after a pause no run is taken to be lost.
-const awakeTime = 300 * time.Millisecond
+// pauseGrace is how long after a pause no run is considered lost.
+const pauseGrace = 300 * time.Millisecond
 
-// SetDomainSuspended keeps work back from the targets of a failure domain of which nothing is heard, or allows it again.
+// SetDomainSuspended blocks or allows new work on the targets of a failure domain; a domain is suspended while all of
+// its instances are unresponsive.
 func (scheduler *Scheduler) SetDomainSuspended(domain string, suspended bool) {
 	if suspended {
 		scheduler.suspended[domain] = true
@@ -37,60 +40,60 @@
 	}
 }
 
-// NoteRenewal notes that an order that renews the lease of a target is about to be sent.
+// NoteRenewal records that a request that renews a target's lease is about to be sent.
 func (scheduler *Scheduler) NoteRenewal(targetID string, now time.Time) {
 	if target, ok := scheduler.targets[targetID]; ok {
 		target.extendLease(now)
 	}
 }
 
-// ExpireOffers offers room anew that the instance whose turn it was did not claim; it is due as often as a turn takes.
+// ExpireOffers offers capacity again that was not claimed within offerTimeout; call it at about that interval.
 func (scheduler *Scheduler) ExpireOffers(now time.Time) {
 	if len(scheduler.offered) > 0 {
-		scheduler.nextTurns(now)
+		scheduler.repeatExpiredOffers(now)
 		scheduler.place(now)
 	}
 }
 
-// Sweep drops what is out of date; it is due some times a second.
+// Sweep removes stale claims, completed jobs and recorded ends; call it a few times a second.
 func (scheduler *Scheduler) Sweep(now time.Time) {
 	for _, target := range scheduler.targets {
-		scheduler.dropGhosts(target, now)
+		scheduler.dropStaleAllocations(target, now)
 	}
-	for id, at := range scheduler.answered {
-		if now.Sub(at) >= answersKept {
-			delete(scheduler.answered, id)
+	for id, at := range scheduler.completedAt {
+		if now.Sub(at) >= completedRetention {
+			delete(scheduler.completedAt, id)
 		}
 	}
-	for run, past := range scheduler.ended {
-		if now.Sub(past.at) >= endsKept {
-			delete(scheduler.ended, run)
+	for run, recorded := range scheduler.foreignEnds {
+		if now.Sub(recorded.at) >= endRetention {
+			delete(scheduler.foreignEnds, run)
 		}
 	}
 }
 
-func (scheduler *Scheduler) tickJob(job *job, now time.Time) {
+func (scheduler *Scheduler) checkJob(job *job, now time.Time) {
 	if !now.Before(job.Deadline) {
-		scheduler.giveUp(job, dispatcher.ReasonDeadline, "the deadline has passed", now)
+		scheduler.abort(job, dispatcher.ReasonDeadline, "the deadline has passed", now)
 		return
 	}
 	if scheduler.refuseOverdue(job, now) {
 		return
 	}
-	rate := scheduler.release(job.Service, now)
+	rate := scheduler.releaseRateOf(job.Service, now)
 	for _, task := range job.tasks {
 		switch task.state {
 		case waiting, uncertain:
-			least := time.Duration(float64(task.spec().Estimate) / rate.best)
-			if now.Add(least).After(job.Deadline) {
-				scheduler.giveUp(job, dispatcher.ReasonDeadline, "too little time is left for a task", now)
+			minRunTime := time.Duration(float64(task.spec().Estimate) / rate.bestSpeed)
+			if now.Add(minRunTime).After(job.Deadline) {
+				scheduler.abort(job, dispatcher.ReasonDeadline, "too little time is left to run a task", now)
 				return
 			}
-			if task.state == uncertain && !now.Before(task.notBefore) && !now.Before(task.on.leaseEnd) && !now.Before(scheduler.awake) {
-				scheduler.restart(task, now)
+			if task.state == uncertain && !now.Before(task.notBefore) && !now.Before(task.runTarget.leaseEnd) && !now.Before(scheduler.lossDetectionFrom) {
+				scheduler.requeueLost(task, now)
 			}
 		case running:
-			scheduler.tickRun(task, now)
+			scheduler.checkRun(task, now)
 		case blocked, starting, stopping, done:
 		}
 		if _, active := scheduler.jobs[job.ID]; !active {
@@ -99,135 +102,138 @@
 	}
 }
 
-// tickRun starts a task anew whose run is lost, or stands still while another target could still be in time.
-func (scheduler *Scheduler) tickRun(task *task, now time.Time) {
-	missing := !task.missing.IsZero() && now.Sub(task.missing) >= missingTime
-	// Nobody has renewed the lease that this instance knows of, so that the run has been ended by its target.
-	lapsed := !now.Before(task.on.leaseEnd) && !now.Before(scheduler.awake)
+// checkRun queues a task again whose run is lost, and stops a straggler if another target could still meet the
+// deadline.
+func (scheduler *Scheduler) checkRun(task *task, now time.Time) {
+	missing := !task.missingSince.IsZero() && now.Sub(task.missingSince) >= missingTimeout
+	// As far as this instance knows, the lease was not renewed, so the target has ended the run.
+	lapsed := !now.Before(task.runTarget.leaseEnd) && !now.Before(scheduler.lossDetectionFrom)
 	if missing || lapsed {
-		scheduler.vacate(task.on, task.run())
+		scheduler.releaseRun(task.runTarget, task.run())
 		task.notBefore = time.Time{}
-		scheduler.restart(task, now)
+		scheduler.requeueLost(task, now)
 		return
 	}
 	overdue := time.Duration(float64(task.predicted)*stragglerFactor) + stragglerSlack
-	if now.Sub(task.started) < overdue || task.restarts > 0 {
+	if now.Sub(task.startedAt) < overdue || task.restarts > 0 {
 		return
 	}
-	if task.on.looked.Before(task.started.Add(task.predicted)) {
-		// The run may have ended without anybody having seen it.
+	if task.runTarget.lastPolled.Before(task.startedAt.Add(task.predicted)) {
+		// The run may have ended without any instance having seen it yet.
 		return
 	}
-	task.avoid(task.on)
+	task.avoid(task.runTarget)
 	candidates := scheduler.candidatesFor(task.spec().Resources, now)
-	if best := scheduler.choose(task, candidates, now); best != nil {
-		least := MaxStopDuration + startOverhead + best.predict(task.spec().Estimate)
-		if now.Add(least).Before(task.job.Deadline) {
+	if best := scheduler.chooseTarget(task, candidates, now); best != nil {
+		minTime := MaxStopDuration + startOverhead + best.predict(task.spec().Estimate)
+		if now.Add(minTime).Before(task.job.Deadline) {
 			task.state = stopping
-			task.on.exclude(now)
-			// The run is at least this slow; a target that is six times as slow ends few runs to learn from.
-			task.on.speed.add(float64(task.spec().Estimate)/float64(now.Sub(task.started)), stragglerWeight)
-			scheduler.act(StopRun{On: task.on.Target, Run: task.run(), Reason: "run stands still"})
+			task.runTarget.exclude(now)
+			// The run takes at least this long. A target that is six times too slow ends too few runs to learn its
+			// speed from them alone.
+			task.runTarget.speed.add(float64(task.spec().Estimate)/float64(now.Sub(task.startedAt)), stragglerWeight)
+			scheduler.emit(StopRun{On: task.runTarget.Target, Run: task.run(), Reason: "run is a straggler"})
 		}
 	}
 }
 
-// dropGhosts forgets the runs of which neither the target nor an instance tells any more.
-func (scheduler *Scheduler) dropGhosts(target *target, now time.Time) {
-	for run, occupant := range target.occupants {
-		if occupant.owner == scheduler.self {
+// dropStaleAllocations drops the runs that neither the target nor their owner has mentioned for claimTTL.
+func (scheduler *Scheduler) dropStaleAllocations(target *target, now time.Time) {
+	for run, allocation := range target.allocations {
+		if allocation.owner == scheduler.self {
 			if task := scheduler.tasks[run.Task]; task != nil && task.latest(target.ID, run) {
 				continue
 			}
 		}
-		latest := occupant.claimed
-		for _, at := range []time.Time{occupant.confirmed, occupant.repeated} {
+		latest := allocation.claimedAt
+		for _, at := range []time.Time{allocation.confirmedAt, allocation.repeatedAt} {
 			if at.After(latest) {
 				latest = at
 			}
 		}
-		if now.Sub(latest) > claimTime {
-			scheduler.vacate(target, run)
+		if now.Sub(latest) > claimTTL {
+			scheduler.releaseRun(target, run)
 		}
 	}
 }
 
-// StopOrphans asks to stop the runs on a target whose owner is not alive, or is not known for a while; alive reports
-// whether an instance is heard of. Only the reader of the target calls it.
+// StopOrphans stops the runs on a target whose owner is not alive, or has been unknown for orphanGrace. Only the reader
+// of the target calls it.
 func (scheduler *Scheduler) StopOrphans(targetID string, alive func(owner string) bool, now time.Time) {
 	target, ok := scheduler.targets[targetID]
 	if !ok {
 		return
 	}
-	for _, run := range sortedRuns(target.occupants) {
-		occupant := target.occupants[run]
+	for _, run := range sortedRuns(target.allocations) {
+		allocation := target.allocations[run]
 		switch {
-		case occupant.confirmed.IsZero() || now.Sub(occupant.stopAsked) < orphanTime:
+		case allocation.confirmedAt.IsZero() || now.Sub(allocation.stopRequestedAt) < orphanGrace:
 			continue
-		case occupant.owner == scheduler.self:
+		case allocation.owner == scheduler.self:
 			task, ok := scheduler.tasks[run.Task]
-			if ok && task.latest(targetID, run) || now.Sub(occupant.claimed) < orphanTime {
+			if ok && task.latest(targetID, run) || now.Sub(allocation.claimedAt) < orphanGrace {
 				continue
 			}
-		case occupant.owner == "":
-			if now.Sub(occupant.claimed) < orphanTime {
+		case allocation.owner == "":
+			if now.Sub(allocation.claimedAt) < orphanGrace {
 				continue
 			}
-		case alive(occupant.owner):
+		case alive(allocation.owner):
 			continue
 		}
-		occupant.stopAsked = now
-		scheduler.act(StopRun{On: target.Target, Run: run, Reason: "its instance is gone"})
+		allocation.stopRequestedAt = now
+		scheduler.emit(StopRun{On: target.Target, Run: run, Reason: "its instance is lost or abandoned it"})
 	}
 }
 
-// sortedRuns returns the runs in one order, so that the same events lead to the same actions.
-func sortedRuns(occupants map[Run]*occupant) []Run {
-	return slices.SortedFunc(maps.Keys(occupants), func(a, b Run) int {
+// sortedRuns returns the runs in a fixed order, so that the same events lead to the same actions.
+func sortedRuns(allocations map[Run]*allocation) []Run {
+	return slices.SortedFunc(maps.Keys(allocations), func(a, b Run) int {
 		return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
 	})
 }
 
-// orphanTime is how long a run without a known owner is left alone: a live owner repeats its claim within it, and the
-// caller of a dead one sends its job again only later.
-const orphanTime = 2*ClaimRepeatInterval + 100*time.Millisecond
+// orphanGrace is how long a run without a known owner is left alone. A live owner repeats its claim within this time,
+// and the caller of a lost one sends its job again only later.
+const orphanGrace = 2*ClaimRepeatInterval + 100*time.Millisecond
 
-// TargetState describes what there is to look after on a target.
+// TargetState tells what the poller of a target needs to know.
 type TargetState struct {
-	// Occupied tells whether any run is believed to be there, and Own whether an own one is.
+	// Occupied reports whether any run is believed to be on the target, and HasOwnRuns whether one of this instance is.
 	Occupied   bool
 	HasOwnRuns bool
-	// Unreachable tells that the target did not answer this instance lately, and Lost that it did not answer its reader.
+	// Unreachable means that the target did not answer this instance, and UnreachableByReader that it did not answer
+	// its reader.
 	Unreachable         bool
 	UnreachableByReader bool
-	// LastHeard is when the target was last heard of.
+	// LastHeard is when the target last showed a sign of life.
 	LastHeard time.Time
 }
 
-// TargetState returns what there is to look after on the target.
+// TargetState returns the state of the target for its poller.
 func (scheduler *Scheduler) TargetState(targetID string) TargetState {
 	target, ok := scheduler.targets[targetID]
 	if !ok {
 		return TargetState{}
 	}
-	state := TargetState{Occupied: len(target.occupants) > 0, Unreachable: target.unreachable, UnreachableByReader: target.lost, LastHeard: target.news}
-	for _, occupant := range target.occupants {
-		state.HasOwnRuns = state.HasOwnRuns || occupant.owner == scheduler.self
+	state := TargetState{Occupied: len(target.allocations) > 0, Unreachable: target.unreachable, UnreachableByReader: target.unreachableByReader, LastHeard: target.lastHeard}
+	for _, allocation := range target.allocations {
+		state.HasOwnRuns = state.HasOwnRuns || allocation.owner == scheduler.self
 	}
 	return state
 }
 
-// Owner returns the incarnation of the instance that started the run, empty if it is not known.
+// Owner returns the incarnation of the instance that started the run, or an empty string if unknown.
 func (scheduler *Scheduler) Owner(targetID string, run Run) string {
 	if target, ok := scheduler.targets[targetID]; ok {
-		if occupant, ok := target.occupants[run]; ok {
-			return occupant.owner
+		if allocation, ok := target.allocations[run]; ok {
+			return allocation.owner
 		}
 	}
 	return ""
 }
 
-// Target returns what is known of a target.
+// Target returns the description of a known target.
 func (scheduler *Scheduler) Target(targetID string) (Target, bool) {
 	target, ok := scheduler.targets[targetID]
 	if !ok {
