--- a/configurer/table.go
+++ b/configurer/table.go
@@ -39,8 +39,8 @@
 // Default returns the value used when none is given.
 func (setting Setting) Default() string { return setting.fallback }
 
-// Text returns a sentence that explains the setting.
-func (setting Setting) Text() string { return setting.text }
+// Description returns a sentence that explains the setting.
+func (setting Setting) Description() string { return setting.text }
 
 // Table returns all settings of an entry instance.
 func Table() []Setting {
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -29,14 +29,14 @@
 	Read(ctx context.Context, topic string, from int64, wait time.Duration) ([]Record, int64, error)
 }
 
-// Pace is how a topic is read.
-type Pace struct {
-	// Wait is how long the store may hold a read until there is a record.
-	Wait time.Duration
-	// Gap is the pause between two reads.
-	Gap time.Duration
-	// Slack bounds a read beyond Wait; a silent connection is noticed after both.
-	Slack time.Duration
+// PollOptions is how a topic is read.
+type PollOptions struct {
+	// MaxWait is how long the store may hold a read until there is a record.
+	MaxWait time.Duration
+	// Interval is the pause between two reads.
+	Interval time.Duration
+	// TimeoutMargin bounds a read beyond Wait; a silent connection is noticed after both.
+	TimeoutMargin time.Duration
 }
 
 // firstRetry and lastRetry bound the doubling pause after a failed read.
@@ -47,22 +47,22 @@
 
 // Update is what is new in a topic.
 type Update struct {
-	// Complete means that Records holds all keys, so that others are gone.
-	Complete bool
+	// Snapshot means that Records holds all keys, so that others are gone.
+	Snapshot bool
 	Records  []Record
 }
 
 // Follow passes the updates of a topic on until ctx is done: a complete one first, and after each loss of history.
-func Follow(ctx context.Context, source Source, topic string, pace Pace, logger hclog.Logger, update func(Update)) {
+func Follow(ctx context.Context, source Source, topic string, options PollOptions, logger hclog.Logger, update func(Update)) {
 	next, complete, failures := int64(0), false, 0
 	var lost time.Time
 	for ctx.Err() == nil {
 		var err error
 		if !complete {
-			next, err = readAll(ctx, source, topic, pace, update)
+			next, err = readAll(ctx, source, topic, options, update)
 			complete = err == nil
 		} else {
-			next, err = readOn(ctx, source, topic, next, pace, update)
+			next, err = readOn(ctx, source, topic, next, options, update)
 			if errors.Is(err, ErrTrimmed) {
 				logger.Info("history of the topic was dropped, reading its newest records", "topic", topic)
 				complete = false
@@ -74,7 +74,7 @@
 				logger.Info("topic is read again", "topic", topic, "failures", failures, "after-ms", time.Since(lost).Milliseconds())
 			}
 			failures = 0
-			sleeper.For(ctx, pace.Gap)
+			sleeper.For(ctx, options.Interval)
 			continue
 		}
 		if failures == 0 && ctx.Err() == nil {
@@ -87,21 +87,21 @@
 	}
 }
 
-func readAll(ctx context.Context, source Source, topic string, pace Pace, update func(Update)) (int64, error) {
-	ctx, cancel := context.WithTimeout(ctx, pace.Wait+pace.Slack)
+func readAll(ctx context.Context, source Source, topic string, options PollOptions, update func(Update)) (int64, error) {
+	ctx, cancel := context.WithTimeout(ctx, options.MaxWait+options.TimeoutMargin)
 	defer cancel()
 	records, next, err := source.Newest(ctx, topic)
 	if err == nil {
-		update(Update{Complete: true, Records: records})
+		update(Update{Snapshot: true, Records: records})
 	}
 	return next, err
 }
 
 // readOn returns the offset to read from next, which is from after an error.
-func readOn(ctx context.Context, source Source, topic string, from int64, pace Pace, update func(Update)) (int64, error) {
-	ctx, cancel := context.WithTimeout(ctx, pace.Wait+pace.Slack)
+func readOn(ctx context.Context, source Source, topic string, from int64, options PollOptions, update func(Update)) (int64, error) {
+	ctx, cancel := context.WithTimeout(ctx, options.MaxWait+options.TimeoutMargin)
 	defer cancel()
-	records, next, err := source.Read(ctx, topic, from, pace.Wait)
+	records, next, err := source.Read(ctx, topic, from, options.MaxWait)
 	if err != nil {
 		return from, err
 	}
--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -70,11 +70,11 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		var updates []string
 		done := make(chan struct{})
-		pace := Pace{Wait: time.Second, Gap: 100 * time.Millisecond, Slack: time.Second}
+		options := PollOptions{MaxWait: time.Second, Interval: 100 * time.Millisecond, TimeoutMargin: time.Second}
 		go func() {
 			defer close(done)
-			Follow(ctx, script, "topic", pace, hclog.NewNullLogger(), func(update Update) {
-				text := fmt.Sprint(update.Complete)
+			Follow(ctx, script, "topic", options, hclog.NewNullLogger(), func(update Update) {
+				text := fmt.Sprint(update.Snapshot)
 				for _, record := range update.Records {
 					text += " " + record.Key
 				}
--- a/recorder/recorder.go
+++ b/recorder/recorder.go
@@ -15,8 +15,8 @@
 	writeGap = 50 * time.Millisecond
 )
 
-// Recorder is a writer that queues lines and never waits.
-type Recorder struct {
+// AsyncWriter is a writer that queues lines and never waits.
+type AsyncWriter struct {
 	output io.Writer
 	wake   chan struct{}
 	stop   chan struct{}
@@ -29,69 +29,69 @@
 }
 
 // New returns a recorder that writes to output until it is closed.
-func New(output io.Writer) *Recorder {
-	recorder := &Recorder{output: output, wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
+func New(output io.Writer) *AsyncWriter {
+	asyncWriter := &AsyncWriter{output: output, wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
 	go func() {
-		defer close(recorder.done)
+		defer close(asyncWriter.done)
 		for {
 			select {
-			case <-recorder.stop:
-				recorder.flush()
+			case <-asyncWriter.stop:
+				asyncWriter.flush()
 				return
-			case <-recorder.wake:
-				recorder.flush()
+			case <-asyncWriter.wake:
+				asyncWriter.flush()
 			}
 			select {
-			case <-recorder.stop:
+			case <-asyncWriter.stop:
 			case <-time.After(writeGap):
 			}
 		}
 	}()
-	return recorder
+	return asyncWriter
 }
 
 // Write queues a line, or drops and counts it if the queue is full; it never fails.
-func (recorder *Recorder) Write(line []byte) (int, error) {
-	recorder.mu.Lock()
-	if recorder.lines.Len()+len(line) > maxQueuedBytes {
-		recorder.dropped++
-		recorder.total++
+func (asyncWriter *AsyncWriter) Write(line []byte) (int, error) {
+	asyncWriter.mu.Lock()
+	if asyncWriter.lines.Len()+len(line) > maxQueuedBytes {
+		asyncWriter.dropped++
+		asyncWriter.total++
 	} else {
-		recorder.lines.Write(line)
+		asyncWriter.lines.Write(line)
 	}
-	recorder.mu.Unlock()
+	asyncWriter.mu.Unlock()
 	select {
-	case recorder.wake <- struct{}{}:
+	case asyncWriter.wake <- struct{}{}:
 	default:
 	}
 	return len(line), nil
 }
 
 // Dropped returns the number of lines dropped since the start.
-func (recorder *Recorder) Dropped() int64 {
-	recorder.mu.Lock()
-	defer recorder.mu.Unlock()
-	return recorder.total
+func (asyncWriter *AsyncWriter) Dropped() int64 {
+	asyncWriter.mu.Lock()
+	defer asyncWriter.mu.Unlock()
+	return asyncWriter.total
 }
 
 // Close writes what is queued and ends the recorder.
-func (recorder *Recorder) Close() {
-	close(recorder.stop)
-	<-recorder.done
+func (asyncWriter *AsyncWriter) Close() {
+	close(asyncWriter.stop)
+	<-asyncWriter.done
 }
 
-func (recorder *Recorder) flush() {
-	recorder.mu.Lock()
-	lines := bytes.Clone(recorder.lines.Bytes())
-	recorder.lines.Reset()
-	dropped := recorder.dropped
-	recorder.dropped = 0
-	recorder.mu.Unlock()
+func (asyncWriter *AsyncWriter) flush() {
+	asyncWriter.mu.Lock()
+	lines := bytes.Clone(asyncWriter.lines.Bytes())
+	asyncWriter.lines.Reset()
+	dropped := asyncWriter.dropped
+	asyncWriter.dropped = 0
+	asyncWriter.mu.Unlock()
 	if dropped > 0 {
 		lines = fmt.Appendf(lines, "{\"@level\":\"warn\",\"@message\":\"log lines dropped\",\"lines\":%d}\n", dropped)
 	}
 	if len(lines) > 0 {
 		// Standard output that cannot be written leaves nowhere to tell of it.
-		_, _ = recorder.output.Write(lines)
+		_, _ = asyncWriter.output.Write(lines)
 	}
 }
--- a/recorder/recorder_test.go
+++ b/recorder/recorder_test.go
@@ -30,10 +30,10 @@
 func TestFullQueueDropsAndTells(t *testing.T) {
 	is := is.New(t)
 	output := &blockedWriter{entered: make(chan struct{}), released: make(chan struct{})}
-	recorder := New(output)
+	asyncWriter := New(output)
 	line := append(bytes.Repeat([]byte("x"), 1023), '\n')
 	write := func() {
-		count, err := recorder.Write(line)
+		count, err := asyncWriter.Write(line)
 		is.NoErr(err)
 		is.Equal(count, len(line))
 	}
@@ -42,9 +42,9 @@
 	for range maxQueuedBytes/len(line) + 5 {
 		write()
 	}
-	is.Equal(recorder.Dropped(), int64(5))
+	is.Equal(asyncWriter.Dropped(), int64(5))
 	close(output.released)
-	recorder.Close()
+	asyncWriter.Close()
 	is.True(strings.HasSuffix(output.text.String(), "{\"@level\":\"warn\",\"@message\":\"log lines dropped\",\"lines\":5}\n"))
 	is.Equal(strings.Count(output.text.String(), "x\n"), maxQueuedBytes/len(line)+1)
 }
--- a/supervisor/registry.go
+++ b/supervisor/registry.go
@@ -30,7 +30,7 @@
 // update takes records of targets and reports whether any target changed; heartbeats change nothing.
 func (registry *targetRegistry) update(update follower.Update) bool {
 	changed := false
-	if update.Complete {
+	if update.Snapshot {
 		listed := make(map[string]bool, len(update.Records))
 		for _, record := range update.Records {
 			listed[record.Key] = true
@@ -45,7 +45,7 @@
 	for _, record := range update.Records {
 		changed = registry.apply(record) || changed
 	}
-	return changed || update.Complete
+	return changed || update.Snapshot
 }
 
 func (registry *targetRegistry) apply(record follower.Record) bool {
@@ -102,7 +102,7 @@
 
 // update takes records of instances and returns all known ones.
 func (registry *peerRegistry) update(update follower.Update) []linker.Peer {
-	if update.Complete {
+	if update.Snapshot {
 		clear(registry.peers)
 	}
 	for _, record := range update.Records {
--- a/supervisor/supervisor.go
+++ b/supervisor/supervisor.go
@@ -40,11 +40,11 @@
 
 var (
 	// configurationPace notices a silent connection in time for a version to be in force 2 s after its acknowledgement.
-	configurationPace = follower.Pace{Wait: 700 * time.Millisecond, Gap: 10 * time.Millisecond, Slack: 700 * time.Millisecond}
+	configurationPace = follower.PollOptions{MaxWait: 700 * time.Millisecond, Interval: 10 * time.Millisecond, TimeoutMargin: 700 * time.Millisecond}
 	// targetPace reads the many heartbeats of the targets in batches; a leaving target is known well within 2 s.
-	targetPace = follower.Pace{Gap: 500 * time.Millisecond, Slack: 800 * time.Millisecond}
+	targetPace = follower.PollOptions{Interval: 500 * time.Millisecond, TimeoutMargin: 800 * time.Millisecond}
 	// instancePace reads the few records of instances; after the loss of all they must find each other soon.
-	instancePace = follower.Pace{Wait: 3 * time.Second, Gap: 50 * time.Millisecond, Slack: 800 * time.Millisecond}
+	instancePace = follower.PollOptions{MaxWait: 3 * time.Second, Interval: 50 * time.Millisecond, TimeoutMargin: 800 * time.Millisecond}
 )
 
 // Supervisor runs the parts of one instance.
@@ -54,11 +54,11 @@
 	settings   platform.Settings
 	rejected   platform.Settings
 	unreadable bool
-	lines      *recorder.Recorder
+	lines      *recorder.AsyncWriter
 	logger     hclog.Logger
 	store      *platform.Store
 	executor   *executor.Executor
-	entry      *platform.Entry
+	entry      *platform.API
 	links      *linker.Linker
 	targets    *targetRegistry
 	peers      *peerRegistry
@@ -74,7 +74,7 @@
 
 // Run runs an instance until ctx is done and then stops it within the platform's grace time; reload tells that the
 // settings file may have changed, and lines carries the log.
-func Run(ctx context.Context, settingsPath string, reload <-chan os.Signal, lines *recorder.Recorder, logger hclog.Logger) error {
+func Run(ctx context.Context, settingsPath string, reload <-chan os.Signal, lines *recorder.AsyncWriter, logger hclog.Logger) error {
 	settings, err := platform.ReadSettings(settingsPath)
 	if err != nil {
 		return err
@@ -102,10 +102,10 @@
 	}
 }
 
-func start(settings platform.Settings, lines *recorder.Recorder, logger hclog.Logger) (*Supervisor, error) {
+func start(settings platform.Settings, lines *recorder.AsyncWriter, logger hclog.Logger) (*Supervisor, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	hello := linker.Hello{Domain: settings.Domain, Name: settings.Name, Incarnation: uuid.NewString(), Address: settings.PeerAddress, Weight: settings.ProcessorShare}
-	running := executor.New(hello, platform.NewOrders(clocker.Now), clocker.Now, logger)
+	running := executor.New(hello, platform.NewTargetClient(clocker.Now), clocker.Now, logger)
 	limits := linker.DefaultLimits()
 	limits.RemoteLinks, limits.IdleLimit, limits.SilenceLimit = remoteLinks, 0, linkSilence
 	links := linker.New(hello, limits, logger, running.Peers().Receive)
@@ -116,7 +116,7 @@
 		logger:   logger,
 		store:    platform.NewStore(settings.StoreAddress),
 		executor: running,
-		entry:    platform.NewEntry(running, clocker.Now, logger),
+		entry:    platform.NewAPI(running, clocker.Now, logger),
 		links:    links,
 		targets:  newTargetRegistry(logger),
 		peers:    newPeerRegistry(hello),
@@ -223,8 +223,8 @@
 		}
 	}
 	if newest != current {
-		supervisor.entry.Use(newest)
-		supervisor.logger.Info("configuration in force", "version", newest.Version, "routes", newest.Routes())
+		supervisor.entry.Configure(newest)
+		supervisor.logger.Info("configuration in force", "version", newest.Version, "routes", newest.RouteCount())
 	}
 }
 
@@ -243,7 +243,7 @@
 	if err != nil || settings == former || settings == supervisor.rejected {
 		return
 	}
-	supervisor.store.Move(settings.StoreAddress)
+	supervisor.store.SetAddress(settings.StoreAddress)
 	supervisor.settings.StoreAddress, supervisor.settings.GraceMS = settings.StoreAddress, settings.GraceMS
 	if settings != supervisor.settings {
 		supervisor.rejected = settings
@@ -261,7 +261,7 @@
 	supervisor.mu.Lock()
 	supervisor.stopping = true
 	supervisor.mu.Unlock()
-	supervisor.entry.Stop()
+	supervisor.entry.DisableKeepAlives()
 	supervisor.executor.Leave()
 	time.Sleep(notReadyTime)
 	ctx, cancel := context.WithDeadline(context.Background(), end)
