--- a/follower/doc.go
+++ b/follower/doc.go
@@ -1,3 +1,4 @@
-// Package follower keeps up with the newest records of a keyed topic of the
-// platform's store, through outages, lost history and silent connections.
+// Package follower follows a keyed topic of the platform's store: it loads the
+// newest record of each key, polls for updates and recovers from outages, trimmed
+// history and connections that stop responding.
 package follower
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -11,10 +11,10 @@
 	"github.com/hyssoplift/hyssoplift/sleeper"
 )
 
-// ErrTrimmed means that the offset to read from is not in the store any more.
-var ErrTrimmed = eris.New("the offset is not kept any more")
+// ErrTrimmed reports that the store no longer has the offset to read from.
+var ErrTrimmed = eris.New("offset has been trimmed from the topic")
 
-// Record is the newest value of a key; without a value the key is dropped.
+// Record is a value written to a key of a topic. An empty value deletes the key.
 type Record struct {
 	Key    string
 	Value  []byte
@@ -23,71 +23,72 @@
 
 // Source reads keyed topics.
 type Source interface {
-	// Newest returns the newest record of each key, and the offset from which to read on.
+	// Newest returns the newest record of each key, and the offset from which to continue reading.
 	Newest(ctx context.Context, topic string) ([]Record, int64, error)
-	// Read returns the records from an offset on, and the offset after them.
+	// Read returns the records starting at an offset, and the offset that follows them. It waits up to wait for a record.
 	Read(ctx context.Context, topic string, from int64, wait time.Duration) ([]Record, int64, error)
 }
 
-// PollOptions is how a topic is read.
+// PollOptions controls how a topic is polled.
 type PollOptions struct {
-	// MaxWait is how long the store may hold a read until there is a record.
+	// MaxWait is how long the store may hold a read until a record arrives.
 	MaxWait time.Duration
-	// Interval is the pause between two reads.
+	// Interval is the delay between two reads.
 	Interval time.Duration
-	// TimeoutMargin bounds a read beyond Wait; a silent connection is noticed after both.
+	// TimeoutMargin is added to MaxWait to form the timeout of a read, which detects connections that stop responding.
 	TimeoutMargin time.Duration
 }
 
-// firstRetry and lastRetry bound the doubling pause after a failed read.
+// minRetryDelay and maxRetryDelay bound the delay after a failed read, which doubles with each failure in a row.
 const (
-	firstRetry = 100 * time.Millisecond
-	lastRetry  = 500 * time.Millisecond
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
 )
 
-// Update is what is new in a topic.
+// Update holds new records of a topic.
 type Update struct {
-	// Snapshot means that Records holds all keys, so that others are gone.
+	// Snapshot means that Records holds every key of the topic; keys that are not in it no longer exist.
 	Snapshot bool
 	Records  []Record
 }
 
-// Follow passes the updates of a topic on until ctx is done: a complete one first, and after each loss of history.
+// Follow calls update with the records of a topic until ctx is done. The first update, and the one after each trim of
+// unread records, is a snapshot.
 func Follow(ctx context.Context, source Source, topic string, options PollOptions, logger hclog.Logger, update func(Update)) {
-	next, complete, failures := int64(0), false, 0
-	var lost time.Time
+	next, synced, failures := int64(0), false, 0
+	var failingSince time.Time
 	for ctx.Err() == nil {
 		var err error
-		if !complete {
-			next, err = readAll(ctx, source, topic, options, update)
-			complete = err == nil
+		if !synced {
+			next, err = readSnapshot(ctx, source, topic, options, update)
+			synced = err == nil
 		} else {
-			next, err = readOn(ctx, source, topic, next, options, update)
+			next, err = readUpdates(ctx, source, topic, next, options, update)
 			if errors.Is(err, ErrTrimmed) {
-				logger.Info("history of the topic was dropped, reading its newest records", "topic", topic)
-				complete = false
+				logger.Info("topic was trimmed, reloading its newest records", "topic", topic)
+				synced = false
 				continue
 			}
 		}
 		if err == nil {
 			if failures > 0 {
-				logger.Info("topic is read again", "topic", topic, "failures", failures, "after-ms", time.Since(lost).Milliseconds())
+				logger.Info("topic read recovered", "topic", topic, "failures", failures, "after-ms", time.Since(failingSince).Milliseconds())
 			}
 			failures = 0
 			sleeper.For(ctx, options.Interval)
 			continue
 		}
 		if failures == 0 && ctx.Err() == nil {
-			lost = time.Now()
-			logger.Warn("topic cannot be read", "topic", topic, "offset", next, "error", eris.ToString(err, false))
+			failingSince = time.Now()
+			logger.Warn("cannot read topic", "topic", topic, "offset", next, "error", eris.ToString(err, false))
 		}
-		pause := min(firstRetry<<min(failures, 8), lastRetry)
+		delay := min(minRetryDelay<<min(failures, 8), maxRetryDelay)
 		failures++
-		sleeper.For(ctx, sleeper.Jitter(pause))
+		sleeper.For(ctx, sleeper.Jitter(delay))
 	}
 }
 
-func readAll(ctx context.Context, source Source, topic string, options PollOptions, update func(Update)) (int64, error) {
+func readSnapshot(ctx context.Context, source Source, topic string, options PollOptions, update func(Update)) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, options.MaxWait+options.TimeoutMargin)
 	defer cancel()
 	records, next, err := source.Newest(ctx, topic)
@@ -97,8 +98,9 @@
 	return next, err
 }
 
-// readOn returns the offset to read from next, which is from after an error.
-func readOn(ctx context.Context, source Source, topic string, from int64, options PollOptions, update func(Update)) (int64, error) {
+// readUpdates reads the records that follow offset from. It returns the offset of the next read; after an error, that is
+// from.
+func readUpdates(ctx context.Context, source Source, topic string, from int64, options PollOptions, update func(Update)) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, options.MaxWait+options.TimeoutMargin)
 	defer cancel()
 	records, next, err := source.Read(ctx, topic, from, options.MaxWait)
--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -12,32 +12,32 @@
 	"github.com/rotisserie/eris"
 )
 
-// script is a source whose answers are given in advance.
-type script struct {
-	answers []func(ctx context.Context) ([]Record, int64, error)
-	calls   []string
+// scriptedSource is a Source that returns prepared responses in order and records the calls.
+type scriptedSource struct {
+	responses []func(ctx context.Context) ([]Record, int64, error)
+	calls     []string
 }
 
-func (script *script) next(ctx context.Context, call string) ([]Record, int64, error) {
-	script.calls = append(script.calls, call)
-	if len(script.answers) == 0 {
+func (scriptedSource *scriptedSource) next(ctx context.Context, call string) ([]Record, int64, error) {
+	scriptedSource.calls = append(scriptedSource.calls, call)
+	if len(scriptedSource.responses) == 0 {
 		<-ctx.Done()
 		return nil, 0, ctx.Err()
 	}
-	answer := script.answers[0]
-	script.answers = script.answers[1:]
-	return answer(ctx)
+	response := scriptedSource.responses[0]
+	scriptedSource.responses = scriptedSource.responses[1:]
+	return response(ctx)
 }
 
-func (script *script) Newest(ctx context.Context, _ string) ([]Record, int64, error) {
-	return script.next(ctx, "newest")
+func (scriptedSource *scriptedSource) Newest(ctx context.Context, _ string) ([]Record, int64, error) {
+	return scriptedSource.next(ctx, "newest")
 }
 
-func (script *script) Read(ctx context.Context, _ string, from int64, _ time.Duration) ([]Record, int64, error) {
-	return script.next(ctx, fmt.Sprintf("read %d", from))
+func (scriptedSource *scriptedSource) Read(ctx context.Context, _ string, from int64, _ time.Duration) ([]Record, int64, error) {
+	return scriptedSource.next(ctx, fmt.Sprintf("read %d", from))
 }
 
-func answer(next int64, err error, keys ...string) func(context.Context) ([]Record, int64, error) {
+func response(next int64, err error, keys ...string) func(context.Context) ([]Record, int64, error) {
 	return func(context.Context) ([]Record, int64, error) {
 		var records []Record
 		for _, key := range keys {
@@ -47,25 +47,25 @@
 	}
 }
 
-func silence(ctx context.Context) ([]Record, int64, error) {
+func noResponse(ctx context.Context) ([]Record, int64, error) {
 	<-ctx.Done()
 	return nil, 0, ctx.Err()
 }
 
-// Guards against records that are missed after an outage, a silent connection or lost history.
+// Guards against missed records after a failed read, a connection that stops responding, or a trimmed topic.
 func TestFollowKeepsUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		script := &script{answers: []func(context.Context) ([]Record, int64, error){
-			answer(0, eris.New("store is down")),
-			answer(5, nil, "a", "b"),
-			answer(6, nil, "a"),
-			answer(6, nil),
-			silence,
-			answer(0, eris.New("store answered 503")),
-			answer(8, nil, "b", "c"),
-			answer(0, ErrTrimmed),
-			answer(20, nil, "a"),
+		scriptedSource := &scriptedSource{responses: []func(context.Context) ([]Record, int64, error){
+			response(0, eris.New("store is down")),
+			response(5, nil, "a", "b"),
+			response(6, nil, "a"),
+			response(6, nil),
+			noResponse,
+			response(0, eris.New("store answered 503")),
+			response(8, nil, "b", "c"),
+			response(0, ErrTrimmed),
+			response(20, nil, "a"),
 		}}
 		ctx, cancel := context.WithCancel(t.Context())
 		var updates []string
@@ -73,7 +73,7 @@
 		options := PollOptions{MaxWait: time.Second, Interval: 100 * time.Millisecond, TimeoutMargin: time.Second}
 		go func() {
 			defer close(done)
-			Follow(ctx, script, "topic", options, hclog.NewNullLogger(), func(update Update) {
+			Follow(ctx, scriptedSource, "topic", options, hclog.NewNullLogger(), func(update Update) {
 				text := fmt.Sprint(update.Snapshot)
 				for _, record := range update.Records {
 					text += " " + record.Key
@@ -85,6 +85,6 @@
 		cancel()
 		<-done
 		is.Equal(updates, []string{"true a b", "false a", "false b c", "true a"})
-		is.Equal(script.calls[:10], []string{"newest", "newest", "read 5", "read 6", "read 6", "read 6", "read 6", "read 8", "newest", "read 20"})
+		is.Equal(scriptedSource.calls[:10], []string{"newest", "newest", "read 5", "read 6", "read 6", "read 6", "read 6", "read 8", "newest", "read 20"})
 	})
 }
--- a/supervisor/doc.go
+++ b/supervisor/doc.go
@@ -1,3 +1,4 @@
-// Package supervisor runs an instance on the users' platform: it connects
-// settings, store, targets, peers and callers, and stops them in order.
+// Package supervisor runs an instance on the users' platform: it reads the
+// settings, starts the instance's servers and store followers, and shuts them
+// down in order.
 package supervisor
--- a/supervisor/registry.go
+++ b/supervisor/registry.go
@@ -17,7 +17,7 @@
 	"github.com/hyssoplift/hyssoplift/sleeper"
 )
 
-// targetRegistry holds the entries of the targets; its follower alone uses it.
+// targetRegistry holds the targets listed in the store. Only the goroutine that follows the target topic uses it.
 type targetRegistry struct {
 	logger  hclog.Logger
 	targets map[string]scheduler.Target
@@ -27,16 +27,17 @@
 	return &targetRegistry{logger: logger, targets: make(map[string]scheduler.Target)}
 }
 
-// update takes records of targets and reports whether any target changed; heartbeats change nothing.
+// update applies records of targets and reports whether the list of targets may have changed. A record that only repeats
+// what is known, such as a heartbeat, changes nothing.
 func (registry *targetRegistry) update(update follower.Update) bool {
 	changed := false
 	if update.Snapshot {
-		listed := make(map[string]bool, len(update.Records))
+		present := make(map[string]bool, len(update.Records))
 		for _, record := range update.Records {
-			listed[record.Key] = true
+			present[record.Key] = true
 		}
 		for id := range registry.targets {
-			if !listed[id] {
+			if !present[id] {
 				delete(registry.targets, id)
 				changed = true
 			}
@@ -49,25 +50,25 @@
 }
 
 func (registry *targetRegistry) apply(record follower.Record) bool {
-	known, ok := registry.targets[record.Key]
+	previous, ok := registry.targets[record.Key]
 	if len(record.Value) == 0 {
 		delete(registry.targets, record.Key)
 		return ok
 	}
 	target, err := platform.DecodeTarget(record.Key, record.Value)
 	if err != nil {
-		registry.logger.Debug("entry names no target", "target", record.Key, "error", eris.ToString(err, false))
+		registry.logger.Debug("ignoring invalid target entry", "target", record.Key, "error", eris.ToString(err, false))
 		delete(registry.targets, record.Key)
 		return ok
 	}
 	registry.targets[record.Key] = target
-	if !ok || known.Draining != target.Draining || known.Incarnation != target.Incarnation {
-		registry.logger.Info("target known", "target", target.ID, "domain", target.Domain, "draining", target.Draining, "incarnation", target.Incarnation)
+	if !ok || previous.Draining != target.Draining || previous.Incarnation != target.Incarnation {
+		registry.logger.Info("target updated", "target", target.ID, "domain", target.Domain, "draining", target.Draining, "incarnation", target.Incarnation)
 	}
-	return !ok || !same(known, target)
+	return !ok || !equalTargets(previous, target)
 }
 
-func same(a, b scheduler.Target) bool {
+func equalTargets(a, b scheduler.Target) bool {
 	return a.Service == b.Service && a.Address == b.Address && a.Domain == b.Domain && a.Capacity == b.Capacity &&
 		a.Draining == b.Draining && a.Incarnation == b.Incarnation && slices.Equal(a.Labels, b.Labels)
 }
@@ -77,20 +78,21 @@
 }
 
 const (
-	// registerPause is the pause between attempts to register.
-	registerPause = 300 * time.Millisecond
-	// registerTimeout bounds one attempt.
+	// registerRetryDelay is the delay between attempts to register.
+	registerRetryDelay = 300 * time.Millisecond
+	// registerTimeout bounds one attempt to register or unregister.
 	registerTimeout = 700 * time.Millisecond
 )
 
-// instanceRecord is how an instance tells the others where it is.
+// instanceRecord is what an instance publishes in the store so that other instances can connect to it.
 type instanceRecord struct {
 	Domain      string `json:"domain"`
 	Incarnation string `json:"incarnation"`
 	Address     string `json:"address"`
 }
 
-// peerRegistry holds the records of the other instances; its follower alone uses it.
+// peerRegistry holds the other instances listed in the store and publishes the record of this one. Only the goroutine
+// that follows the instance topic uses the field peers.
 type peerRegistry struct {
 	self  linker.Hello
 	peers map[string]linker.Peer
@@ -100,7 +102,7 @@
 	return &peerRegistry{self: self, peers: make(map[string]linker.Peer)}
 }
 
-// update takes records of instances and returns all known ones.
+// update applies records of instances and returns all other instances.
 func (registry *peerRegistry) update(update follower.Update) []linker.Peer {
 	if update.Snapshot {
 		clear(registry.peers)
@@ -116,7 +118,7 @@
 	return slices.Collect(maps.Values(registry.peers))
 }
 
-// register writes the own record until the store has taken it.
+// register publishes the record of this instance and retries until the store accepts it.
 func (registry *peerRegistry) register(ctx context.Context, store *platform.Store, logger hclog.Logger) {
 	value, err := json.Marshal(instanceRecord{registry.self.Domain, registry.self.Incarnation, registry.self.Address})
 	if err != nil {
@@ -127,16 +129,17 @@
 			logger.Info("instance registered", "address", registry.self.Address, "failures", failures)
 			return
 		} else if failures == 0 {
-			logger.Warn("instance is not registered", "error", eris.ToString(err, false))
+			logger.Warn("cannot register instance, retrying", "error", eris.ToString(err, false))
 		}
-		sleeper.For(ctx, registerPause)
+		sleeper.For(ctx, registerRetryDelay)
 	}
 }
 
-// unregister drops the own record, unless the store is away: links then show that the instance is gone.
+// unregister deletes the record of this instance. If the store is unavailable, the record stays, and the other instances
+// notice from their closed links that this one is gone.
 func (registry *peerRegistry) unregister(store *platform.Store, logger hclog.Logger) {
 	if err := registry.put(context.Background(), store, nil); err != nil {
-		logger.Warn("instance record is not dropped", "error", eris.ToString(err, false))
+		logger.Warn("cannot delete instance record", "error", eris.ToString(err, false))
 	}
 }
 
--- a/supervisor/supervisor.go
+++ b/supervisor/supervisor.go
@@ -23,68 +23,71 @@
 )
 
 const (
-	// notReadyTime is how long callers may still come after a planned stop began: the platform checks each second and
-	// sends no new connections after two misses.
-	notReadyTime = 2300 * time.Millisecond
-	// stopReserve is kept of the platform's grace time for the end of the process.
-	stopReserve = 500 * time.Millisecond
-	// readHeaderTime bounds the wait for the headers of a request.
-	readHeaderTime = 5 * time.Second
-	// settingsPoll is how often the settings file is read for changes that no signal tells of.
-	settingsPoll = 2 * time.Second
-	// remoteLinks bounds the links to instances of other failure domains.
-	remoteLinks = 512
-	// linkSilence is how long the peer of a link may not answer; the news between instances come much more often.
-	linkSilence = 700 * time.Millisecond
+	// notReadyDelay is how long new connections are still accepted after a planned stop has begun: the platform checks
+	// readiness every second and sends no new connections after two failed checks.
+	notReadyDelay = 2300 * time.Millisecond
+	// exitReserve is the part of the platform's grace period that is reserved for the exit of the process.
+	exitReserve = 500 * time.Millisecond
+	// readHeaderTimeout bounds the time to read the headers of a request.
+	readHeaderTimeout = 5 * time.Second
+	// settingsPollInterval is how often the settings file is checked for changes that are not announced by a signal.
+	settingsPollInterval = 2 * time.Second
+	// maxRemoteLinks bounds the number of links to instances of other failure domains.
+	maxRemoteLinks = 512
+	// linkTimeout is how long the peer of a link may be silent. Instances exchange messages far more often.
+	linkTimeout = 700 * time.Millisecond
 )
 
 var (
-	// configurationPace notices a silent connection in time for a version to be in force 2 s after its acknowledgement.
-	configurationPace = follower.PollOptions{MaxWait: 700 * time.Millisecond, Interval: 10 * time.Millisecond, TimeoutMargin: 700 * time.Millisecond}
-	// targetPace reads the many heartbeats of the targets in batches; a leaving target is known well within 2 s.
-	targetPace = follower.PollOptions{Interval: 500 * time.Millisecond, TimeoutMargin: 800 * time.Millisecond}
-	// instancePace reads the few records of instances; after the loss of all they must find each other soon.
-	instancePace = follower.PollOptions{MaxWait: 3 * time.Second, Interval: 50 * time.Millisecond, TimeoutMargin: 800 * time.Millisecond}
+	// configurationPolling detects a connection that stops responding early enough for a new version to be in force 2 s
+	// after the store has acknowledged it.
+	configurationPolling = follower.PollOptions{MaxWait: 700 * time.Millisecond, Interval: 10 * time.Millisecond, TimeoutMargin: 700 * time.Millisecond}
+	// targetPolling reads the frequent heartbeats of the targets in batches and notices a leaving target well within 2 s.
+	targetPolling = follower.PollOptions{Interval: 500 * time.Millisecond, TimeoutMargin: 800 * time.Millisecond}
+	// instancePolling reads the infrequent records of instances. After all instances were lost, they must find each other
+	// quickly.
+	instancePolling = follower.PollOptions{MaxWait: 3 * time.Second, Interval: 50 * time.Millisecond, TimeoutMargin: 800 * time.Millisecond}
 )
 
-// Supervisor runs the parts of one instance.
+// Supervisor owns the components of one instance.
 type Supervisor struct {
-	// settings, rejected and unreadable belong to the goroutine of Run: what is in use, what was read last with changes
-	// that need a start, and whether the file could not be read.
-	settings   platform.Settings
-	rejected   platform.Settings
-	unreadable bool
-	lines      *recorder.AsyncWriter
-	logger     hclog.Logger
-	store      *platform.Store
-	executor   *executor.Executor
-	entry      *platform.API
-	links      *linker.Linker
-	targets    *targetRegistry
-	peers      *peerRegistry
-	ctx        context.Context
-	cancel     context.CancelFunc
-	group      sync.WaitGroup
-	servers    []*http.Server
-	failed     chan error
+	// settings are the settings in use. Only the goroutine of Run accesses them and the next two fields.
+	settings platform.Settings
+	// restartRequired are the settings read last that differ from settings in a way that takes effect only after a restart.
+	restartRequired platform.Settings
+	// settingsUnreadable means that the last attempt to read the settings file failed.
+	settingsUnreadable bool
+	logWriter          *recorder.AsyncWriter
+	logger             hclog.Logger
+	store              *platform.Store
+	executor           *executor.Executor
+	api                *platform.API
+	links              *linker.Linker
+	targets            *targetRegistry
+	peers              *peerRegistry
+	ctx                context.Context
+	cancel             context.CancelFunc
+	group              sync.WaitGroup
+	servers            []*http.Server
+	serveErrors        chan error
 
 	mu       sync.Mutex
 	stopping bool
 }
 
-// Run runs an instance until ctx is done and then stops it within the platform's grace time; reload tells that the
-// settings file may have changed, and lines carries the log.
-func Run(ctx context.Context, settingsPath string, reload <-chan os.Signal, lines *recorder.AsyncWriter, logger hclog.Logger) error {
+// Run runs an instance until ctx is done and then stops it within the platform's grace period. A value on reload makes it
+// read the settings file again. logWriter is the writer behind logger; its dropped lines are exported as a metric.
+func Run(ctx context.Context, settingsPath string, reload <-chan os.Signal, logWriter *recorder.AsyncWriter, logger hclog.Logger) error {
 	settings, err := platform.ReadSettings(settingsPath)
 	if err != nil {
 		return err
 	}
-	supervisor, err := start(settings, lines, logger)
+	supervisor, err := start(settings, logWriter, logger)
 	if err != nil {
 		return err
 	}
 	logger.Info("instance started", "instance", settings.Name, "domain", settings.Domain, "callers", settings.CallerAddress)
-	poll := time.NewTicker(settingsPoll)
+	poll := time.NewTicker(settingsPollInterval)
 	defer poll.Stop()
 	for {
 		select {
@@ -92,7 +95,7 @@
 			supervisor.reload(settingsPath, true)
 		case <-poll.C:
 			supervisor.reload(settingsPath, false)
-		case err := <-supervisor.failed:
+		case err := <-supervisor.serveErrors:
 			supervisor.close()
 			return err
 		case <-ctx.Done():
@@ -102,34 +105,34 @@
 	}
 }
 
-func start(settings platform.Settings, lines *recorder.AsyncWriter, logger hclog.Logger) (*Supervisor, error) {
+func start(settings platform.Settings, logWriter *recorder.AsyncWriter, logger hclog.Logger) (*Supervisor, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	hello := linker.Hello{Domain: settings.Domain, Name: settings.Name, Incarnation: uuid.NewString(), Address: settings.PeerAddress, Weight: settings.ProcessorShare}
-	running := executor.New(hello, platform.NewTargetClient(clocker.Now), clocker.Now, logger)
+	jobExecutor := executor.New(hello, platform.NewTargetClient(clocker.Now), clocker.Now, logger)
 	limits := linker.DefaultLimits()
-	limits.RemoteLinks, limits.IdleLimit, limits.SilenceLimit = remoteLinks, 0, linkSilence
-	links := linker.New(hello, limits, logger, running.Peers().Receive)
-	running.Peers().Use(links)
+	limits.RemoteLinks, limits.IdleLimit, limits.SilenceLimit = maxRemoteLinks, 0, linkTimeout
+	links := linker.New(hello, limits, logger, jobExecutor.Peers().Receive)
+	jobExecutor.Peers().Use(links)
 	supervisor := &Supervisor{
-		settings: settings,
-		lines:    lines,
-		logger:   logger,
-		store:    platform.NewStore(settings.StoreAddress),
-		executor: running,
-		entry:    platform.NewAPI(running, clocker.Now, logger),
-		links:    links,
-		targets:  newTargetRegistry(logger),
-		peers:    newPeerRegistry(hello),
-		ctx:      ctx,
-		cancel:   cancel,
-		failed:   make(chan error, 4),
+		settings:    settings,
+		logWriter:   logWriter,
+		logger:      logger,
+		store:       platform.NewStore(settings.StoreAddress),
+		executor:    jobExecutor,
+		api:         platform.NewAPI(jobExecutor, clocker.Now, logger),
+		links:       links,
+		targets:     newTargetRegistry(logger),
+		peers:       newPeerRegistry(hello),
+		ctx:         ctx,
+		cancel:      cancel,
+		serveErrors: make(chan error, 4),
 	}
 	listeners := []struct {
 		address string
 		handler http.Handler
 	}{
-		{settings.CallerAddress, supervisor.entry},
-		{settings.ReadinessAddress, http.HandlerFunc(supervisor.readiness)},
+		{settings.CallerAddress, supervisor.api},
+		{settings.ReadinessAddress, http.HandlerFunc(supervisor.serveReadiness)},
 		{settings.PeerAddress, supervisor.peerHandler()},
 	}
 	for _, listener := range listeners {
@@ -138,7 +141,7 @@
 			return nil, err
 		}
 	}
-	supervisor.follow()
+	supervisor.followTopics()
 	return supervisor, nil
 }
 
@@ -147,11 +150,11 @@
 	if err != nil {
 		return eris.Wrapf(err, "listening on %s", address)
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTime, ErrorLog: supervisor.logger.StandardLogger(nil)}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, ErrorLog: supervisor.logger.StandardLogger(nil)}
 	supervisor.servers = append(supervisor.servers, server)
 	supervisor.group.Go(func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			supervisor.failed <- eris.Wrapf(err, "serving %s", address)
+			supervisor.serveErrors <- eris.Wrapf(err, "serving %s", address)
 		}
 	})
 	return nil
@@ -168,46 +171,46 @@
 func (supervisor *Supervisor) writeMetrics(writer http.ResponseWriter, _ *http.Request) {
 	supervisor.executor.WriteMetrics(writer)
 	version := int64(0)
-	if configuration := supervisor.entry.Configuration(); configuration != nil {
+	if configuration := supervisor.api.Configuration(); configuration != nil {
 		version = configuration.Version
 	}
 	metrics.WriteGaugeUint64(writer, "hyssoplift_configuration_version", uint64(version))
-	metrics.WriteCounterUint64(writer, "hyssoplift_log_lines_dropped_total", uint64(supervisor.lines.Dropped()))
+	metrics.WriteCounterUint64(writer, "hyssoplift_log_lines_dropped_total", uint64(supervisor.logWriter.Dropped()))
 }
 
-// readiness answers whether new connections of callers are welcome.
-func (supervisor *Supervisor) readiness(writer http.ResponseWriter, _ *http.Request) {
+// serveReadiness answers the readiness checks of the platform: 200 if callers may open new connections, otherwise 503.
+func (supervisor *Supervisor) serveReadiness(writer http.ResponseWriter, _ *http.Request) {
 	supervisor.mu.Lock()
 	ready := !supervisor.stopping
 	supervisor.mu.Unlock()
-	if !ready || supervisor.entry.Configuration() == nil || !supervisor.executor.Ready() {
+	if !ready || supervisor.api.Configuration() == nil || !supervisor.executor.Ready() {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// follow keeps up with the operator, the targets and the other instances.
-func (supervisor *Supervisor) follow() {
+// followTopics starts to follow the configuration, the targets and the other instances, and registers this instance.
+func (supervisor *Supervisor) followTopics() {
 	supervisor.group.Go(func() {
-		follower.Follow(supervisor.ctx, supervisor.store, platform.ConfigurationTopic, configurationPace, supervisor.logger, supervisor.useConfiguration)
+		follower.Follow(supervisor.ctx, supervisor.store, platform.ConfigurationTopic, configurationPolling, supervisor.logger, supervisor.applyConfiguration)
 	})
 	supervisor.group.Go(func() {
-		follower.Follow(supervisor.ctx, supervisor.store, platform.TargetTopic, targetPace, supervisor.logger, func(update follower.Update) {
+		follower.Follow(supervisor.ctx, supervisor.store, platform.TargetTopic, targetPolling, supervisor.logger, func(update follower.Update) {
 			if supervisor.targets.update(update) {
 				supervisor.executor.SetTargets(supervisor.targets.list())
 			}
 		})
 	})
 	supervisor.group.Go(func() {
-		follower.Follow(supervisor.ctx, supervisor.store, platform.InstanceTopic, instancePace, supervisor.logger, func(update follower.Update) {
+		follower.Follow(supervisor.ctx, supervisor.store, platform.InstanceTopic, instancePolling, supervisor.logger, func(update follower.Update) {
 			supervisor.links.SetMembers(supervisor.peers.update(update))
 		})
 	})
 	supervisor.group.Go(func() { supervisor.peers.register(supervisor.ctx, supervisor.store, supervisor.logger) })
 }
 
-// useConfiguration puts the newest configuration in force; an older one is never used after it.
-func (supervisor *Supervisor) useConfiguration(update follower.Update) {
-	newest := supervisor.entry.Configuration()
+// applyConfiguration puts the configuration with the highest version in force. It never goes back to a lower version.
+func (supervisor *Supervisor) applyConfiguration(update follower.Update) {
+	newest := supervisor.api.Configuration()
 	current := newest
 	for _, record := range update.Records {
 		if record.Key != platform.ConfigurationKey || len(record.Value) == 0 {
@@ -215,7 +218,7 @@
 		}
 		configuration, err := platform.DecodeConfiguration(record.Value)
 		if err != nil {
-			supervisor.logger.Error("configuration cannot be read", "offset", record.Offset, "error", eris.ToString(err, false))
+			supervisor.logger.Error("cannot decode configuration", "offset", record.Offset, "error", eris.ToString(err, false))
 			continue
 		}
 		if newest == nil || configuration.Version > newest.Version {
@@ -223,53 +226,54 @@
 		}
 	}
 	if newest != current {
-		supervisor.entry.Configure(newest)
+		supervisor.api.Configure(newest)
 		supervisor.logger.Info("configuration in force", "version", newest.Version, "routes", newest.RouteCount())
 	}
 }
 
-// reload reads the settings file anew. The address of the store and the grace time change at once; addresses of the
-// instance itself are bound until the process ends.
-func (supervisor *Supervisor) reload(path string, asked bool) {
+// reload reads the settings file again. The store address and the grace period take effect at once, other settings at the
+// next start, since the listeners stay open until the process ends. requested means that a signal asked for the reload.
+func (supervisor *Supervisor) reload(path string, requested bool) {
 	settings, err := platform.ReadSettings(path)
-	former := supervisor.settings
+	previous := supervisor.settings
 	switch {
-	case err != nil && (asked || !supervisor.unreadable):
-		supervisor.logger.Error("changed settings are not used", "error", eris.ToString(err, false))
-	case err == nil && settings == former && asked:
-		supervisor.logger.Info("settings are unchanged")
+	case err != nil && (requested || !supervisor.settingsUnreadable):
+		supervisor.logger.Error("cannot reload settings, keeping the current ones", "error", eris.ToString(err, false))
+	case err == nil && settings == previous && requested:
+		supervisor.logger.Info("settings unchanged")
 	}
-	supervisor.unreadable = err != nil
-	if err != nil || settings == former || settings == supervisor.rejected {
+	supervisor.settingsUnreadable = err != nil
+	if err != nil || settings == previous || settings == supervisor.restartRequired {
 		return
 	}
 	supervisor.store.SetAddress(settings.StoreAddress)
 	supervisor.settings.StoreAddress, supervisor.settings.GraceMS = settings.StoreAddress, settings.GraceMS
 	if settings != supervisor.settings {
-		supervisor.rejected = settings
-		supervisor.logger.Warn("some changed settings take effect at the next start only", "instance", settings.Name)
+		supervisor.restartRequired = settings
+		supervisor.logger.Warn("some changed settings take effect only after a restart", "instance", settings.Name)
 	}
 	supervisor.logger.Info("settings changed", "store", settings.StoreAddress, "grace-ms", settings.GraceMS)
 }
 
-// stop ends the instance without cutting off requests: no new connections first, then no new requests on those that
-// are open, then the end of what is running.
+// stop shuts the instance down without interrupting requests: it first fails the readiness checks so that the platform
+// sends no new connections, then shuts down the callers' server, which waits for open requests, and finally waits for the
+// jobs that are still running.
 func (supervisor *Supervisor) stop() {
 	began := time.Now()
-	end := began.Add(time.Duration(supervisor.settings.GraceMS)*time.Millisecond - stopReserve)
-	supervisor.logger.Info("instance stops", "instance", supervisor.settings.Name)
+	end := began.Add(time.Duration(supervisor.settings.GraceMS)*time.Millisecond - exitReserve)
+	supervisor.logger.Info("instance stopping", "instance", supervisor.settings.Name)
 	supervisor.mu.Lock()
 	supervisor.stopping = true
 	supervisor.mu.Unlock()
-	supervisor.entry.DisableKeepAlives()
+	supervisor.api.DisableKeepAlives()
 	supervisor.executor.Leave()
-	time.Sleep(notReadyTime)
+	time.Sleep(notReadyDelay)
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
 	if err := supervisor.servers[0].Shutdown(ctx); err != nil {
-		supervisor.logger.Warn("requests were cut off at the end of the grace time", "error", err.Error())
+		supervisor.logger.Warn("requests cut off at the end of the grace period", "error", err.Error())
 	}
-	// Jobs that this instance runs for others have no connection of a caller here.
+	// Jobs that this instance runs for other instances have no caller's connection here.
 	supervisor.executor.Drain(ctx)
 	supervisor.peers.unregister(supervisor.store, supervisor.logger)
 	supervisor.logger.Info("instance stopped", "instance", supervisor.settings.Name, "after-ms", time.Since(began).Milliseconds())
@@ -279,7 +283,7 @@
 func (supervisor *Supervisor) close() {
 	supervisor.cancel()
 	for _, server := range supervisor.servers {
-		// The process ends; what is still open ends with it.
+		// The process is about to exit, so errors of closing are irrelevant.
 		_ = server.Close()
 	}
 	supervisor.links.Close()
