--- a/configurer/configurer.go
+++ b/configurer/configurer.go
@@ -19,13 +19,14 @@
 
 const envPrefix = "HYSSOPLIFT"
 
-// Settings are checked values of the table of settings.
+// Settings holds the validated values of all settings.
 type Settings struct{ values map[string]string }
 
-// Text returns the value of a text, keys or address setting.
+// Text returns the value of a setting with the unit text, keys or address. Like the other accessors, it panics if Table
+// does not have a setting of this name.
 func (settings Settings) Text(name string) string { return settings.value(name) }
 
-// Count returns the value of a count setting.
+// Count returns the value of a setting with the unit count or milliseconds.
 func (settings Settings) Count(name string) int64 {
 	number, err := strconv.ParseInt(settings.value(name), 10, 64)
 	if err != nil {
@@ -47,19 +48,19 @@
 	return value
 }
 
-// value checks a setting when it is set; it implements flag.Value.
-type value struct {
+// flagValue is a flag.Value that validates a setting when it is set.
+type flagValue struct {
 	setting Setting
 	text    string
 }
 
-func (value *value) String() string { return value.text }
+func (flagValue *flagValue) String() string { return flagValue.text }
 
-func (value *value) Set(text string) error {
-	if err := value.setting.check(text); err != nil {
+func (flagValue *flagValue) Set(text string) error {
+	if err := flagValue.setting.check(text); err != nil {
 		return err
 	}
-	value.text = text
+	flagValue.text = text
 	return nil
 }
 
@@ -67,7 +68,7 @@
 	switch setting.unit {
 	case UnitText:
 		if text == "" || strings.ContainsAny(text, " \t\r\n") {
-			return eris.Errorf("%s: got %q, allowed is text without spaces", setting.name, text)
+			return eris.Errorf("%s: got %q, want text without spaces", setting.name, text)
 		}
 	case UnitKeys:
 		if _, err := bundler.ParseKeys(text); err != nil {
@@ -77,44 +78,45 @@
 		host, port, err := net.SplitHostPort(text)
 		number, portErr := strconv.ParseUint(port, 10, 16)
 		if err != nil || portErr != nil || net.ParseIP(host) == nil {
-			return eris.Errorf("%s: got %q, allowed is an IP number and a port such as 127.0.0.1:%d", setting.name, text, max(number, 8480))
+			return eris.Errorf("%s: got %q, want an IP address and a port such as 127.0.0.1:%d", setting.name, text, max(number, 8480))
 		}
 	case UnitCount, UnitMilliseconds:
 		number, err := strconv.ParseInt(text, 10, 64)
-		if err != nil || number < setting.low || number > setting.high {
-			return eris.Errorf("%s: got %q, allowed are %d to %d %s", setting.name, text, setting.low, setting.high, setting.unit)
+		if err != nil || number < setting.minimum || number > setting.maximum {
+			return eris.Errorf("%s: got %q, want %d to %d %s", setting.name, text, setting.minimum, setting.maximum, setting.unit)
 		}
 	}
 	return nil
 }
 
-// Read returns the settings from args, the environment and the INI file named by --config; the
-// error is one line that names the source, the setting, its value and what is allowed.
+// Read returns the settings from args, the environment and the INI file named by --config. Its error is a single line
+// that names the source, the setting, its value and the allowed values. If args ask for help, Read writes the usage text
+// and returns flag.ErrHelp.
 func Read(args []string, usage io.Writer) (Settings, error) {
-	set := flag.NewFlagSet("serve", flag.ContinueOnError)
-	set.SetOutput(io.Discard)
-	config := set.String("config", "", "INI file with settings")
-	values := make([]*value, 0, len(Table()))
+	flags := flag.NewFlagSet("serve", flag.ContinueOnError)
+	flags.SetOutput(io.Discard)
+	configPath := flags.String("config", "", "INI file with settings")
+	values := make([]*flagValue, 0, len(Table()))
 	for _, setting := range Table() {
-		value := &value{setting: setting, text: setting.fallback}
-		values = append(values, value)
-		set.Var(value, setting.name, setting.text)
+		flagValue := &flagValue{setting: setting, text: setting.defaultValue}
+		values = append(values, flagValue)
+		flags.Var(flagValue, setting.name, setting.text)
 	}
-	err := ff.Parse(set, args, ff.WithEnvVarPrefix(envPrefix), ff.WithConfigFileFlag("config"), ff.WithConfigFileParser(parseINI))
+	err := ff.Parse(flags, args, ff.WithEnvVarPrefix(envPrefix), ff.WithConfigFileFlag("config"), ff.WithConfigFileParser(parseINI))
 	if errors.Is(err, flag.ErrHelp) {
 		writeUsage(usage)
 		return Settings{}, err
 	}
 	if err != nil {
-		return Settings{}, describe(err, *config)
+		return Settings{}, newReadError(err, *configPath)
 	}
 	settings := Settings{values: make(map[string]string, len(values))}
-	for _, value := range values {
-		if value.setting.required && value.text == "" {
-			return Settings{}, eris.Errorf("setting %s is missing: give --%s, %s or a line in the INI file",
-				value.setting.name, value.setting.name, envName(value.setting.name))
+	for _, flagValue := range values {
+		if flagValue.setting.required && flagValue.text == "" {
+			return Settings{}, eris.Errorf("setting %s is missing: set --%s, %s or a line in the INI file",
+				flagValue.setting.name, flagValue.setting.name, envName(flagValue.setting.name))
 		}
-		settings.values[value.setting.name] = value.text
+		settings.values[flagValue.setting.name] = flagValue.text
 	}
 	return settings, nil
 }
@@ -123,7 +125,7 @@
 	return envPrefix + "_" + strings.ToUpper(strings.ReplaceAll(name, "-", "_"))
 }
 
-func describe(err error, config string) error {
+func newReadError(err error, config string) error {
 	if config == "" {
 		return eris.Errorf("reading settings: %v", err)
 	}
@@ -141,7 +143,7 @@
 	}
 	for _, section := range file.Sections() {
 		if section.Name() != ini.DefaultSection && section.Name() != "hyssoplift" {
-			return eris.Errorf("section [%s] is unknown, allowed is [hyssoplift]", section.Name())
+			return eris.Errorf("unknown section [%s], want [hyssoplift]", section.Name())
 		}
 		for _, key := range section.Keys() {
 			if err := set(key.Name(), key.Value()); err != nil {
@@ -153,8 +155,8 @@
 }
 
 func writeUsage(writer io.Writer) {
-	fmt.Fprintln(writer, "Settings (flag, environment or INI file, in this order):")
+	fmt.Fprintln(writer, "Settings (flag, environment variable or INI file, in this order of precedence):")
 	for _, setting := range Table() {
-		fmt.Fprintf(writer, "  --%-18s %s  [%s, default %q, %s]\n", setting.name, setting.text, setting.unit, setting.fallback, envName(setting.name))
+		fmt.Fprintf(writer, "  --%-18s %s  [%s, default %q, %s]\n", setting.name, setting.text, setting.unit, setting.defaultValue, envName(setting.name))
 	}
 }
--- a/configurer/doc.go
+++ b/configurer/doc.go
@@ -1,3 +1,3 @@
-// Package configurer holds the one table of settings of an entry instance and
-// reads them from flags, environment and an INI file, in this order of precedence.
+// Package configurer defines the settings of an entry instance and reads them
+// from flags, environment variables and an INI file, in this order of precedence.
 package configurer
--- a/configurer/page_test.go
+++ b/configurer/page_test.go
@@ -10,28 +10,28 @@
 	"github.com/matryer/is"
 )
 
-// pageCells returns the cells of the operators' page that repeat the table: name, unit, default and bounds.
-func (setting Setting) pageCells() string {
-	fallback, bounds := setting.fallback, "no spaces"
+// tableCells returns the cells that docs/operators.md must have for the setting: name, unit, default and bounds.
+func (setting Setting) tableCells() string {
+	defaultValue, bounds := setting.defaultValue, "no spaces"
 	switch {
 	case setting.required:
-		fallback = "required"
-	case fallback == "":
-		fallback = "none"
+		defaultValue = "required"
+	case defaultValue == "":
+		defaultValue = "none"
 	}
 	switch setting.unit {
 	case UnitAddress:
-		bounds = "IP number and port"
+		bounds = "IP address and port"
 	case UnitKeys:
 		bounds = "NAME:KEY,NAME:KEY"
 	case UnitCount, UnitMilliseconds:
-		bounds = fmt.Sprintf("%d to %d", setting.low, setting.high)
+		bounds = fmt.Sprintf("%d to %d", setting.minimum, setting.maximum)
 	}
-	return fmt.Sprintf("| `%s` | %s | %s | %s | ", setting.name, setting.unit, fallback, bounds)
+	return fmt.Sprintf("| `%s` | %s | %s | %s | ", setting.name, setting.unit, defaultValue, bounds)
 }
 
-// Guards against settings that are missing in the operators' page, that stand there with another unit, default or bound,
-// and rows of settings that no longer exist.
+// Guards against settings that docs/operators.md does not list or lists with a different unit, default or bounds, and
+// against rows of removed settings.
 func TestOperatorsPageListsSettings(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../docs/operators.md")
@@ -40,8 +40,8 @@
 	is.True(found)
 	section, _, _ = strings.Cut(section, "\n## ")
 	for _, setting := range Table() {
-		if !strings.Contains(section, "\n"+setting.pageCells()) {
-			t.Errorf("docs/operators.md, section Settings, lacks a row that begins with %s", setting.pageCells())
+		if !strings.Contains(section, "\n"+setting.tableCells()) {
+			t.Errorf("docs/operators.md, section Settings, has no row that begins with %s", setting.tableCells())
 		}
 	}
 	rows := regexp.MustCompile("(?m)^\\| `").FindAllString(section, -1)
