--- a/recorder/doc.go
+++ b/recorder/doc.go
@@ -1,3 +1,3 @@
-// Package recorder writes log lines from a bounded queue, so that logging never
-// blocks the work that it tells of.
+// Package recorder writes log lines asynchronously from a bounded queue, so that
+// a slow log reader never blocks the code that logs.
 package recorder
--- a/recorder/recorder.go
+++ b/recorder/recorder.go
@@ -9,89 +9,89 @@
 )
 
 const (
-	// maxQueuedBytes bounds the lines that wait to be written: some seconds of lines at full load.
+	// maxQueuedBytes bounds the queued lines. It holds several seconds of log lines at full load.
 	maxQueuedBytes = 1 << 20
-	// writeGap is the time between two writes, so that one call of the system writes many lines.
-	writeGap = 50 * time.Millisecond
+	// flushInterval is the minimum time between two writes, so that one system call writes many lines.
+	flushInterval = 50 * time.Millisecond
 )
 
-// AsyncWriter is a writer that queues lines and never waits.
+// AsyncWriter is an io.Writer that queues lines and writes them in the background, so that Write never blocks.
 type AsyncWriter struct {
-	output io.Writer
-	wake   chan struct{}
-	stop   chan struct{}
-	done   chan struct{}
+	output         io.Writer
+	flushRequested chan struct{}
+	closing        chan struct{}
+	done           chan struct{}
 
-	mu      sync.Mutex
-	lines   bytes.Buffer
-	dropped int64
-	total   int64
+	mu              sync.Mutex
+	queued          bytes.Buffer
+	unreportedDrops int64
+	totalDrops      int64
 }
 
-// New returns a recorder that writes to output until it is closed.
+// New returns a writer that forwards its lines to output until it is closed.
 func New(output io.Writer) *AsyncWriter {
-	asyncWriter := &AsyncWriter{output: output, wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
+	asyncWriter := &AsyncWriter{output: output, flushRequested: make(chan struct{}, 1), closing: make(chan struct{}), done: make(chan struct{})}
 	go func() {
 		defer close(asyncWriter.done)
 		for {
 			select {
-			case <-asyncWriter.stop:
+			case <-asyncWriter.closing:
 				asyncWriter.flush()
 				return
-			case <-asyncWriter.wake:
+			case <-asyncWriter.flushRequested:
 				asyncWriter.flush()
 			}
 			select {
-			case <-asyncWriter.stop:
-			case <-time.After(writeGap):
+			case <-asyncWriter.closing:
+			case <-time.After(flushInterval):
 			}
 		}
 	}()
 	return asyncWriter
 }
 
-// Write queues a line, or drops and counts it if the queue is full; it never fails.
+// Write queues a line. If the queue is full, it drops and counts the line. It never returns an error.
 func (asyncWriter *AsyncWriter) Write(line []byte) (int, error) {
 	asyncWriter.mu.Lock()
-	if asyncWriter.lines.Len()+len(line) > maxQueuedBytes {
-		asyncWriter.dropped++
-		asyncWriter.total++
+	if asyncWriter.queued.Len()+len(line) > maxQueuedBytes {
+		asyncWriter.unreportedDrops++
+		asyncWriter.totalDrops++
 	} else {
-		asyncWriter.lines.Write(line)
+		asyncWriter.queued.Write(line)
 	}
 	asyncWriter.mu.Unlock()
 	select {
-	case asyncWriter.wake <- struct{}{}:
+	case asyncWriter.flushRequested <- struct{}{}:
 	default:
 	}
 	return len(line), nil
 }
 
-// Dropped returns the number of lines dropped since the start.
+// Dropped returns the number of lines dropped since New.
 func (asyncWriter *AsyncWriter) Dropped() int64 {
 	asyncWriter.mu.Lock()
 	defer asyncWriter.mu.Unlock()
-	return asyncWriter.total
+	return asyncWriter.totalDrops
 }
 
-// Close writes what is queued and ends the recorder.
+// Close writes the queued lines and stops the background writer.
 func (asyncWriter *AsyncWriter) Close() {
-	close(asyncWriter.stop)
+	close(asyncWriter.closing)
 	<-asyncWriter.done
 }
 
 func (asyncWriter *AsyncWriter) flush() {
 	asyncWriter.mu.Lock()
-	lines := bytes.Clone(asyncWriter.lines.Bytes())
-	asyncWriter.lines.Reset()
-	dropped := asyncWriter.dropped
-	asyncWriter.dropped = 0
+	queued := bytes.Clone(asyncWriter.queued.Bytes())
+	asyncWriter.queued.Reset()
+	unreportedDrops := asyncWriter.unreportedDrops
+	asyncWriter.unreportedDrops = 0
 	asyncWriter.mu.Unlock()
-	if dropped > 0 {
-		lines = fmt.Appendf(lines, "{\"@level\":\"warn\",\"@message\":\"log lines dropped\",\"lines\":%d}\n", dropped)
+	if unreportedDrops > 0 {
+		queued = fmt.Appendf(queued, "{\"@level\":\"warn\",\"@message\":\"log lines dropped\",\"lines\":%d}\n", unreportedDrops)
 	}
-	if len(lines) > 0 {
-		// Standard output that cannot be written leaves nowhere to tell of it.
-		_, _ = asyncWriter.output.Write(lines)
+	if len(queued) > 0 {
+		// The output is the log itself, so a write error cannot be reported anywhere.
+		_, _ = asyncWriter.output.Write(queued)
 	}
 }
--- a/recorder/recorder_test.go
+++ b/recorder/recorder_test.go
@@ -9,27 +9,27 @@
 	"github.com/matryer/is"
 )
 
-// blockedWriter does not return from its first write until it is released.
+// blockedWriter blocks every write until unblock is closed.
 type blockedWriter struct {
-	mu       sync.Mutex
-	text     bytes.Buffer
-	entered  chan struct{}
-	released chan struct{}
-	once     sync.Once
+	mu           sync.Mutex
+	text         bytes.Buffer
+	writeStarted chan struct{}
+	unblock      chan struct{}
+	once         sync.Once
 }
 
 func (writer *blockedWriter) Write(data []byte) (int, error) {
-	writer.once.Do(func() { close(writer.entered) })
-	<-writer.released
+	writer.once.Do(func() { close(writer.writeStarted) })
+	<-writer.unblock
 	writer.mu.Lock()
 	defer writer.mu.Unlock()
 	return writer.text.Write(data)
 }
 
-// Guards against work that waits for a reader of the log, and against lines that go missing without a word.
+// Guards against Write blocking on a slow log reader, and against lines dropped without a report in the log.
 func TestFullQueueDropsAndTells(t *testing.T) {
 	is := is.New(t)
-	output := &blockedWriter{entered: make(chan struct{}), released: make(chan struct{})}
+	output := &blockedWriter{writeStarted: make(chan struct{}), unblock: make(chan struct{})}
 	asyncWriter := New(output)
 	line := append(bytes.Repeat([]byte("x"), 1023), '\n')
 	write := func() {
@@ -38,12 +38,12 @@
 		is.Equal(count, len(line))
 	}
 	write()
-	<-output.entered
+	<-output.writeStarted
 	for range maxQueuedBytes/len(line) + 5 {
 		write()
 	}
 	is.Equal(asyncWriter.Dropped(), int64(5))
-	close(output.released)
+	close(output.unblock)
 	asyncWriter.Close()
 	is.True(strings.HasSuffix(output.text.String(), "{\"@level\":\"warn\",\"@message\":\"log lines dropped\",\"lines\":5}\n"))
 	is.Equal(strings.Count(output.text.String(), "x\n"), maxQueuedBytes/len(line)+1)
