--- a/clocker/doc.go
+++ b/clocker/doc.go
@@ -1,3 +1,3 @@
-// Package clocker tells a time that neither jumps nor stands still while the
+// Package clocker provides a monotonic clock that keeps counting while the
 // machine is suspended.
 package clocker
--- a/sleeper/doc.go
+++ b/sleeper/doc.go
@@ -1,2 +1,2 @@
-// Package sleeper waits for a time or for the end of a context, whichever comes first.
+// Package sleeper provides sleeps that end early when a context is done.
 package sleeper
--- a/sleeper/sleeper.go
+++ b/sleeper/sleeper.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for duration and reports false if ctx was done first.
+// For sleeps for duration. It returns false if ctx was done first.
 func For(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -18,8 +18,8 @@
 	}
 }
 
-// Jitter returns a random duration between half of and one and a half times duration, so that many do not wait in step.
+// Jitter returns a random duration between 50% and 150% of duration, so that concurrent retries do not synchronize.
 func Jitter(duration time.Duration) time.Duration { return duration/2 + rand.N(duration) }
 
-// Until waits until deadline and reports false if ctx was done first.
+// Until sleeps until deadline. It returns false if ctx was done first.
 func Until(ctx context.Context, deadline time.Time) bool { return For(ctx, time.Until(deadline)) }
