--- a/follower/follower.go
+++ b/follower/follower.go
@@ -98,8 +98,8 @@
 	return next, err
 }
 
-// readUpdates reads the records that follow offset from. It returns the offset of the next read; after an error, that is
-// from.
+// readUpdates reads the records that follow offset from. It returns the offset of the next read; after an error, that
+// is from.
 func readUpdates(ctx context.Context, source Source, topic string, from int64, options PollOptions, update func(Update)) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, options.MaxWait+options.TimeoutMargin)
 	defer cancel()
--- a/supervisor/registry.go
+++ b/supervisor/registry.go
@@ -27,8 +27,8 @@
 	return &targetRegistry{logger: logger, targets: make(map[string]scheduler.Target)}
 }
 
-// update applies records of targets and reports whether the list of targets may have changed. A record that only repeats
-// what is known, such as a heartbeat, changes nothing.
+// update applies records of targets and reports whether the list of targets may have changed. A record that only
+// repeats what is known, such as a heartbeat, changes nothing.
 func (registry *targetRegistry) update(update follower.Update) bool {
 	changed := false
 	if update.Snapshot {
@@ -135,8 +135,8 @@
 	}
 }
 
-// unregister deletes the record of this instance. If the store is unavailable, the record stays, and the other instances
-// notice from their closed links that this one is gone.
+// unregister deletes the record of this instance. If the store is unavailable, the record stays, and the other
+// instances notice from their closed links that this one is gone.
 func (registry *peerRegistry) unregister(store *platform.Store, logger hclog.Logger) {
 	if err := registry.put(context.Background(), store, nil); err != nil {
 		logger.Warn("cannot delete instance record", "error", eris.ToString(err, false))
--- a/supervisor/supervisor.go
+++ b/supervisor/supervisor.go
@@ -53,7 +53,8 @@
 type Supervisor struct {
 	// settings are the settings in use. Only the goroutine of Run accesses them and the next two fields.
 	settings platform.Settings
-	// restartRequired are the settings read last that differ from settings in a way that takes effect only after a restart.
+	// restartRequired are the settings read last that differ from settings in a way that takes effect only after a
+	// restart.
 	restartRequired platform.Settings
 	// settingsUnreadable means that the last attempt to read the settings file failed.
 	settingsUnreadable bool
@@ -75,8 +76,8 @@
 	stopping bool
 }
 
-// Run runs an instance until ctx is done and then stops it within the platform's grace period. A value on reload makes it
-// read the settings file again. logWriter is the writer behind logger; its dropped lines are exported as a metric.
+// Run runs an instance until ctx is done and then stops it within the platform's grace period. A value on reload makes
+// it read the settings file again. logWriter is the writer behind logger; its dropped lines are exported as a metric.
 func Run(ctx context.Context, settingsPath string, reload <-chan os.Signal, logWriter *recorder.AsyncWriter, logger hclog.Logger) error {
 	settings, err := platform.ReadSettings(settingsPath)
 	if err != nil {
@@ -231,8 +232,9 @@
 	}
 }
 
-// reload reads the settings file again. The store address and the grace period take effect at once, other settings at the
-// next start, since the listeners stay open until the process ends. requested means that a signal asked for the reload.
+// reload reads the settings file again. The store address and the grace period take effect at once, other settings at
+// the next start, since the listeners stay open until the process ends. requested means that a signal asked for the
+// reload.
 func (supervisor *Supervisor) reload(path string, requested bool) {
 	settings, err := platform.ReadSettings(path)
 	previous := supervisor.settings
@@ -256,8 +258,8 @@
 }
 
 // stop shuts the instance down without interrupting requests: it first fails the readiness checks so that the platform
-// sends no new connections, then shuts down the callers' server, which waits for open requests, and finally waits for the
-// jobs that are still running.
+// sends no new connections, then shuts down the callers' server, which waits for open requests, and finally waits for
+// the jobs that are still running.
 func (supervisor *Supervisor) stop() {
 	began := time.Now()
 	end := began.Add(time.Duration(supervisor.settings.GraceMS)*time.Millisecond - exitReserve)
