--- a/bundler/bundle.go
+++ b/bundler/bundle.go
@@ -53,7 +53,7 @@
 	address       string
 	slots         int
 	rack          string
-	size          placer.Size
+	size          placer.Resources
 }
 
 // Name returns the target's name, unique in the bundle.
@@ -74,8 +74,8 @@
 // Rack returns the rack that a worker is in, or an empty string.
 func (target Target) Rack() string { return target.rack }
 
-// Size returns a worker's size; it is zero for a runner.
-func (target Target) Size() placer.Size { return target.size }
+// Resources returns a worker's size; it is zero for a runner.
+func (target Target) Resources() placer.Resources { return target.size }
 
 // Kind is a kind of task with the limits that it runs under.
 type Kind struct {
@@ -85,7 +85,7 @@
 	maxTasks    int
 	maxInFlight int
 	runTime     time.Duration
-	size        placer.Size
+	size        placer.Resources
 }
 
 // Name returns the kind's name.
@@ -106,8 +106,8 @@
 // RunTime returns the declared run time of one task, which may be far off.
 func (kind Kind) RunTime() time.Duration { return kind.runTime }
 
-// Size returns the declared size of one task on a worker, which may be far off.
-func (kind Kind) Size() placer.Size { return kind.size }
+// Resources returns the declared size of one task on a worker, which may be far off.
+func (kind Kind) Resources() placer.Resources { return kind.size }
 
 // Team is a group of callers with a quota.
 type Team struct {
--- a/bundler/diff.go
+++ b/bundler/diff.go
@@ -142,8 +142,8 @@
 	}, sizeFields(target.size)...)
 }
 
-func sizeFields(size placer.Size) []field {
+func sizeFields(resources placer.Resources) []field {
 	return []field{
-		number("milli-cores", int(size.MilliCores)), number("memory-mb", int(size.MemoryMB)), number("accelerators", int(size.Accelerators)),
+		number("milli-cores", int(resources.MilliCores)), number("memory-mb", int(resources.MemoryMB)), number("accelerators", int(resources.Accelerators)),
 	}
 }
--- a/bundler/lint.go
+++ b/bundler/lint.go
@@ -165,7 +165,7 @@
 	if linter.someHidden() {
 		return
 	}
-	largest := make(map[string]placer.Size)
+	largest := make(map[string]placer.Resources)
 	for _, target := range linter.bundle.targets {
 		largest[target.service] = largest[target.service].Maximum(target.size)
 	}
@@ -176,7 +176,7 @@
 			continue
 		}
 		switch {
-		case kind.size == placer.Size{}:
+		case kind.size == placer.Resources{}:
 			linter.fail("[kind %s] milli-cores: a kind that runs on workers needs a size", name)
 		case !kind.size.Fits(known):
 			linter.fail("[kind %s]: its size is larger than any worker of service %q", name, kind.service)
--- a/bundler/parse.go
+++ b/bundler/parse.go
@@ -246,8 +246,8 @@
 }
 
 // readSize returns the size of a worker or of a task on a worker; runners have none.
-func readSize(reader *reader) placer.Size {
-	return placer.Size{
+func readSize(reader *reader) placer.Resources {
+	return placer.Resources{
 		MilliCores:   reader.number("milli-cores", 0, 0, maxMilliCores),
 		MemoryMB:     reader.number("memory-mb", 0, 0, maxMemoryMB),
 		Accelerators: reader.number("accelerators", 0, 0, maxAccelerators),
--- a/checker/checker.go
+++ b/checker/checker.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// Promise is the name of a promise in the table of the design page.
-type Promise string
+// Guarantee is the name of a promise in the table of the design page.
+type Guarantee string
 
 // Promises, in the order of the table.
 const (
-	SingleStart    Promise = "single-start"
-	WholeAnswer    Promise = "whole-answer"
-	OwnAnswer      Promise = "own-answer"
-	TrueRefusal    Promise = "true-refusal"
-	AtMostOnce     Promise = "at-most-once"
-	LeavingDrained Promise = "leaving-drained"
-	GracefulStop   Promise = "graceful-stop"
-	BundleForce    Promise = "bundle-in-force"
+	SingleStart    Guarantee = "single-start"
+	WholeAnswer    Guarantee = "whole-answer"
+	OwnAnswer      Guarantee = "own-answer"
+	TrueRefusal    Guarantee = "true-refusal"
+	AtMostOnce     Guarantee = "at-most-once"
+	LeavingDrained Guarantee = "leaving-drained"
+	GracefulStop   Guarantee = "graceful-stop"
+	TimelyBundle   Guarantee = "bundle-in-force"
 )
 
-// Promises returns every promise, in the order of the table.
-func Promises() []Promise {
-	return []Promise{SingleStart, WholeAnswer, OwnAnswer, TrueRefusal, AtMostOnce, LeavingDrained, GracefulStop, BundleForce}
+// Guarantees returns every promise, in the order of the table.
+func Guarantees() []Guarantee {
+	return []Guarantee{SingleStart, WholeAnswer, OwnAnswer, TrueRefusal, AtMostOnce, LeavingDrained, GracefulStop, TimelyBundle}
 }
 
 // Bounds are the times that the promises name.
@@ -45,22 +45,22 @@
 
 // Violation is one broken promise.
 type Violation struct {
-	promise Promise
+	promise Guarantee
 	key     string
 	events  []Event
 }
 
-// Promise returns the promise that was broken.
-func (violation Violation) Promise() Promise { return violation.promise }
+// Guarantee returns the promise that was broken.
+func (violation Violation) Guarantee() Guarantee { return violation.promise }
 
-// Key returns the key of the job, target, instance or bundle concerned.
-func (violation Violation) Key() string { return violation.key }
+// Subject returns the key of the job, target, instance or bundle concerned.
+func (violation Violation) Subject() string { return violation.key }
 
 // Events returns the events that contradict the promise, in order.
 func (violation Violation) Events() []Event { return violation.events }
 
-// Judge returns every violation in a history; events are ordered by time, and those of one time by position.
-func Judge(history []Event, bounds Bounds) []Violation {
+// Check returns every violation in a history; events are ordered by time, and those of one time by position.
+func Check(history []Event, bounds Bounds) []Violation {
 	ordered := slices.Clone(history)
 	slices.SortStableFunc(ordered, func(a, b Event) int { return a.When().Compare(b.When()) })
 	judge := newJudge(ordered, bounds)
@@ -100,7 +100,7 @@
 			judge.byKey[event.Key] = append(judge.byKey[event.Key], event)
 		case TaskStarted:
 			judge.started[event.Key] = append(judge.started[event.Key], event)
-		case Ended:
+		case JobEnded:
 			judge.settle(event.Key, event.Time)
 		case Cancelled:
 			judge.settle(event.Key, decidedAt(event.Decided, event.Time))
@@ -127,7 +127,7 @@
 	}
 }
 
-func (judge *judge) violate(promise Promise, key string, events ...Event) {
+func (judge *judge) violate(promise Guarantee, key string, events ...Event) {
 	judge.violations = append(judge.violations, Violation{promise: promise, key: key, events: events})
 }
 
@@ -185,7 +185,7 @@
 		}
 		answered[submission] = event
 		switch event := event.(type) {
-		case Answered:
+		case CompleteAnswer:
 			judge.complete(submitted, event)
 		case FailedAnswer:
 			if len(event.Results) > 0 {
@@ -198,7 +198,7 @@
 // answeredSubmission returns the submission that the event answers, if it is an answer.
 func answeredSubmission(event Event) (int64, bool) {
 	switch event := event.(type) {
-	case Answered:
+	case CompleteAnswer:
 		return event.Submission, true
 	case FailedAnswer:
 		return event.Submission, true
@@ -212,7 +212,7 @@
 }
 
 // complete judges an answer that claims to be complete.
-func (judge *judge) complete(submitted Submitted, answer Answered) {
+func (judge *judge) complete(submitted Submitted, answer CompleteAnswer) {
 	if answer.Key != submitted.Key || answer.Digest != submitted.Digest {
 		judge.violate(OwnAnswer, submitted.Key, submitted, answer)
 		return
@@ -300,7 +300,7 @@
 			if _, found := leaving[event.Target]; !found {
 				leaving[event.Target] = event
 			}
-		case TargetBack:
+		case TargetReturned:
 			delete(leaving, event.Target)
 		case TaskStarted:
 			if sign, found := leaving[event.Target]; found && event.Time.After(sign.Time.Add(judge.bounds.Drain)) {
@@ -317,7 +317,7 @@
 		switch event := event.(type) {
 		case StopPlanned:
 			planned[event.Instance] = event
-		case RequestCut:
+		case RequestDropped:
 			if stop, found := planned[event.Instance]; found {
 				judge.violate(GracefulStop, event.Instance, stop, event)
 			}
@@ -335,13 +335,13 @@
 		switch event := event.(type) {
 		case BundleAccepted:
 			accepted = append(accepted, event)
-		case Unreachable:
+		case InstanceUnreachable:
 			unreachable[event.Instance] = true
-		case Reachable:
+		case InstanceReachable:
 			unreachable[event.Instance], since[event.Instance] = false, event.Time
 		case BundleInForce:
 			if earlier := served[event.Instance]; earlier.Version > event.Version {
-				judge.violate(BundleForce, event.Instance, earlier, event)
+				judge.violate(TimelyBundle, event.Instance, earlier, event)
 			}
 			served[event.Instance] = event
 			if !unreachable[event.Instance] {
@@ -365,6 +365,6 @@
 	}
 	newest := slices.MaxFunc(due, func(a, b BundleAccepted) int { return cmp.Compare(a.Version, b.Version) })
 	if newest.Version > served.Version {
-		judge.violate(BundleForce, served.Instance, newest, served)
+		judge.violate(TimelyBundle, served.Instance, newest, served)
 	}
 }
--- a/checker/event.go
+++ b/checker/event.go
@@ -35,8 +35,8 @@
 	Target   string
 }
 
-// Answered is the receipt by the caller of a complete answer with the results of Tasks.
-type Answered struct {
+// CompleteAnswer is the receipt by the caller of a complete answer with the results of Tasks.
+type CompleteAnswer struct {
 	At
 	Submission int64
 	// Key and Digest are those of the job whose results the answer carries.
@@ -70,8 +70,8 @@
 	Decided time.Time
 }
 
-// Ended is the end of a job's last task at its target; the retention of a plain key counts from here.
-type Ended struct {
+// JobEnded is the end of a job's last task at its target; the retention of a plain key counts from here.
+type JobEnded struct {
 	At
 	Key string
 }
@@ -88,8 +88,8 @@
 	Target string
 }
 
-// TargetBack is the end of a target's leaving.
-type TargetBack struct {
+// TargetReturned is the end of a target's leaving.
+type TargetReturned struct {
 	At
 	Target string
 }
@@ -100,8 +100,8 @@
 	Instance string
 }
 
-// RequestCut is a request that an instance had accepted and whose connection ended without an answer.
-type RequestCut struct {
+// RequestDropped is a request that an instance had accepted and whose connection ended without an answer.
+type RequestDropped struct {
 	At
 	Instance   string
 	Submission int64
@@ -120,14 +120,14 @@
 	Version  int64
 }
 
-// Unreachable says that an instance can reach neither the log nor peers, until Reachable.
-type Unreachable struct {
+// InstanceUnreachable says that an instance can reach neither the log nor peers, until Reachable.
+type InstanceUnreachable struct {
 	At
 	Instance string
 }
 
-// Reachable is the end of Unreachable; an instance's first event may be a Reachable.
-type Reachable struct {
+// InstanceReachable is the end of Unreachable; an instance's first event may be a Reachable.
+type InstanceReachable struct {
 	At
 	Instance string
 }
--- a/cmd/hyssoplift-standin/main.go
+++ b/cmd/hyssoplift-standin/main.go
@@ -45,7 +45,7 @@
 	case "runner":
 		handler = emulator.NewRunner(*slots, *speed)
 	case "worker":
-		handler = emulator.NewWorker(placer.Size{MilliCores: *cores * 1000, MemoryMB: *memory})
+		handler = emulator.NewWorker(placer.Resources{MilliCores: *cores * 1000, MemoryMB: *memory})
 	default:
 		return eris.Errorf("unknown stand-in %q", args[0])
 	}
--- a/dispatcher/outcome.go
+++ b/dispatcher/outcome.go
@@ -10,14 +10,14 @@
 
 // Fates of a task.
 const (
-	// NotStarted means that no target received the task.
-	NotStarted Fate = "not-started"
-	// OutcomeUnknown means that the task may have started and its result is not known.
-	OutcomeUnknown Fate = "unknown"
-	// Finished means that the target returned a result.
-	Finished Fate = "finished"
-	// TaskFailed means that the target ran the task and reported an error.
-	TaskFailed Fate = "failed"
+	// FateNotStarted means that no target received the task.
+	FateNotStarted Fate = "not-started"
+	// FateUnknown means that the task may have started and its result is not known.
+	FateUnknown Fate = "unknown"
+	// FateFinished means that the target returned a result.
+	FateFinished Fate = "finished"
+	// FateFailed means that the target ran the task and reported an error.
+	FateFailed Fate = "failed"
 )
 
 // TaskFate is the fate of one task of a failed job.
@@ -124,8 +124,8 @@
 	ReasonImpossible Reason = "impossible"
 )
 
-// ClassOf returns the name of the class of an outcome that logs and metrics use: complete, failed, refused or unknown.
-func ClassOf(outcome Outcome) string {
+// OutcomeClass returns the name of the class of an outcome that logs and metrics use: complete, failed, refused or unknown.
+func OutcomeClass(outcome Outcome) string {
 	switch outcome.(type) {
 	case Complete:
 		return "complete"
--- a/emulator/list.go
+++ b/emulator/list.go
@@ -112,7 +112,7 @@
 		return
 	}
 	writer.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(writer).Encode(lister.Page{Instances: instances})
+	_ = json.NewEncoder(writer).Encode(lister.InstanceList{Instances: instances})
 }
 
 func (list *List) handlePut(writer http.ResponseWriter, request *http.Request) {
--- a/emulator/worker.go
+++ b/emulator/worker.go
@@ -30,12 +30,12 @@
 	// RunMS is the run time in milliseconds.
 	RunMS int64 `json:"run-ms"`
 	// Need is the size that the task really uses.
-	Need placer.Size `json:"need"`
+	Need placer.Resources `json:"need"`
 }
 
 type lease struct {
 	status  leaser.LeaseStatus
-	size    placer.Size
+	size    placer.Resources
 	expires time.Time
 	ended   chan struct{}
 }
@@ -43,17 +43,17 @@
 // Worker is a stand-in of a worker that runs tasks under leases with its guard on.
 type Worker struct {
 	mux   *http.ServeMux
-	total placer.Size
+	total placer.Resources
 
 	mu     sync.Mutex
 	leases map[string]*lease
-	used   placer.Size
+	used   placer.Resources
 	starts int
 	fault  WorkerFault
 }
 
 // NewWorker returns a healthy worker of the given size.
-func NewWorker(total placer.Size) *Worker {
+func NewWorker(total placer.Resources) *Worker {
 	worker := &Worker{mux: http.NewServeMux(), total: total, leases: make(map[string]*lease), fault: WorkerHealthy}
 	worker.mux.HandleFunc("PUT /leases/{id}", worker.handleStart)
 	worker.mux.HandleFunc("POST /leases/{id}/renew", worker.handleRenew)
@@ -105,7 +105,7 @@
 func (worker *Worker) start(id string, body leaser.LeaseRequest, payload LeasedPayload) (*lease, int, WorkerFault) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	switch used := sum(worker.used, body.Size); {
+	switch used := sum(worker.used, body.Resources); {
 	case worker.fault == WorkerLeaving:
 		return nil, http.StatusServiceUnavailable, worker.fault
 	case worker.leases[id] != nil:
@@ -117,7 +117,7 @@
 	}
 	started := &lease{
 		status:  leaser.LeaseStatus{State: leaser.Running, Peak: payload.Need},
-		size:    body.Size,
+		size:    body.Resources,
 		expires: time.Now().Add(time.Duration(body.LeaseMS) * time.Millisecond),
 		ended:   make(chan struct{}),
 	}
@@ -126,21 +126,21 @@
 	switch {
 	case worker.fault == WorkerFailing:
 		worker.end(started, leaser.Failed, "task failed")
-	case payload.Need.MemoryMB > body.Size.MemoryMB:
+	case payload.Need.MemoryMB > body.Resources.MemoryMB:
 		started.status.Guard = leaser.GuardStopped
 		worker.end(started, leaser.Stopped, "task exceeded its memory")
 	default:
-		worker.run(started, payload, body.Size)
+		worker.run(started, payload, body.Resources)
 	}
 	return started, http.StatusOK, worker.fault
 }
 
 // run ends the task after its run time, stretched if the guard throttles it; the caller holds worker.mu.
-func (worker *Worker) run(started *lease, payload LeasedPayload, size placer.Size) {
+func (worker *Worker) run(started *lease, payload LeasedPayload, resources placer.Resources) {
 	runTime := time.Duration(payload.RunMS) * time.Millisecond
-	if payload.Need.MilliCores > size.MilliCores {
+	if payload.Need.MilliCores > resources.MilliCores {
 		started.status.Guard = leaser.GuardThrottled
-		runTime = runTime * time.Duration(payload.Need.MilliCores) / time.Duration(max(size.MilliCores, 1))
+		runTime = runTime * time.Duration(payload.Need.MilliCores) / time.Duration(max(resources.MilliCores, 1))
 	}
 	time.AfterFunc(runTime, func() {
 		worker.mu.Lock()
@@ -170,14 +170,14 @@
 		return
 	}
 	running.status.State, running.status.Detail = state, detail
-	worker.used = sum(worker.used, placer.Size{
+	worker.used = sum(worker.used, placer.Resources{
 		MilliCores: -running.size.MilliCores, MemoryMB: -running.size.MemoryMB, Accelerators: -running.size.Accelerators,
 	})
 	close(running.ended)
 }
 
-func sum(a, b placer.Size) placer.Size {
-	return placer.Size{MilliCores: a.MilliCores + b.MilliCores, MemoryMB: a.MemoryMB + b.MemoryMB, Accelerators: a.Accelerators + b.Accelerators}
+func sum(a, b placer.Resources) placer.Resources {
+	return placer.Resources{MilliCores: a.MilliCores + b.MilliCores, MemoryMB: a.MemoryMB + b.MemoryMB, Accelerators: a.Accelerators + b.Accelerators}
 }
 
 func (worker *Worker) handleRenew(writer http.ResponseWriter, request *http.Request) {
--- a/executor/delegation.go
+++ b/executor/delegation.go
@@ -56,7 +56,7 @@
 	if tasks > maxDelegatedTasks {
 		return "", false
 	}
-	staying := executor.peers.Staying()
+	staying := executor.peers.EligiblePeers()
 	near := make([]linker.Hello, 0, len(staying))
 	for _, peer := range staying {
 		if peer.Domain == executor.self.Domain && executor.peers.Reachable(peer.Incarnation) {
@@ -73,11 +73,11 @@
 func drawByWeight(instances []linker.Hello, drawn float64) (string, bool) {
 	total := 0.0
 	for i := range instances {
-		total += instances[i].Share()
+		total += instances[i].EffectiveWeight()
 	}
 	left := drawn * total
 	for i := range instances {
-		if left -= instances[i].Share(); left < 0 {
+		if left -= instances[i].EffectiveWeight(); left < 0 {
 			return instances[i].Incarnation, true
 		}
 	}
@@ -139,7 +139,7 @@
 // answerDelegated gives the outcome of a delegated job to its callers; the caller holds the lock.
 func (executor *Executor) answerDelegated(passed *delegation, outcome dispatcher.Outcome) {
 	now := executor.now()
-	executor.logger.Info("job answered for delegate", "job", passed.job.ID, "delegate", passed.delegate, "outcome", dispatcher.ClassOf(outcome),
+	executor.logger.Info("job answered for delegate", "job", passed.job.ID, "delegate", passed.delegate, "outcome", dispatcher.OutcomeClass(outcome),
 		"took-ms", now.Sub(passed.job.Arrived).Milliseconds(), "late-ms", max(0, now.Sub(passed.job.Objective)).Milliseconds())
 	executor.meter.delegated(outcome)
 	executor.deliver(passed.job.ID, outcome)
@@ -176,8 +176,8 @@
 	executor.abandoned = kept
 }
 
-// Delegated runs a job for another instance; it returns at once.
-func (executor *Executor) Delegated(from string, request linker.Delegation) {
+// HandleDelegation runs a job for another instance; it returns at once.
+func (executor *Executor) HandleDelegation(from string, request linker.Delegation) {
 	job := decodeJob(&request, executor.now())
 	key := foreignJob{from, job.ID}
 	ctx, cancel := context.WithCancel(executor.ctx)
@@ -202,7 +202,7 @@
 		}
 		executor.mu.Unlock()
 		message := linker.DelegationAnswer{ID: request.ID, Job: job.ID, Outcome: linker.EncodeOutcome(outcome, executor.now())}
-		if err := executor.peers.Answer(from, message); err != nil {
+		if err := executor.peers.AnswerDelegation(from, message); err != nil {
 			executor.logger.Warn("outcome cannot be sent to the job's origin", "job", job.ID, "origin", from, "error", eris.ToString(err, false))
 		}
 	})
@@ -233,8 +233,8 @@
 	for i := range job.Steps {
 		step := &job.Steps[i]
 		steps[i] = linker.JobStep{
-			Tasks: step.Tasks, MilliCores: step.Size.MilliCores, MemoryMB: step.Size.MemoryMB, Accelerators: step.Size.Accelerators,
-			EstimateUS: step.Estimate.Microseconds(), After: step.After, Label: step.Label, PerTarget: step.PerTarget,
+			Tasks: step.Tasks, MilliCores: step.Resources.MilliCores, MemoryMB: step.Resources.MemoryMB, Accelerators: step.Resources.Accelerators,
+			EstimateUS: step.Estimate.Microseconds(), DependsOn: step.DependsOn, Label: step.Label, MaxPerTarget: step.MaxPerTarget,
 		}
 	}
 	return linker.Delegation{
@@ -249,8 +249,8 @@
 	for i := range request.Steps {
 		step := &request.Steps[i]
 		steps[i] = scheduler.Step{
-			Tasks: step.Tasks, Size: scheduler.Size{MilliCores: step.MilliCores, MemoryMB: step.MemoryMB, Accelerators: step.Accelerators},
-			Estimate: time.Duration(step.EstimateUS) * time.Microsecond, After: step.After, Label: step.Label, PerTarget: step.PerTarget,
+			Tasks: step.Tasks, Resources: scheduler.Resources{MilliCores: step.MilliCores, MemoryMB: step.MemoryMB, Accelerators: step.Accelerators},
+			Estimate: time.Duration(step.EstimateUS) * time.Microsecond, DependsOn: step.DependsOn, Label: step.Label, MaxPerTarget: step.MaxPerTarget,
 		}
 	}
 	return scheduler.Job{
--- a/executor/delegation_test.go
+++ b/executor/delegation_test.go
@@ -67,10 +67,10 @@
 
 func (orderer *memoryOrderer) end(run scheduler.Run, cause scheduler.Cause) {
 	delete(orderer.running, run)
-	orderer.ended = append(orderer.ended, scheduler.End{Number: int64(len(orderer.ended) + 1), Run: run, Cause: cause})
+	orderer.ended = append(orderer.ended, scheduler.End{Seq: int64(len(orderer.ended) + 1), Run: run, Cause: cause})
 }
 
-func (orderer boundOrderer) Look(ctx context.Context, _ scheduler.Target, request LookRequest) (scheduler.Look, error) {
+func (orderer boundOrderer) Poll(ctx context.Context, _ scheduler.Target, request PollRequest) (scheduler.PollResult, error) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(min(request.Wait, 5*time.Millisecond)):
@@ -78,20 +78,20 @@
 	now := time.Now()
 	orderer.mu.Lock()
 	defer orderer.mu.Unlock()
-	look := scheduler.Look{Incarnation: 1, Sent: now, Answered: now}
+	poll := scheduler.PollResult{Incarnation: 1, Sent: now, Answered: now}
 	for run, started := range orderer.running {
 		if now.Sub(started) >= orderer.runTime {
 			orderer.end(run, scheduler.Done)
 			continue
 		}
-		look.Running = append(look.Running, scheduler.Row{Run: run})
+		poll.Running = append(poll.Running, scheduler.ActiveRun{Run: run})
 	}
 	for _, end := range orderer.ended {
-		if end.Number > request.Acknowledged {
-			look.Ended = append(look.Ended, end)
+		if end.Seq > request.Acknowledged {
+			poll.Ended = append(poll.Ended, end)
 		}
 	}
-	return look, nil
+	return poll, nil
 }
 
 func (orderer *memoryOrderer) count(value func() int) int {
@@ -108,11 +108,11 @@
 }
 
 // newMember returns an executor that knows targets and has no links yet; it ends with the test.
-func newMember(t *testing.T, self linker.Hello, orderer Orderer, limits linker.Limits, targets []scheduler.Target) *member {
+func newMember(t *testing.T, self linker.Hello, client TargetClient, limits linker.Limits, targets []scheduler.Target) *member {
 	t.Helper()
-	added := &member{Executor: New(self, orderer, time.Now, hclog.NewNullLogger())}
+	added := &member{Executor: New(self, client, time.Now, hclog.NewNullLogger())}
 	added.links = linker.New(self, limits, hclog.NewNullLogger(), added.Peers().Receive)
-	added.Peers().Use(added.links)
+	added.Peers().SetLinks(added.links)
 	added.server = httptest.NewServer(added.links)
 	t.Cleanup(added.end)
 	added.SetTargets(targets)
@@ -133,7 +133,7 @@
 // newPair returns a small and a large instance that are linked and know one target of the memory orderer.
 func newPair(t *testing.T, orderer *memoryOrderer) (small, large *member) {
 	t.Helper()
-	targets := []scheduler.Target{{ID: "t", Service: "work", Domain: "a", Capacity: scheduler.Size{MilliCores: 320000, MemoryMB: 1 << 20}}}
+	targets := []scheduler.Target{{ID: "t", Service: "work", Domain: "a", Capacity: scheduler.Resources{MilliCores: 320000, MemoryMB: 1 << 20}}}
 	var members []*member
 	for _, instance := range []struct {
 		name   string
@@ -165,7 +165,7 @@
 
 func memoryJob(id string, tasks int) scheduler.Job {
 	now := time.Now()
-	step := scheduler.Step{Size: scheduler.Size{MilliCores: 1000}, Estimate: 20 * time.Millisecond}
+	step := scheduler.Step{Resources: scheduler.Resources{MilliCores: 1000}, Estimate: 20 * time.Millisecond}
 	for number := range tasks {
 		step.Tasks = append(step.Tasks, fmt.Sprintf("%s.0.0.%d", id, number))
 	}
@@ -272,7 +272,7 @@
 	job := memoryJob("j", 2)
 	job.Arrived, job.Deadline, job.Objective = sent.Add(-3*time.Millisecond), sent.Add(time.Second), sent.Add(200*time.Millisecond)
 	job.Body, job.Priority = "text", 2
-	job.Steps = append(job.Steps, scheduler.Step{Tasks: []string{"j.0.1.0"}, Size: scheduler.Size{MemoryMB: 1, Accelerators: 2}, After: []int{0}, Label: "l", PerTarget: 1})
+	job.Steps = append(job.Steps, scheduler.Step{Tasks: []string{"j.0.1.0"}, Resources: scheduler.Resources{MemoryMB: 1, Accelerators: 2}, DependsOn: []int{0}, Label: "l", MaxPerTarget: 1})
 	received := sent.Add(time.Hour)
 	message := encodeJob(&job, sent)
 	moved := decodeJob(&message, received)
--- a/executor/executor.go
+++ b/executor/executor.go
@@ -40,20 +40,20 @@
 	stopTries   = 2
 )
 
-// Orderer gives orders to targets. Times are those of this instance's clock.
-type Orderer interface {
+// TargetClient gives orders to targets. Times are those of this instance's clock.
+type TargetClient interface {
 	// Start orders a start whose lease, and whose validity, ends at lease.
 	Start(ctx context.Context, on scheduler.Target, start scheduler.StartTask, lease time.Time) scheduler.StartResult
 	// Stop orders a stop and returns nil once the target has taken it, or does not know the run.
 	Stop(ctx context.Context, on scheduler.Target, run scheduler.Run) error
-	// Look asks for the runs and ends of a target.
-	Look(ctx context.Context, on scheduler.Target, request LookRequest) (scheduler.Look, error)
+	// Poll asks for the runs and ends of a target.
+	Poll(ctx context.Context, on scheduler.Target, request PollRequest) (scheduler.PollResult, error)
 	// CloseIdle closes connections that are not in use, since few orders will follow.
 	CloseIdle()
 }
 
-// LookRequest is what a look at a target asks for.
-type LookRequest struct {
+// PollRequest is what a look at a target asks for.
+type PollRequest struct {
 	// Acknowledged is the number up to which the target may forget ends; 0 for none.
 	Acknowledged int64
 	// Lease is the time until which runs are to go on, zero to leave it as it is.
@@ -64,7 +64,7 @@
 
 // Executor runs jobs on targets.
 type Executor struct {
-	orderer Orderer
+	orderer TargetClient
 	peers   *gossiper.Gossiper
 	self    linker.Hello
 	logger  hclog.Logger
@@ -99,10 +99,10 @@
 }
 
 // New returns an executor of the instance self, whose hello names its failure domain.
-func New(self linker.Hello, orderer Orderer, now func() time.Time, logger hclog.Logger) *Executor {
+func New(self linker.Hello, client TargetClient, now func() time.Time, logger hclog.Logger) *Executor {
 	ctx, cancel := context.WithCancel(context.Background())
 	executor := &Executor{
-		orderer:   orderer,
+		orderer:   client,
 		self:      self,
 		logger:    logger,
 		now:       now,
@@ -263,7 +263,7 @@
 func (executor *Executor) Drain(ctx context.Context) {
 	for {
 		executor.mu.Lock()
-		active := executor.scheduler.Active()
+		active := executor.scheduler.ActiveJobs()
 		executor.mu.Unlock()
 		if active == 0 || !sleeper.For(ctx, tickTime) {
 			return
@@ -273,13 +273,13 @@
 
 // settle carries out the actions of the scheduler; the caller holds the lock.
 func (executor *Executor) settle() {
-	for _, action := range executor.scheduler.Drain() {
+	for _, action := range executor.scheduler.TakeActions() {
 		executor.carryOut(action)
 	}
-	for _, report := range executor.scheduler.Reports(executor.now()) {
+	for _, report := range executor.scheduler.DueReports(executor.now()) {
 		executor.peers.Report(report)
 	}
-	executor.peers.Waiting(executor.scheduler.Demand(), executor.scheduler.Active() > 0)
+	executor.peers.SetDemand(executor.scheduler.Demand(), executor.scheduler.ActiveJobs() > 0)
 }
 
 func (executor *Executor) carryOut(action scheduler.Action) {
@@ -292,9 +292,9 @@
 		go executor.start(action)
 	case scheduler.StopRun:
 		go executor.stop(action)
-	case scheduler.Answer:
+	case scheduler.AnswerJob:
 		executor.answer(action)
-	case scheduler.Withdraw:
+	case scheduler.WithdrawClaim:
 		if reader := executor.reader(action.Target); reader != executor.self.Incarnation {
 			executor.peers.Withdraw(reader, action.Target, action.Run)
 		}
@@ -302,12 +302,12 @@
 		if reader := executor.reader(action.Target); reader != executor.self.Incarnation {
 			executor.peers.RelayStop(reader, action.Target, action.Run)
 		}
-	case scheduler.Offer:
-		executor.peers.Offer(action.To, action.Target, action.Room)
+	case scheduler.OfferCapacity:
+		executor.peers.Offer(action.To, action.Target, action.FreeCapacity)
 	}
 }
 
-func (executor *Executor) answer(answer scheduler.Answer) {
+func (executor *Executor) answer(answer scheduler.AnswerJob) {
 	executor.meter.count(answer)
 	executor.logAnswer(answer)
 	executor.deliver(answer.Job, answer.Outcome)
@@ -326,13 +326,13 @@
 	ctx, cancel := context.WithTimeout(executor.ctx, startTimeout)
 	defer cancel()
 	sent := executor.now()
-	result := executor.orderer.Start(ctx, start.On, start, start.Issued.Add(scheduler.LeaseTime))
+	result := executor.orderer.Start(ctx, start.On, start, start.Issued.Add(scheduler.LeaseDuration))
 	now := executor.now()
-	executor.meter.started(result, now.Sub(start.Wanted), now.Sub(sent))
+	executor.meter.started(result, now.Sub(start.Arrived), now.Sub(sent))
 	executor.logStart(start, result, now.Sub(sent))
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
-	executor.scheduler.StartAnswered(start.Target, start.Run, result, now)
+	executor.scheduler.HandleStartResult(start.Target, start.Run, result, now)
 	executor.settle()
 }
 
@@ -351,7 +351,7 @@
 	executor.logStop(stop, err)
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
-	executor.scheduler.StopAnswered(stop.On.ID, stop.Run, err == nil, executor.now())
+	executor.scheduler.HandleStopResult(stop.On.ID, stop.Run, err == nil, executor.now())
 	executor.settle()
 	executor.wake(stop.On.ID)
 }
@@ -373,7 +373,7 @@
 		executor.mu.Lock()
 		if now.Sub(ticked) > pauseTime {
 			executor.logger.Warn("instance stood still", "for-ms", now.Sub(ticked).Milliseconds())
-			executor.scheduler.Paused(now)
+			executor.scheduler.NotePause(now)
 			watched = now.Add(pauseTime)
 		}
 		ticked = now
@@ -381,10 +381,10 @@
 			watched = now
 			executor.watchDomains()
 		}
-		if executor.scheduler.Active() > 0 {
+		if executor.scheduler.ActiveJobs() > 0 {
 			executor.scheduler.Tick(now)
 		}
-		executor.scheduler.Turns(now)
+		executor.scheduler.ExpireOffers(now)
 		if now.Sub(swept) >= sweepTime {
 			swept = now
 			executor.scheduler.Sweep(now)
@@ -392,13 +392,13 @@
 			executor.stopOrphans(now)
 			executor.repeatAbandonments(now)
 		}
-		if now.Sub(repeated) >= scheduler.RepeatTime {
+		if now.Sub(repeated) >= scheduler.ClaimRepeatInterval {
 			repeated = now
 			executor.repeatClaims()
 		}
 		executor.settle()
 		next := tickTime
-		if executor.delegates && executor.scheduler.Active() == 0 {
+		if executor.delegates && executor.scheduler.ActiveJobs() == 0 {
 			next = idleTickTime
 		}
 		executor.mu.Unlock()
@@ -412,12 +412,12 @@
 // watchDomains keeps work back from failure domains of which nothing is heard; the caller holds the lock. A partition
 // would otherwise take the starts on each of their targets until it is found out on its own.
 func (executor *Executor) watchDomains() {
-	for domain, silent := range executor.peers.Silent(domainSilence) {
+	for domain, silent := range executor.peers.SilentDomains(domainSilence) {
 		if domain == executor.self.Domain || executor.silent[domain] == silent {
 			continue
 		}
 		executor.silent[domain] = silent
-		executor.scheduler.Suspend(domain, silent)
+		executor.scheduler.SetDomainSuspended(domain, silent)
 		if silent {
 			executor.logger.Warn("failure domain is not heard of", "domain", domain)
 		} else {
@@ -430,7 +430,7 @@
 func (executor *Executor) stopOrphans(now time.Time) {
 	for id, looker := range executor.lookers {
 		if looker.reads.Load() {
-			executor.scheduler.Orphans(id, executor.peers.Alive, now)
+			executor.scheduler.StopOrphans(id, executor.peers.Alive, now)
 		}
 	}
 }
--- a/executor/log.go
+++ b/executor/log.go
@@ -9,7 +9,7 @@
 	"github.com/hyssoplift/hyssoplift/scheduler"
 )
 
-func (executor *Executor) logAnswer(answer scheduler.Answer) {
+func (executor *Executor) logAnswer(answer scheduler.AnswerJob) {
 	now := executor.now()
 	fields := []any{"job", answer.Job, "took-ms", now.Sub(answer.Arrived).Milliseconds(), "late-ms", max(0, now.Sub(answer.Objective)).Milliseconds()}
 	switch outcome := answer.Outcome.(type) {
@@ -21,19 +21,19 @@
 		executor.logger.Warn("job answered", append(fields, "outcome", "unknown", "detail", outcome.Detail())...)
 	case dispatcher.Refused:
 		executor.logger.Warn("job answered", append(fields, "outcome", "refused", "reason", string(outcome.Reason()), "detail", outcome.Detail(),
-			"ahead", answer.Load.Ahead, "free", answer.Load.Free, "expected-ms", answer.Load.Expected.Milliseconds(),
-			"patience-ms", answer.Load.Patience.Milliseconds(), "retry-ms", outcome.RetryAt().Sub(now).Milliseconds())...)
+			"ahead", answer.Load.TasksAhead, "free", answer.Load.FreeSlots, "expected-ms", answer.Load.ExpectedWait.Milliseconds(),
+			"patience-ms", answer.Load.MaxWait.Milliseconds(), "retry-ms", outcome.RetryAt().Sub(now).Milliseconds())...)
 	}
 }
 
 func (executor *Executor) logStart(start scheduler.StartTask, result scheduler.StartResult, took time.Duration) {
 	if result == scheduler.StartTaken {
 		executor.logger.Info("task started", "job", start.Job, "task", start.Run.Task, "attempt", start.Run.Attempt, "target", start.Target,
-			"room", start.Room.MilliCores, "room-age-ms", start.RoomAge.Milliseconds(), "predicted-ms", start.Predicted.Milliseconds(), "took-ms", took.Milliseconds())
+			"room", start.FreeCapacity.MilliCores, "room-age-ms", start.FreeCapacityAge.Milliseconds(), "predicted-ms", start.Predicted.Milliseconds(), "took-ms", took.Milliseconds())
 		return
 	}
 	executor.logger.Warn("task not started", "job", start.Job, "task", start.Run.Task, "attempt", start.Run.Attempt, "target", start.Target,
-		"result", result.String(), "room", start.Room.MilliCores, "room-age-ms", start.RoomAge.Milliseconds(), "took-ms", took.Milliseconds())
+		"result", result.String(), "room", start.FreeCapacity.MilliCores, "room-age-ms", start.FreeCapacityAge.Milliseconds(), "took-ms", took.Milliseconds())
 }
 
 func (executor *Executor) logStop(stop scheduler.StopRun, err error) {
@@ -49,5 +49,5 @@
 	if owner != executor.self.Incarnation {
 		return
 	}
-	executor.logger.Info("run ended", "task", end.Run.Task, "attempt", end.Run.Attempt, "target", target, "cause", end.Cause.String(), "number", end.Number)
+	executor.logger.Info("run ended", "task", end.Run.Task, "attempt", end.Run.Attempt, "target", target, "cause", end.Cause.String(), "number", end.Seq)
 }
--- a/executor/looker.go
+++ b/executor/looker.go
@@ -73,7 +73,7 @@
 	ctx, cancel := context.WithCancel(executor.ctx)
 	looker := &looker{id: id, cancel: cancel, wake: make(chan struct{}, 1), settled: executor.settled, held: make(map[int64]time.Time)}
 	executor.lookers[id] = looker
-	executor.assignReader(looker, executor.peers.Staying(), executor.now())
+	executor.assignReader(looker, executor.peers.EligiblePeers(), executor.now())
 	executor.group.Go(func() {
 		for ctx.Err() == nil {
 			executor.attend(ctx, looker)
@@ -96,18 +96,18 @@
 	now := executor.now()
 	executor.mu.Lock()
 	target, known := executor.scheduler.Target(looker.id)
-	work := executor.scheduler.Work(looker.id)
+	state := executor.scheduler.TargetState(looker.id)
 	executor.mu.Unlock()
-	request, pause := looker.plan(work, now)
+	request, pause := looker.plan(state, now)
 	if !known || pause > 0 {
 		looker.rest(ctx, max(pause, lookGap))
 		return
 	}
 	looker.lastLook = now
-	if work.Occupied && !work.Unreachable && !work.Lost && looker.failures == 0 {
-		request.Lease = now.Add(scheduler.LeaseTime)
+	if state.Occupied && !state.Unreachable && !state.UnreachableByReader && looker.failures == 0 {
+		request.Lease = now.Add(scheduler.LeaseDuration)
 		executor.mu.Lock()
-		executor.scheduler.Renewing(looker.id, now)
+		executor.scheduler.NoteRenewal(looker.id, now)
 		executor.mu.Unlock()
 	}
 	if executor.cautious(now) {
@@ -117,31 +117,31 @@
 }
 
 // plan returns the next look, or how long none is due.
-func (looker *looker) plan(work scheduler.Work, now time.Time) (LookRequest, time.Duration) {
+func (looker *looker) plan(state scheduler.TargetState, now time.Time) (PollRequest, time.Duration) {
 	sinceLook := now.Sub(looker.lastLook)
 	switch {
-	case now.Before(looker.settled) && !work.Occupied && looker.failures == 0:
-		return LookRequest{}, looker.settled.Sub(now)
-	case looker.reads.Load() && !looker.known && !work.Unreachable && looker.failures == 0:
-		return LookRequest{}, 0
-	case work.Unreachable || looker.failures >= failuresToUnreachable:
-		return LookRequest{}, probeTime - sinceLook
+	case now.Before(looker.settled) && !state.Occupied && looker.failures == 0:
+		return PollRequest{}, looker.settled.Sub(now)
+	case looker.reads.Load() && !looker.known && !state.Unreachable && looker.failures == 0:
+		return PollRequest{}, 0
+	case state.Unreachable || looker.failures >= failuresToUnreachable:
+		return PollRequest{}, probeTime - sinceLook
 	case looker.failures > 0:
-		return LookRequest{Acknowledged: looker.noted}, 0
-	case looker.reads.Load() && work.Occupied:
-		request := LookRequest{Acknowledged: looker.noted, Wait: lookWait}
+		return PollRequest{Acknowledged: looker.noted}, 0
+	case looker.reads.Load() && state.Occupied:
+		request := PollRequest{Acknowledged: looker.noted, Wait: lookWait}
 		if len(looker.held) > 0 {
 			return request, heldGap - sinceLook
 		}
 		return request, lookGap - sinceLook
 	case looker.reads.Load() && (looker.noted > looker.acknowledged || len(looker.held) > 0):
-		return LookRequest{Acknowledged: looker.noted}, acknowledgeTime - now.Sub(looker.lastLook)
-	case !looker.reads.Load() && work.Own && now.Sub(work.News) >= newsTime:
-		return LookRequest{}, probeTime - sinceLook
-	case !looker.reads.Load() && work.Own:
-		return LookRequest{}, newsTime - now.Sub(work.News)
+		return PollRequest{Acknowledged: looker.noted}, acknowledgeTime - now.Sub(looker.lastLook)
+	case !looker.reads.Load() && state.HasOwnRuns && now.Sub(state.LastHeard) >= newsTime:
+		return PollRequest{}, probeTime - sinceLook
+	case !looker.reads.Load() && state.HasOwnRuns:
+		return PollRequest{}, newsTime - now.Sub(state.LastHeard)
 	}
-	return LookRequest{}, idleTime
+	return PollRequest{}, idleTime
 }
 
 // rest waits until there may be work.
@@ -157,14 +157,14 @@
 }
 
 // look asks the target and passes on what it tells.
-func (executor *Executor) look(ctx context.Context, looker *looker, target scheduler.Target, request LookRequest) {
+func (executor *Executor) look(ctx context.Context, looker *looker, target scheduler.Target, request PollRequest) {
 	timeout := request.Wait + lookTimeout
 	if executor.cautious(looker.lastLook) {
 		timeout = request.Wait + cautiousLookTimeout
 	}
 	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	look, err := executor.orderer.Look(bounded, target, request)
+	poll, err := executor.orderer.Poll(bounded, target, request)
 	executor.meter.looks.Inc()
 	if ctx.Err() != nil {
 		return
@@ -174,34 +174,34 @@
 		return
 	}
 	if looker.failures > 0 {
-		executor.logger.Info("target answers again", "target", looker.id, "incarnation", look.Incarnation)
+		executor.logger.Info("target answers again", "target", looker.id, "incarnation", poll.Incarnation)
 	}
 	looker.failures, looker.known = 0, true
-	if look.Incarnation != looker.incarnation {
-		looker.incarnation, looker.acknowledged, looker.noted, looker.passed = look.Incarnation, 0, 0, 0
+	if poll.Incarnation != looker.incarnation {
+		looker.incarnation, looker.acknowledged, looker.noted, looker.passed = poll.Incarnation, 0, 0, 0
 		clear(looker.held)
 	} else {
 		looker.acknowledged = max(looker.acknowledged, request.Acknowledged)
 	}
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
-	executor.scheduler.Looked(looker.id, look)
-	executor.noteEnds(looker, look)
-	if report, due := executor.scheduler.Renewed(looker.id, look.Answered); due {
+	executor.scheduler.HandlePoll(looker.id, poll)
+	executor.noteEnds(looker, poll)
+	if report, due := executor.scheduler.RenewalReport(looker.id, poll.Answered); due {
 		executor.peers.Report(report)
 	}
 	executor.settle()
 }
 
 // noteEnds passes on the ends that are new, and decides which may be acknowledged; the caller holds the lock.
-func (executor *Executor) noteEnds(looker *looker, look scheduler.Look) {
+func (executor *Executor) noteEnds(looker *looker, poll scheduler.PollResult) {
 	acknowledging := looker.reads.Load()
-	for _, end := range look.Ended {
-		if end.Number > looker.passed {
-			executor.passOn(looker, end, look.Answered)
+	for _, end := range poll.Ended {
+		if end.Seq > looker.passed {
+			executor.passOn(looker, end, poll.Answered)
 		}
-		if acknowledging = acknowledging && !looker.holdsBack(end.Number, look.Answered); acknowledging && end.Number > looker.noted {
-			looker.noted = end.Number
+		if acknowledging = acknowledging && !looker.holdsBack(end.Seq, poll.Answered); acknowledging && end.Seq > looker.noted {
+			looker.noted = end.Seq
 		}
 	}
 }
@@ -214,14 +214,14 @@
 	case owner == executor.self.Incarnation:
 	case owner != "" && executor.peers.Reachable(owner):
 		if looker.reads.Load() {
-			executor.peers.End(owner, looker.id, end)
+			executor.peers.SendRunEnd(owner, looker.id, end)
 		}
 	default:
-		looker.held[end.Number] = now.Add(untoldTime)
+		looker.held[end.Seq] = now.Add(untoldTime)
 	}
-	looker.passed = end.Number
+	looker.passed = end.Seq
 	executor.logEnd(looker.id, end, owner)
-	executor.scheduler.Ended(looker.id, end, now)
+	executor.scheduler.HandleEnd(looker.id, end, now)
 }
 
 // holdsBack reports whether an end is to stay unacknowledged for now.
@@ -251,6 +251,6 @@
 	if looker.failures >= failuresToUnreachable {
 		executor.mu.Lock()
 		defer executor.mu.Unlock()
-		executor.scheduler.Unreachable(looker.id)
+		executor.scheduler.MarkUnreachable(looker.id)
 	}
 }
--- a/executor/looker_test.go
+++ b/executor/looker_test.go
@@ -27,15 +27,15 @@
 	return eris.New("no answer")
 }
 
-func (absentOrderer) Look(context.Context, scheduler.Target, LookRequest) (scheduler.Look, error) {
-	return scheduler.Look{}, eris.New("no answer")
+func (absentOrderer) Poll(context.Context, scheduler.Target, PollRequest) (scheduler.PollResult, error) {
+	return scheduler.PollResult{}, eris.New("no answer")
 }
 
 func newTestExecutor(t *testing.T) *Executor {
 	self := linker.Hello{Domain: "a", Name: "n1", Incarnation: "self"}
 	executor := New(self, absentOrderer{}, time.Now, hclog.NewNullLogger())
 	t.Cleanup(executor.Close)
-	executor.SetTargets([]scheduler.Target{{ID: "t", Service: "work", Domain: "a", Capacity: scheduler.Size{MilliCores: 32000}}})
+	executor.SetTargets([]scheduler.Target{{ID: "t", Service: "work", Domain: "a", Capacity: scheduler.Resources{MilliCores: 32000}}})
 	return executor
 }
 
@@ -48,15 +48,15 @@
 	looker.reads.Store(true)
 	now := time.Now()
 	ends := []scheduler.End{
-		{Number: 1, Run: scheduler.Run{Task: "j.0.0.0", Attempt: 1}, Cause: scheduler.Done},
-		{Number: 2, Run: scheduler.Run{Task: "k.0.0.0", Attempt: 1}, Cause: scheduler.Done},
+		{Seq: 1, Run: scheduler.Run{Task: "j.0.0.0", Attempt: 1}, Cause: scheduler.Done},
+		{Seq: 2, Run: scheduler.Run{Task: "k.0.0.0", Attempt: 1}, Cause: scheduler.Done},
 	}
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
-	executor.noteEnds(looker, scheduler.Look{Ended: ends, Answered: now})
+	executor.noteEnds(looker, scheduler.PollResult{Ended: ends, Answered: now})
 	is.Equal(looker.passed, int64(2))
 	is.Equal(looker.noted, int64(0))
-	executor.noteEnds(looker, scheduler.Look{Ended: ends, Answered: now.Add(untoldTime)})
+	executor.noteEnds(looker, scheduler.PollResult{Ended: ends, Answered: now.Add(untoldTime)})
 	is.Equal(looker.noted, int64(2))
 }
 
@@ -67,18 +67,18 @@
 	tests := []struct {
 		name     string
 		reads    bool
-		work     scheduler.Work
+		work     scheduler.TargetState
 		failures int
 		due      bool
 	}{
-		{"reader of an occupied target", true, scheduler.Work{Occupied: true, News: now}, 0, true},
-		{"reader of an idle target", true, scheduler.Work{News: now}, 0, false},
-		{"not the reader, fresh news", false, scheduler.Work{Occupied: true, Own: true, News: now}, 0, false},
-		{"not the reader, old news", false, scheduler.Work{Occupied: true, Own: true, News: now.Add(-newsTime)}, 0, true},
-		{"reader, others not known yet", true, scheduler.Work{News: now}, 0, false},
-		{"own run, others not known yet", true, scheduler.Work{Occupied: true, Own: true, News: now}, 0, true},
-		{"repeat after a look without answer", false, scheduler.Work{News: now}, 1, true},
-		{"lost target, just asked", true, scheduler.Work{Unreachable: true, News: now}, failuresToUnreachable, false},
+		{"reader of an occupied target", true, scheduler.TargetState{Occupied: true, LastHeard: now}, 0, true},
+		{"reader of an idle target", true, scheduler.TargetState{LastHeard: now}, 0, false},
+		{"not the reader, fresh news", false, scheduler.TargetState{Occupied: true, HasOwnRuns: true, LastHeard: now}, 0, false},
+		{"not the reader, old news", false, scheduler.TargetState{Occupied: true, HasOwnRuns: true, LastHeard: now.Add(-newsTime)}, 0, true},
+		{"reader, others not known yet", true, scheduler.TargetState{LastHeard: now}, 0, false},
+		{"own run, others not known yet", true, scheduler.TargetState{Occupied: true, HasOwnRuns: true, LastHeard: now}, 0, true},
+		{"repeat after a look without answer", false, scheduler.TargetState{LastHeard: now}, 1, true},
+		{"lost target, just asked", true, scheduler.TargetState{Unreachable: true, LastHeard: now}, failuresToUnreachable, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/executor/meter.go
+++ b/executor/meter.go
@@ -33,8 +33,8 @@
 }
 
 // count counts the outcome of a job that this instance ran or refused.
-func (meter *meter) count(answer scheduler.Answer) {
-	labels := `outcome="` + dispatcher.ClassOf(answer.Outcome) + `"`
+func (meter *meter) count(answer scheduler.AnswerJob) {
+	labels := `outcome="` + dispatcher.OutcomeClass(answer.Outcome) + `"`
 	if refused, ok := answer.Outcome.(dispatcher.Refused); ok {
 		labels += `,reason="` + string(refused.Reason()) + `"`
 	}
@@ -43,7 +43,7 @@
 
 // delegated counts the outcome of a job that another instance ran for this one.
 func (meter *meter) delegated(outcome dispatcher.Outcome) {
-	meter.set.GetOrCreateCounter(`hyssoplift_delegated_jobs_total{outcome="` + dispatcher.ClassOf(outcome) + `"}`).Inc()
+	meter.set.GetOrCreateCounter(`hyssoplift_delegated_jobs_total{outcome="` + dispatcher.OutcomeClass(outcome) + `"}`).Inc()
 }
 
 // started counts an order to start: how long after the job's arrival it was answered, and how long the order took.
@@ -62,7 +62,7 @@
 			return float64(value())
 		}
 	}
-	meter.set.NewGauge("hyssoplift_jobs_active", read(executor.scheduler.Active))
+	meter.set.NewGauge("hyssoplift_jobs_active", read(executor.scheduler.ActiveJobs))
 	meter.set.NewGauge("hyssoplift_tasks_waiting", read(func() int {
 		demand := executor.scheduler.Demand()
 		return int(demand[0] + demand[1] + demand[2] + demand[3])
--- a/executor/news.go
+++ b/executor/news.go
@@ -8,36 +8,36 @@
 	"github.com/hyssoplift/hyssoplift/scheduler"
 )
 
-// News takes what another instance tells.
-func (executor *Executor) News(from string, news linker.News) {
+// HandleStateUpdate takes what another instance tells.
+func (executor *Executor) HandleStateUpdate(from string, update linker.StateUpdate) {
 	now := executor.now()
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
-	for _, claim := range news.Claims {
+	for _, claim := range update.Claims {
 		executor.claimed(from, claim, now)
 	}
-	for _, name := range news.Withdrawn {
-		executor.scheduler.PeerWithdrew(name.Target, runOf(name), now)
+	for _, id := range update.Withdrawn {
+		executor.scheduler.HandlePeerWithdrawal(id.Target, runOf(id), now)
 	}
-	for _, name := range news.Stops {
-		executor.scheduler.PeerStop(name.Target, runOf(name))
+	for _, id := range update.Stops {
+		executor.scheduler.HandlePeerStop(id.Target, runOf(id))
 	}
-	for _, room := range news.Rooms {
-		size := scheduler.Size{MilliCores: room.MilliCores, MemoryMB: room.MemoryMB, Accelerators: room.Accelerators}
-		executor.scheduler.PeerReported(scheduler.Report{Target: room.Target, Room: size, Lost: room.Lost}, now)
+	for _, free := range update.FreeCapacity {
+		resources := scheduler.Resources{MilliCores: free.MilliCores, MemoryMB: free.MemoryMB, Accelerators: free.Accelerators}
+		executor.scheduler.HandlePeerReport(scheduler.CapacityReport{Target: free.Target, FreeCapacity: resources, Unreachable: free.Unreachable}, now)
 	}
-	if len(news.Waiting) > 0 {
+	if len(update.Waiting) > 0 {
 		var demand scheduler.Demand
-		copy(demand[:], news.Waiting)
-		executor.scheduler.PeerDemand(from, demand)
+		copy(demand[:], update.Waiting)
+		executor.scheduler.HandlePeerDemand(from, demand)
 	}
-	for _, end := range news.Ends {
+	for _, end := range update.Ends {
 		run := scheduler.Run{Task: end.Task, Attempt: end.Attempt}
-		decoded := scheduler.End{Number: end.Number, Run: run, Cause: scheduler.Cause(end.Cause)}
+		decoded := scheduler.End{Seq: end.Number, Run: run, Cause: scheduler.Cause(end.Cause)}
 		executor.logEnd(end.Target, decoded, executor.self.Incarnation)
-		executor.scheduler.Ended(end.Target, decoded, now)
+		executor.scheduler.HandleEnd(end.Target, decoded, now)
 	}
-	for _, job := range news.Abandoned {
+	for _, job := range update.Abandoned {
 		executor.abandonForeign(from, job)
 	}
 	executor.scheduler.Place(now)
@@ -47,28 +47,28 @@
 // claimed takes the claim of another instance, or answers it with the end that is known already.
 func (executor *Executor) claimed(from string, claim linker.Claim, now time.Time) {
 	decoded := scheduler.Claim{
-		Target:   claim.Target,
-		Run:      scheduler.Run{Task: claim.Task, Attempt: claim.Attempt},
-		Size:     scheduler.Size{MilliCores: claim.MilliCores, MemoryMB: claim.MemoryMB, Accelerators: claim.Accelerators},
-		Estimate: time.Duration(claim.EstimateMS) * time.Millisecond,
+		Target:    claim.Target,
+		Run:       scheduler.Run{Task: claim.Task, Attempt: claim.Attempt},
+		Resources: scheduler.Resources{MilliCores: claim.MilliCores, MemoryMB: claim.MemoryMB, Accelerators: claim.Accelerators},
+		Estimate:  time.Duration(claim.EstimateMS) * time.Millisecond,
 	}
-	if end, ended := executor.scheduler.PeerClaimed(from, decoded, now); ended {
-		executor.peers.End(from, claim.Target, end)
+	if end, ended := executor.scheduler.HandlePeerClaim(from, decoded, now); ended {
+		executor.peers.SendRunEnd(from, claim.Target, end)
 		return
 	}
 	executor.wake(claim.Target)
 }
 
-func runOf(name linker.RunName) scheduler.Run {
-	return scheduler.Run{Task: name.Task, Attempt: name.Attempt}
+func runOf(id linker.RunID) scheduler.Run {
+	return scheduler.Run{Task: id.Task, Attempt: id.Attempt}
 }
 
-// Gone takes that another instance is not heard of any more.
-func (executor *Executor) Gone(from string) {
+// PeerLost takes that another instance is not heard of any more.
+func (executor *Executor) PeerLost(from string) {
 	executor.logger.Warn("instance is not heard of", "peer", from)
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
-	executor.scheduler.PeerGone(from)
+	executor.scheduler.RemovePeer(from)
 	executor.abandonForeign(from, "")
 	executor.delegateGone(from)
 	executor.settle()
@@ -84,19 +84,19 @@
 
 // assignReaders decides anew who reads each target, if the instances or targets have changed; the caller holds the lock.
 func (executor *Executor) assignReaders(now time.Time) {
-	version := executor.peers.Version()
+	version := executor.peers.PeersVersion()
 	if version == executor.assigned && !executor.reassign {
 		return
 	}
 	executor.assigned, executor.reassign = version, false
-	if delegates := executor.peers.Delegates(); delegates != executor.delegates {
+	if delegates := executor.peers.Delegating(); delegates != executor.delegates {
 		executor.delegates = delegates
 		executor.logger.Info("share of jobs changed", "passes-on", delegates, "weight", executor.self.Weight)
 		if delegates {
 			executor.orderer.CloseIdle()
 		}
 	}
-	staying := executor.peers.Staying()
+	staying := executor.peers.EligiblePeers()
 	for _, looker := range executor.lookers {
 		executor.assignReader(looker, staying, now)
 	}
@@ -119,7 +119,7 @@
 	if looker.reads.Swap(reads) != reads {
 		executor.logger.Debug("reader of target changed", "target", looker.id, "own", reads, "reader", best.Name)
 	}
-	executor.scheduler.Read(looker.id, reads, now)
+	executor.scheduler.SetReader(looker.id, reads, now)
 	executor.wake(looker.id)
 }
 
@@ -142,7 +142,7 @@
 
 // score returns the weighted rendezvous score of an instance for a target.
 func score(target string, instance *linker.Hello) float64 {
-	return -instance.Share() / math.Log(scheduler.Affinity(instance.Incarnation, target))
+	return -instance.EffectiveWeight() / math.Log(scheduler.RendezvousHash(instance.Incarnation, target))
 }
 
 // Leave hands the targets that this instance reads to the others, which hear that it is about to stop. A leaving
--- a/executor/soak_test.go
+++ b/executor/soak_test.go
@@ -75,7 +75,7 @@
 func (targets *leasedTargets) infos() []scheduler.Target {
 	infos := make([]scheduler.Target, 0, len(targets.targets))
 	for id := range targets.targets {
-		infos = append(infos, scheduler.Target{ID: id, Service: "work", Domain: "a", Capacity: scheduler.Size{MilliCores: 8000, MemoryMB: 1 << 20}})
+		infos = append(infos, scheduler.Target{ID: id, Service: "work", Domain: "a", Capacity: scheduler.Resources{MilliCores: 8000, MemoryMB: 1 << 20}})
 	}
 	return infos
 }
@@ -85,7 +85,7 @@
 	delete(target.running, run)
 	delete(targets.at, run.Task)
 	target.highest[run.Task] = max(target.highest[run.Task], run.Attempt)
-	target.ended = append(target.ended, scheduler.End{Number: int64(len(target.ended) + 1), Run: run, Cause: cause})
+	target.ended = append(target.ended, scheduler.End{Seq: int64(len(target.ended) + 1), Run: run, Cause: cause})
 }
 
 // advance ends what is done or has lapsed; the caller holds the lock.
@@ -143,7 +143,7 @@
 	return nil
 }
 
-func (targets *leasedTargets) Look(ctx context.Context, on scheduler.Target, request LookRequest) (scheduler.Look, error) {
+func (targets *leasedTargets) Poll(ctx context.Context, on scheduler.Target, request PollRequest) (scheduler.PollResult, error) {
 	sent := time.Now()
 	targets.mu.Lock()
 	target := targets.targets[on.ID]
@@ -159,16 +159,16 @@
 	targets.mu.Lock()
 	defer targets.mu.Unlock()
 	targets.advance(now)
-	look := scheduler.Look{Incarnation: 1, Sent: sent, Answered: now}
+	poll := scheduler.PollResult{Incarnation: 1, Sent: sent, Answered: now}
 	for run := range target.running {
-		look.Running = append(look.Running, scheduler.Row{Run: run})
+		poll.Running = append(poll.Running, scheduler.ActiveRun{Run: run})
 	}
 	for _, end := range target.ended {
-		if end.Number > request.Acknowledged {
-			look.Ended = append(look.Ended, end)
+		if end.Seq > request.Acknowledged {
+			poll.Ended = append(poll.Ended, end)
 		}
 	}
-	return look, nil
+	return poll, nil
 }
 
 func (*leasedTargets) CloseIdle() {}
@@ -262,7 +262,7 @@
 	for number, weight := range []float64{0.1, 0.1, 0.8, 0.8} {
 		self := linker.Hello{Domain: "a", Name: fmt.Sprintf("n%d", number), Incarnation: fmt.Sprintf("n%d", number), Weight: weight}
 		limits := linker.DefaultLimits()
-		limits.SilenceLimit, limits.PingInterval = 700*time.Millisecond, 300*time.Millisecond
+		limits.IOTimeout, limits.PingInterval = 700*time.Millisecond, 300*time.Millisecond
 		added := newMember(t, self, leasedOrderer{soak.leasedTargets, self.Name}, limits, soak.infos())
 		proxy := newProxy(t, strings.TrimPrefix(added.server.URL, "http://"))
 		soak.members, soak.proxies = append(soak.members, added), append(soak.proxies, proxy)
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -22,9 +22,9 @@
 	minReportTime = 4 * time.Millisecond
 	// heartbeatTime is how often an instance is heard of without news.
 	heartbeatTime = 120 * time.Millisecond
-	// SilenceTime is how long an instance may not be heard of before it counts as gone: four heartbeats. Its runs are
+	// PeerTimeout is how long an instance may not be heard of before it counts as gone: four heartbeats. Its runs are
 	// stopped then, well before a caller that it lost sends its job again.
-	SilenceTime = 500 * time.Millisecond
+	PeerTimeout = 500 * time.Millisecond
 	// pauseTime is how late a heartbeat must be to show that this instance itself stood still.
 	pauseTime = 300 * time.Millisecond
 	// forgetTime is how long an instance that is gone stays known.
@@ -33,12 +33,12 @@
 
 // Receiver takes what other instances tell.
 type Receiver interface {
-	// News takes the news of one instance.
-	News(from string, news linker.News)
-	// Gone takes that an instance is not heard of any more.
-	Gone(from string)
-	// Delegated takes a job to run for another instance, and must not block.
-	Delegated(from string, delegation linker.Delegation)
+	// HandleStateUpdate takes the news of one instance.
+	HandleStateUpdate(from string, update linker.StateUpdate)
+	// PeerLost takes that an instance is not heard of any more.
+	PeerLost(from string)
+	// HandleDelegation takes a job to run for another instance, and must not block.
+	HandleDelegation(from string, delegation linker.Delegation)
 	// LinkEnded takes that a link to an instance has ended; there may be another one.
 	LinkEnded(from string)
 }
@@ -69,12 +69,12 @@
 
 	mu sync.Mutex
 	// direct holds what is not sent yet to single instances, and urgent that it is sent at once.
-	direct map[string]*linker.News
+	direct map[string]*linker.StateUpdate
 	urgent bool
 	// reports and demand are broadcast next.
-	reports map[string]scheduler.Report
+	reports map[string]scheduler.CapacityReport
 	// farReports are broadcast next to other failure domains, and farSent is when they were last.
-	farReports map[string]scheduler.Report
+	farReports map[string]scheduler.CapacityReport
 	farSent    time.Time
 	demand     scheduler.Demand
 	busy       bool
@@ -99,9 +99,9 @@
 		cancel:     cancel,
 		wake:       make(chan struct{}, 1),
 		changed:    make(chan struct{}, 1),
-		direct:     make(map[string]*linker.News),
-		reports:    make(map[string]scheduler.Report),
-		farReports: make(map[string]scheduler.Report),
+		direct:     make(map[string]*linker.StateUpdate),
+		reports:    make(map[string]scheduler.CapacityReport),
+		farReports: make(map[string]scheduler.CapacityReport),
 		ticked:     now(),
 		peers:      make(map[string]*peer),
 	}
@@ -110,8 +110,8 @@
 	return gossiper
 }
 
-// Use sets the links to send on; it is called once, before the first member is known.
-func (gossiper *Gossiper) Use(links *linker.Linker) {
+// SetLinks sets the links to send on; it is called once, before the first member is known.
+func (gossiper *Gossiper) SetLinks(links *linker.Linker) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	gossiper.links = links
@@ -132,25 +132,25 @@
 }
 
 // to adds news for one instance; the caller holds the lock.
-func (gossiper *Gossiper) to(incarnation string, urgent bool) *linker.News {
-	news, ok := gossiper.direct[incarnation]
+func (gossiper *Gossiper) to(incarnation string, urgent bool) *linker.StateUpdate {
+	update, ok := gossiper.direct[incarnation]
 	if !ok {
-		news = &linker.News{}
-		gossiper.direct[incarnation] = news
+		update = &linker.StateUpdate{}
+		gossiper.direct[incarnation] = update
 	}
 	gossiper.urgent = gossiper.urgent || urgent
 	poke(gossiper.wake)
-	return news
+	return update
 }
 
 // Claim tells the reader of a target of a start.
 func (gossiper *Gossiper) Claim(reader string, claim scheduler.Claim) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	news := gossiper.to(reader, false)
-	news.Claims = append(news.Claims, linker.Claim{
+	update := gossiper.to(reader, false)
+	update.Claims = append(update.Claims, linker.Claim{
 		Target: claim.Target, Task: claim.Run.Task, Attempt: claim.Run.Attempt,
-		MilliCores: claim.Size.MilliCores, MemoryMB: claim.Size.MemoryMB, Accelerators: claim.Size.Accelerators,
+		MilliCores: claim.Resources.MilliCores, MemoryMB: claim.Resources.MemoryMB, Accelerators: claim.Resources.Accelerators,
 		EstimateMS: claim.Estimate.Milliseconds(),
 	})
 }
@@ -159,25 +159,25 @@
 func (gossiper *Gossiper) Withdraw(reader, target string, run scheduler.Run) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	news := gossiper.to(reader, false)
-	news.Withdrawn = append(news.Withdrawn, linker.RunName{Target: target, Task: run.Task, Attempt: run.Attempt})
+	update := gossiper.to(reader, false)
+	update.Withdrawn = append(update.Withdrawn, linker.RunID{Target: target, Task: run.Task, Attempt: run.Attempt})
 }
 
 // RelayStop asks the reader of a target to stop a run.
 func (gossiper *Gossiper) RelayStop(reader, target string, run scheduler.Run) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	news := gossiper.to(reader, true)
-	news.Stops = append(news.Stops, linker.RunName{Target: target, Task: run.Task, Attempt: run.Attempt})
+	update := gossiper.to(reader, true)
+	update.Stops = append(update.Stops, linker.RunID{Target: target, Task: run.Task, Attempt: run.Attempt})
 }
 
-// End tells the owner of a run of its end, at once, since a caller waits for it.
-func (gossiper *Gossiper) End(owner, target string, end scheduler.End) {
+// SendRunEnd tells the owner of a run of its end, at once, since a caller waits for it.
+func (gossiper *Gossiper) SendRunEnd(owner, target string, end scheduler.End) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	news := gossiper.to(owner, true)
-	news.Ends = append(news.Ends, linker.RunEnd{
-		Target: target, Task: end.Run.Task, Attempt: end.Run.Attempt, Number: end.Number, Cause: int64(end.Cause),
+	update := gossiper.to(owner, true)
+	update.Ends = append(update.Ends, linker.RunEnd{
+		Target: target, Task: end.Run.Task, Attempt: end.Run.Attempt, Number: end.Seq, Cause: int64(end.Cause),
 	})
 }
 
@@ -185,8 +185,8 @@
 func (gossiper *Gossiper) Abandon(delegate, job string) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	news := gossiper.to(delegate, true)
-	news.Abandoned = append(news.Abandoned, job)
+	update := gossiper.to(delegate, true)
+	update.Abandoned = append(update.Abandoned, job)
 }
 
 // Call sends a request to an instance and returns the response; see linker.Linker.Call.
@@ -198,9 +198,9 @@
 	return links.Call(ctx, incarnation, request)
 }
 
-// Answer sends the outcome of a delegated job to the instance that asked for it; if that fails, the link has ended and
+// AnswerDelegation sends the outcome of a delegated job to the instance that asked for it; if that fails, the link has ended and
 // the instance no longer waits.
-func (gossiper *Gossiper) Answer(incarnation string, answer linker.DelegationAnswer) error {
+func (gossiper *Gossiper) AnswerDelegation(incarnation string, answer linker.DelegationAnswer) error {
 	links := gossiper.linked()
 	if links == nil {
 		return linker.ErrNoLink
@@ -215,23 +215,23 @@
 }
 
 // Offer tells one instance at once of the room of a target.
-func (gossiper *Gossiper) Offer(to, target string, room scheduler.Size) {
+func (gossiper *Gossiper) Offer(to, target string, room scheduler.Resources) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	news := gossiper.to(to, true)
-	news.Rooms = append(news.Rooms, newRoom(scheduler.Report{Target: target, Room: room}))
+	update := gossiper.to(to, true)
+	update.FreeCapacity = append(update.FreeCapacity, newRoom(scheduler.CapacityReport{Target: target, FreeCapacity: room}))
 }
 
 // Report tells all instances of the room of a target.
-func (gossiper *Gossiper) Report(report scheduler.Report) {
+func (gossiper *Gossiper) Report(report scheduler.CapacityReport) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	gossiper.reports[report.Target], gossiper.farReports[report.Target] = report, report
 	poke(gossiper.changed)
 }
 
-// Waiting tells all instances how many tasks wait, and whether this instance has any jobs of its own.
-func (gossiper *Gossiper) Waiting(demand scheduler.Demand, busy bool) {
+// SetDemand tells all instances how many tasks wait, and whether this instance has any jobs of its own.
+func (gossiper *Gossiper) SetDemand(demand scheduler.Demand, busy bool) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	// Only an instance that passes its jobs on is treated by whether it is busy.
@@ -242,10 +242,10 @@
 	}
 }
 
-func newRoom(report scheduler.Report) linker.Room {
-	room := report.Room
-	return linker.Room{
-		Target: report.Target, MilliCores: room.MilliCores, MemoryMB: room.MemoryMB, Accelerators: room.Accelerators, Lost: report.Lost,
+func newRoom(report scheduler.CapacityReport) linker.FreeCapacity {
+	room := report.FreeCapacity
+	return linker.FreeCapacity{
+		Target: report.Target, MilliCores: room.MilliCores, MemoryMB: room.MemoryMB, Accelerators: room.Accelerators, Unreachable: report.Unreachable,
 	}
 }
 
@@ -269,15 +269,15 @@
 		}
 		gossiper.mu.Lock()
 		direct, links := gossiper.direct, gossiper.links
-		gossiper.direct, gossiper.urgent = make(map[string]*linker.News, len(direct)), false
+		gossiper.direct, gossiper.urgent = make(map[string]*linker.StateUpdate, len(direct)), false
 		gossiper.mu.Unlock()
 		if links == nil {
 			continue
 		}
-		for incarnation, news := range direct {
+		for incarnation, update := range direct {
 			// What cannot be sent is repeated: claims and abandoned jobs by their owner, and ends when a claim comes after
 			// them.
-			_ = links.Send(incarnation, *news)
+			_ = links.Send(incarnation, *update)
 		}
 	}
 }
@@ -323,7 +323,7 @@
 // broadcast is one message and the instances that get it.
 type broadcast struct {
 	to   []string
-	news linker.News
+	news linker.StateUpdate
 }
 
 // dueNews is what is sent now, and the time to the next broadcast.
@@ -353,9 +353,9 @@
 	// However many instances there are, the others take one that is not heard of for some heartbeats to be gone.
 	pause := min(max(minReportTime, reportTimePerPeer*time.Duration(farTimes*len(near)+len(far))/farTimes), heartbeatTime)
 	due := dueNews{pause: pause}
-	news := linker.News{Waiting: append([]int64(nil), gossiper.demand[:]...), Leaving: gossiper.leaving, Busy: gossiper.busy}
+	update := linker.StateUpdate{Waiting: append([]int64(nil), gossiper.demand[:]...), Leaving: gossiper.leaving, Busy: gossiper.busy}
 	if len(beats) > 0 {
-		due.broadcasts = append(due.broadcasts, broadcast{beats, news})
+		due.broadcasts = append(due.broadcasts, broadcast{beats, update})
 	}
 	if beatDue {
 		gossiper.beaten = now
@@ -363,22 +363,22 @@
 	if farDue := now.Sub(gossiper.farSent) >= (farTimes-1)*pause; farDue || beatDue {
 		gossiper.farSent = now
 		if len(far) > 0 {
-			due.broadcasts = append(due.broadcasts, broadcast{far, withRooms(news, gossiper.farReports)})
+			due.broadcasts = append(due.broadcasts, broadcast{far, withRooms(update, gossiper.farReports)})
 		}
 		clear(gossiper.farReports)
 	}
 	if len(near) > 0 {
-		due.broadcasts = append(due.broadcasts, broadcast{near, withRooms(news, gossiper.reports)})
+		due.broadcasts = append(due.broadcasts, broadcast{near, withRooms(update, gossiper.reports)})
 	}
 	clear(gossiper.reports)
 	return due
 }
 
-func withRooms(news linker.News, reports map[string]scheduler.Report) linker.News {
+func withRooms(update linker.StateUpdate, reports map[string]scheduler.CapacityReport) linker.StateUpdate {
 	for _, report := range reports {
-		news.Rooms = append(news.Rooms, newRoom(report))
+		update.FreeCapacity = append(update.FreeCapacity, newRoom(report))
 	}
-	return news
+	return update
 }
 
 // watch finds the peers that are not heard of any more.
@@ -399,7 +399,7 @@
 			// It sends nothing to this instance, and nothing depends on how soon its loss is known.
 			continue
 		}
-		if !peer.gone && now.Sub(peer.heard) > SilenceTime {
+		if !peer.gone && now.Sub(peer.heard) > PeerTimeout {
 			peer.gone = true
 			lost = append(lost, incarnation)
 		}
@@ -412,7 +412,7 @@
 	}
 	gossiper.mu.Unlock()
 	for _, incarnation := range lost {
-		gossiper.receiver.Gone(incarnation)
+		gossiper.receiver.PeerLost(incarnation)
 	}
 }
 
@@ -421,19 +421,19 @@
 	switch message := message.(type) {
 	case linker.LinkEnded:
 		gossiper.receiver.LinkEnded(from.Incarnation)
-	case linker.News:
+	case linker.StateUpdate:
 		gossiper.hear(from, message)
-		gossiper.receiver.News(from.Incarnation, message)
+		gossiper.receiver.HandleStateUpdate(from.Incarnation, message)
 	case linker.Delegation:
-		gossiper.hear(from, linker.News{})
-		gossiper.receiver.Delegated(from.Incarnation, message)
+		gossiper.hear(from, linker.StateUpdate{})
+		gossiper.receiver.HandleDelegation(from.Incarnation, message)
 	default:
-		gossiper.hear(from, linker.News{})
+		gossiper.hear(from, linker.StateUpdate{})
 	}
 }
 
 // hear notes that an instance was heard of; only broadcast news, which name the waiting tasks, tell its state.
-func (gossiper *Gossiper) hear(from linker.Hello, news linker.News) {
+func (gossiper *Gossiper) hear(from linker.Hello, update linker.StateUpdate) {
 	now := gossiper.now()
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
@@ -443,8 +443,8 @@
 		gossiper.peers[from.Incarnation] = known
 	}
 	leaving := known.leaving
-	if len(news.Waiting) > 0 {
-		leaving, known.busy = news.Leaving, news.Busy
+	if len(update.Waiting) > 0 {
+		leaving, known.busy = update.Leaving, update.Busy
 	}
 	changed := !ok || known.gone || leaving != known.leaving
 	known.heard, known.gone, known.leaving = now, false, leaving
@@ -453,8 +453,8 @@
 	}
 }
 
-// Silent returns the other failure domains with instances that stay, and whether none of them was heard of for a time.
-func (gossiper *Gossiper) Silent(duration time.Duration) map[string]bool {
+// SilentDomains returns the other failure domains with instances that stay, and whether none of them was heard of for a time.
+func (gossiper *Gossiper) SilentDomains(duration time.Duration) map[string]bool {
 	now := gossiper.now()
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
@@ -484,15 +484,15 @@
 	return links != nil && links.Connected(incarnation)
 }
 
-// Version returns a number that rises with each change of what Staying returns.
-func (gossiper *Gossiper) Version() int64 {
+// PeersVersion returns a number that rises with each change of what Staying returns.
+func (gossiper *Gossiper) PeersVersion() int64 {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	return gossiper.version
 }
 
-// Staying returns the hellos of the instances that are heard of, do not leave and do not pass their jobs on.
-func (gossiper *Gossiper) Staying() []linker.Hello {
+// EligiblePeers returns the hellos of the instances that are heard of, do not leave and do not pass their jobs on.
+func (gossiper *Gossiper) EligiblePeers() []linker.Hello {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	var staying []linker.Hello
--- a/gossiper/share.go
+++ b/gossiper/share.go
@@ -33,21 +33,21 @@
 // the lock.
 func (gossiper *Gossiper) share() {
 	gossiper.version++
-	weights := []float64{gossiper.self.Share()}
+	weights := []float64{gossiper.self.EffectiveWeight()}
 	for _, peer := range gossiper.peers {
 		if !peer.gone && !peer.leaving {
-			weights = append(weights, peer.hello.Share())
+			weights = append(weights, peer.hello.EffectiveWeight())
 		}
 	}
 	bound := delegationBound(weights)
-	gossiper.delegates = gossiper.self.Share() < bound
+	gossiper.delegates = gossiper.self.EffectiveWeight() < bound
 	for _, peer := range gossiper.peers {
-		peer.delegates = peer.hello.Share() < bound
+		peer.delegates = peer.hello.EffectiveWeight() < bound
 	}
 }
 
-// Delegates reports whether this instance passes its jobs on to larger ones.
-func (gossiper *Gossiper) Delegates() bool {
+// Delegating reports whether this instance passes its jobs on to larger ones.
+func (gossiper *Gossiper) Delegating() bool {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	return gossiper.delegates
--- a/gossiper/share_test.go
+++ b/gossiper/share_test.go
@@ -46,10 +46,10 @@
 // recording is a receiver that notes the instances that are gone.
 type recording struct{ gone []string }
 
-func (*recording) News(string, linker.News)            {}
-func (recording *recording) Gone(from string)          { recording.gone = append(recording.gone, from) }
-func (*recording) Delegated(string, linker.Delegation) {}
-func (*recording) LinkEnded(string)                    {}
+func (*recording) HandleStateUpdate(string, linker.StateUpdate) {}
+func (recording *recording) PeerLost(from string)               { recording.gone = append(recording.gone, from) }
+func (*recording) HandleDelegation(string, linker.Delegation)   {}
+func (*recording) LinkEnded(string)                             {}
 
 // newTestGossiper returns a gossiper without goroutines, whose time is set through the pointer.
 func newTestGossiper(weight float64) (*Gossiper, *recording, *time.Time) {
@@ -57,8 +57,8 @@
 	receiver := &recording{}
 	return &Gossiper{
 		self: linker.Hello{Domain: "a", Incarnation: "self", Weight: weight}, receiver: receiver, now: func() time.Time { return now },
-		wake: make(chan struct{}, 1), changed: make(chan struct{}, 1), direct: make(map[string]*linker.News), peers: make(map[string]*peer), ticked: now,
-		reports: make(map[string]scheduler.Report), farReports: make(map[string]scheduler.Report),
+		wake: make(chan struct{}, 1), changed: make(chan struct{}, 1), direct: make(map[string]*linker.StateUpdate), peers: make(map[string]*peer), ticked: now,
+		reports: make(map[string]scheduler.CapacityReport), farReports: make(map[string]scheduler.CapacityReport),
 	}, receiver, &now
 }
 
@@ -72,32 +72,32 @@
 func TestRolesFollowTheInstances(t *testing.T) {
 	is := is.New(t)
 	gossiper, _, now := newTestGossiper(0.144)
-	is.True(!gossiper.Delegates())
+	is.True(!gossiper.Delegating())
 	gossiper.meet("small", 0.144)
-	is.True(!gossiper.Delegates())
-	is.Equal(len(gossiper.Staying()), 1)
+	is.True(!gossiper.Delegating())
+	is.Equal(len(gossiper.EligiblePeers()), 1)
 	gossiper.meet("large", 0.8)
-	is.True(gossiper.Delegates())
-	staying := gossiper.Staying()
+	is.True(gossiper.Delegating())
+	staying := gossiper.EligiblePeers()
 	is.Equal(len(staying), 1)
 	is.Equal(staying[0].Incarnation, "large")
-	gossiper.Receive(linker.Hello{Domain: "a", Incarnation: "large", Weight: 0.8}, linker.News{Waiting: []int64{0}, Leaving: true})
-	is.True(!gossiper.Delegates()) // the only larger one leaves
+	gossiper.Receive(linker.Hello{Domain: "a", Incarnation: "large", Weight: 0.8}, linker.StateUpdate{Waiting: []int64{0}, Leaving: true})
+	is.True(!gossiper.Delegating()) // the only larger one leaves
 	gossiper.meet("next", 0.8)
-	is.True(gossiper.Delegates())
-	*now = now.Add(SilenceTime / 2)
+	is.True(gossiper.Delegating())
+	*now = now.Add(PeerTimeout / 2)
 	gossiper.watch()
-	*now = now.Add(SilenceTime)
+	*now = now.Add(PeerTimeout)
 	gossiper.ticked = *now
 	gossiper.watch()
-	is.True(!gossiper.Delegates()) // nothing was heard of it
+	is.True(!gossiper.Delegating()) // nothing was heard of it
 }
 
 // receivers returns the instances that get rooms and those that get heartbeats only in what is due.
 func (gossiper *Gossiper) receivers() (rooms, beats []string) {
-	gossiper.Report(scheduler.Report{Target: "t"})
+	gossiper.Report(scheduler.CapacityReport{Target: "t"})
 	for _, broadcast := range gossiper.due(gossiper.now()).broadcasts {
-		if len(broadcast.news.Rooms) > 0 {
+		if len(broadcast.news.FreeCapacity) > 0 {
 			rooms = append(rooms, broadcast.to...)
 		} else {
 			beats = append(beats, broadcast.to...)
@@ -146,16 +146,16 @@
 	pause := gossiper.due(*now).pause
 	for range 30 {
 		*now = now.Add(pause)
-		gossiper.Report(scheduler.Report{Target: "t"})
+		gossiper.Report(scheduler.CapacityReport{Target: "t"})
 		for _, broadcast := range gossiper.due(*now).broadcasts {
 			for _, to := range broadcast.to {
-				counts[to] += len(broadcast.news.Rooms)
+				counts[to] += len(broadcast.news.FreeCapacity)
 			}
 		}
 	}
 	is.Equal(counts["near"], 30)
 	is.True(counts["far"] >= 10 && counts["far"] <= 16)
-	gossiper.Report(scheduler.Report{Target: "t"})
+	gossiper.Report(scheduler.CapacityReport{Target: "t"})
 	gossiper.farSent = now.Add(-time.Millisecond)
 	gossiper.beaten = *now
 	is.Equal(len(gossiper.due(*now).broadcasts), 1)
@@ -171,11 +171,11 @@
 	large.meet("small", 0.144)
 	rooms, _ := large.receivers()
 	is.Equal(len(rooms), 0)
-	large.Receive(linker.Hello{Domain: "a", Incarnation: "small", Weight: 0.144}, linker.News{Waiting: []int64{0}, Busy: true})
+	large.Receive(linker.Hello{Domain: "a", Incarnation: "small", Weight: 0.144}, linker.StateUpdate{Waiting: []int64{0}, Busy: true})
 	rooms, beats := large.receivers()
 	is.Equal(rooms, []string{"small"})
 	is.Equal(len(beats), 0)
-	large.Receive(linker.Hello{Domain: "a", Incarnation: "small", Weight: 0.144}, linker.News{Waiting: []int64{0}})
+	large.Receive(linker.Hello{Domain: "a", Incarnation: "small", Weight: 0.144}, linker.StateUpdate{Waiting: []int64{0}})
 	rooms, _ = large.receivers()
 	is.Equal(len(rooms), 0)
 }
--- a/keeper/adopt.go
+++ b/keeper/adopt.go
@@ -10,9 +10,9 @@
 
 const detailMoved = "the slice has another owner now"
 
-// OpenLog tells the keeper the earliest retained offset of the stream of views, before the first Adopt and
+// SetEarliestOffset tells the keeper the earliest retained offset of the stream of views, before the first Adopt and
 // again whenever the reader had to skip trimmed records.
-func (keeper *Keeper) OpenLog(earliest int64) {
+func (keeper *Keeper) SetEarliestOffset(earliest int64) {
 	keeper.chainMutex.Lock()
 	defer keeper.chainMutex.Unlock()
 	keeper.chain.open(earliest)
@@ -129,7 +129,7 @@
 
 func (shard *shard) loseAttempt(attempt *attempt, detail string, resubmit bool, effects *effects) {
 	for _, ticket := range attempt.tickets {
-		effects.emit(AttemptLost{Key: attempt.key, Ticket: ticket, Outcome: dispatcher.NewUnknown(detail), Resubmit: resubmit})
+		effects.emit(AttemptFailed{Key: attempt.key, Ticket: ticket, Outcome: dispatcher.NewUnknown(detail), Resubmit: resubmit})
 	}
 }
 
@@ -178,10 +178,10 @@
 	at   time.Time
 }
 
-// Accounted says that every incarnation on the instance list has adopted the view with this number, the
+// SetAdoptedByAll says that every incarnation on the instance list has adopted the view with this number, the
 // current one. After the longest run and one retention period, closed slices open to plain keys, and plain keys
 // of instances that have left are forgotten.
-func (keeper *Keeper) Accounted(view int64, now time.Time) {
+func (keeper *Keeper) SetAdoptedByAll(view int64, now time.Time) {
 	if view == NoView || view != keeper.place.Load().number() {
 		return
 	}
--- a/keeper/bench_test.go
+++ b/keeper/bench_test.go
@@ -98,7 +98,7 @@
 func (group *group) fill(records int) *keeper.Keeper {
 	owner := group.keepers[group.members[0].Incarnation]
 	for number := range records {
-		group.runJob(owner, fmt.Sprintf("%sjob-%010d", owner.Prefix(group.now), number))
+		group.runJob(owner, fmt.Sprintf("%sjob-%010d", owner.KeyPrefix(group.now), number))
 	}
 	return owner
 }
@@ -112,7 +112,7 @@
 			b.ReportAllocs()
 			number := 0
 			for b.Loop() {
-				group.runJob(owner, fmt.Sprintf("%snew-%010d", owner.Prefix(group.now), number))
+				group.runJob(owner, fmt.Sprintf("%snew-%010d", owner.KeyPrefix(group.now), number))
 				number++
 			}
 		})
--- a/keeper/cancel.go
+++ b/keeper/cancel.go
@@ -20,7 +20,7 @@
 	defer shard.mutex.Unlock()
 	stored := shard.lookUp(key, now)
 	if stored != nil && stored.holder == shard.self() && stored.state >= StateStarted {
-		return TooLate{}, nil
+		return AlreadyStarted{}, nil
 	}
 	if decision := shard.standingDecision(key, forwarded); decision != nil {
 		return decision, nil
@@ -38,7 +38,7 @@
 	case shard.attempts[key.text] != nil:
 		return shard.cancelPending(key, stored, now, effects), nil
 	default:
-		return TooLate{}, nil
+		return AlreadyStarted{}, nil
 	}
 }
 
--- a/keeper/chain.go
+++ b/keeper/chain.go
@@ -33,7 +33,7 @@
 	// back to life whose records have been dropped.
 	expiryFloor int64
 	// order holds, for each slice, the indexes of view.Members in rendezvous order; the first one owns it.
-	order [Slices][]uint16
+	order [SliceCount][]uint16
 }
 
 func newStanding(number int64, view View, origin origin, expiryFloor int64) *standing {
@@ -48,8 +48,8 @@
 		hashes[i] = mix(hashText(member.Name))
 	}
 	scores := make([]scored, len(view.Members))
-	indexes := make([]uint16, Slices*len(view.Members))
-	for slice := range Slices {
+	indexes := make([]uint16, SliceCount*len(view.Members))
+	for slice := range SliceCount {
 		for i := range scores {
 			scores[i] = scored{mix(hashes[i] ^ mix(uint64(slice)+1)), uint16(i)}
 		}
--- a/keeper/decision.go
+++ b/keeper/decision.go
@@ -43,16 +43,16 @@
 // task has this fate, Finished or OutcomeUnknown.
 type AnswerLost struct{ Fate dispatcher.Fate }
 
-// NotYet means that the slice is being handed over, or that this instance has to read the log first. Nothing is
+// RetryLater means that the slice is being handed over, or that this instance has to read the log first. Nothing is
 // stored: the same call, repeated after a few milliseconds, may decide; otherwise the answer is Outcome.
-type NotYet struct{ Outcome dispatcher.Unknown }
+type RetryLater struct{ Outcome dispatcher.Unknown }
 
 // Forward means that another instance decides, or holds the answer.
 type Forward struct {
 	To Member
-	// Held says that To is not the owner but ran the job, or issued its solo key; a submission that was
+	// ToHolder says that To is not the owner but ran the job, or issued its solo key; a submission that was
 	// forwarded to the owner is forwarded once more to such an instance.
-	Held bool
+	ToHolder bool
 }
 
 // ForwardDomain means that an instance of another failure domain decides.
@@ -64,8 +64,8 @@
 // Absent is the answer to Find for a job that the owner would still start.
 type Absent struct{}
 
-// TooLate means that the job has started and cannot be cancelled or refused any more.
-type TooLate struct{}
+// AlreadyStarted means that the job has started and cannot be cancelled or refused any more.
+type AlreadyStarted struct{}
 
 func (StartNow) isDecision()          {}
 func (AwaitWitness) isDecision()      {}
@@ -73,12 +73,12 @@
 func (Joined) isDecision()            {}
 func (Answer) isDecision()            {}
 func (AnswerLost) isDecision()        {}
-func (NotYet) isDecision()            {}
+func (RetryLater) isDecision()        {}
 func (Forward) isDecision()           {}
 func (ForwardDomain) isDecision()     {}
 func (Running) isDecision()           {}
 func (Absent) isDecision()            {}
-func (TooLate) isDecision()           {}
+func (AlreadyStarted) isDecision()    {}
 
 // Event tells the server what became of an earlier decision.
 type Event interface{ isEvent() }
@@ -89,9 +89,9 @@
 	Ticket uint64
 }
 
-// AttemptLost means that the attempt ends without a start; the job is answered with Outcome, or submitted
+// AttemptFailed means that the attempt ends without a start; the job is answered with Outcome, or submitted
 // again if Resubmit is set (the slice has another owner now).
-type AttemptLost struct {
+type AttemptFailed struct {
 	Key      string
 	Ticket   uint64
 	Outcome  dispatcher.Unknown
@@ -120,8 +120,8 @@
 	Ticket uint64
 }
 
-// AnswerFound means that a refusal is replaced by Outcome, because a new view has another answer.
-type AnswerFound struct {
+// RefusalSuperseded means that a refusal is replaced by Outcome, because a new view has another answer.
+type RefusalSuperseded struct {
 	Key     string
 	Ticket  uint64
 	Outcome dispatcher.Outcome
@@ -134,9 +134,9 @@
 }
 
 func (StartGranted) isEvent()       {}
-func (AttemptLost) isEvent()        {}
+func (AttemptFailed) isEvent()      {}
 func (RefusalConfirmed) isEvent()   {}
 func (RefusalUnconfirmed) isEvent() {}
 func (CancelConfirmed) isEvent()    {}
-func (AnswerFound) isEvent()        {}
+func (RefusalSuperseded) isEvent()  {}
 func (OutcomeKnown) isEvent()       {}
--- a/keeper/directed_test.go
+++ b/keeper/directed_test.go
@@ -132,7 +132,7 @@
 		}},
 		directed{"full table", func(world *world, first order) {
 			for number := range 6 {
-				filler := order{key: world.slots[0].decider.Prefix(world.now) + "filler" + string(rune('a'+number)), body: `"f"`}
+				filler := order{key: world.slots[0].decider.KeyPrefix(world.now) + "filler" + string(rune('a'+number)), body: `"f"`}
 				world.submitAt(filler, 0)
 			}
 			world.submitAt(first, 0, 1, 2)
@@ -176,7 +176,7 @@
 		}
 	}
 	world.run(8 * time.Second)
-	run(world, order{key: world.slots[0].decider.Prefix(world.now) + "job", body: `"1"`, unrepeatable: true})
+	run(world, order{key: world.slots[0].decider.KeyPrefix(world.now) + "job", body: `"1"`, unrepeatable: true})
 	world.run(45 * time.Second)
 	return world
 }
@@ -190,7 +190,7 @@
 			full := directed.name == "full table"
 			is.True(len(runDirected(directed.run, true, full).judge()) > 0) // the naive version must break a promise
 			world := runDirected(directed.run, false, full)
-			for _, promise := range checker.Promises() {
+			for _, promise := range checker.Guarantees() {
 				if text := describe(world, promise); text != "" {
 					t.Errorf("%s:\n%s", promise, text)
 				}
@@ -206,14 +206,14 @@
 	world := newWorld(11, false, 3)
 	world.careful = true
 	world.run(8 * time.Second)
-	for _, key := range []string{world.slots[0].decider.Prefix(world.now) + "job", "plain"} {
+	for _, key := range []string{world.slots[0].decider.KeyPrefix(world.now) + "job", "plain"} {
 		world.submitAt(order{key: key, body: `"1"`}, 0, 1, 2, 0)
 	}
 	leaveAll(world, 15*time.Second)
-	world.submitAt(order{key: world.slots[1].decider.Prefix(world.now) + "later", body: `"1"`}, 0, 1, 2, 0)
+	world.submitAt(order{key: world.slots[1].decider.KeyPrefix(world.now) + "later", body: `"1"`}, 0, 1, 2, 0)
 	answered := map[int64]bool{}
 	for _, event := range world.history {
-		if answer, isAnswer := event.(checker.Answered); isAnswer {
+		if answer, isAnswer := event.(checker.CompleteAnswer); isAnswer {
 			answered[answer.Submission] = true
 		}
 	}
--- a/keeper/expire.go
+++ b/keeper/expire.go
@@ -54,9 +54,9 @@
 	shard.wake(at)
 }
 
-// Expire acts on every deadline up to now: it resends, changes witness, gives up, and drops expired records.
+// HandleDeadlines acts on every deadline up to now: it resends, changes witness, gives up, and drops expired records.
 // The server calls it every few milliseconds.
-func (keeper *Keeper) Expire(now time.Time) ([]Event, []Outgoing) {
+func (keeper *Keeper) HandleDeadlines(now time.Time) ([]Event, []Outgoing) {
 	var effects effects
 	requests := map[string]*SyncRequest{}
 	for _, shard := range keeper.shards {
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Slices is the number of slices of a failure domain.
-const Slices = 64
+// SliceCount is the number of slices of a failure domain.
+const SliceCount = 64
 
 // Limits bounds the keeper's memory and waiting times.
 type Limits struct {
@@ -37,7 +37,7 @@
 	limits  Limits
 	started time.Time
 
-	shards    [Slices]*shard
+	shards    [SliceCount]*shard
 	confirmer *confirmer
 	outbox    *outbox
 	// place is stored before any shard adopts it (see receiveConfirm).
@@ -75,11 +75,11 @@
 	keeper.confirmer = &confirmer{keeper: keeper}
 	keeper.outbox = &outbox{keeper: keeper, trays: map[string]*tray{}}
 	keeper.suspects.Store(&map[string]bool{})
-	for slice := range Slices {
+	for slice := range SliceCount {
 		keeper.shards[slice] = &shard{
 			keeper: keeper, slice: slice,
 			records: map[string]*record{}, attempts: map[string]*attempt{},
-			held: heldAnswers{limit: limits.MaxAnswerBytes / Slices},
+			held: heldAnswers{limit: limits.MaxAnswerBytes / SliceCount},
 		}
 		keeper.shards[slice].due.Store(math.MaxInt64)
 	}
@@ -104,8 +104,8 @@
 	return place.current.owner(slice), true
 }
 
-// Records returns the number of records in the table, both own ones and copies.
-func (keeper *Keeper) Records() int { return int(keeper.count.Load()) }
+// RecordCount returns the number of records in the table, both own ones and copies.
+func (keeper *Keeper) RecordCount() int { return int(keeper.count.Load()) }
 
 // Receive handles a message from the member with the given incarnation.
 func (keeper *Keeper) Receive(from string, message Message, now time.Time) ([]Event, []Outgoing) {
@@ -193,8 +193,8 @@
 // Suspect makes the keeper prefer other members to this one until Restore.
 func (keeper *Keeper) Suspect(incarnation string) { keeper.setSuspect(incarnation, true) }
 
-// Restore revokes a suspicion.
-func (keeper *Keeper) Restore(incarnation string) { keeper.setSuspect(incarnation, false) }
+// ClearSuspicion revokes a suspicion.
+func (keeper *Keeper) ClearSuspicion(incarnation string) { keeper.setSuspect(incarnation, false) }
 
 func (keeper *Keeper) setSuspect(incarnation string, suspected bool) {
 	keeper.suspectMutex.Lock()
--- a/keeper/key.go
+++ b/keeper/key.go
@@ -63,8 +63,8 @@
 	}
 	epoch, epochValid := parseNumber(issuer)
 	slice, sliceValid := parseNumber(part)
-	if !epochValid || !sliceValid || slice >= Slices {
-		return Key{}, eris.Errorf("key has the epoch %q and the slice %q, want a number and 0 to %d", issuer, part, Slices-1)
+	if !epochValid || !sliceValid || slice >= SliceCount {
+		return Key{}, eris.Errorf("key has the epoch %q and the slice %q, want a number and 0 to %d", issuer, part, SliceCount-1)
 	}
 	key.form, key.number, key.slice = IssuedKey, epoch, int(slice)
 	return key, nil
@@ -115,7 +115,7 @@
 	return home
 }
 
-func sliceOf(text string) int { return int(mix(hashText(text)) % Slices) }
+func sliceOf(text string) int { return int(mix(hashText(text)) % SliceCount) }
 
 // hashText is FNV-1a: every instance must compute the same slices, so the hash has no seed.
 func hashText(text string) uint64 {
--- a/keeper/naive_test.go
+++ b/keeper/naive_test.go
@@ -43,7 +43,7 @@
 
 func (naive *naive) Cancel(key string, _ bool, _ time.Time) (keeper.Decision, []keeper.Outgoing) {
 	if naive.seen[key] {
-		return keeper.TooLate{}, nil
+		return keeper.AlreadyStarted{}, nil
 	}
 	refused := dispatcher.NewRefused(dispatcher.ReasonCancelled, "cancelled", "", time.Time{})
 	naive.seen[key], naive.held[key] = true, refused
@@ -55,9 +55,9 @@
 	return []keeper.Event{keeper.OutcomeKnown{Key: key, Outcome: outcome}}, nil
 }
 
-func (naive *naive) Prefix(time.Time) string {
+func (naive *naive) KeyPrefix(time.Time) string {
 	naive.issued++
-	return fmt.Sprintf("~%s.0.%d.", domain, naive.issued%keeper.Slices)
+	return fmt.Sprintf("~%s.0.%d.", domain, naive.issued%keeper.SliceCount)
 }
 
 // Adopt ignores views.
--- a/keeper/node_test.go
+++ b/keeper/node_test.go
@@ -11,7 +11,7 @@
 
 // decider is what a node asks: the keeper or the naive version.
 type decider interface {
-	OpenLog(earliest int64)
+	SetEarliestOffset(earliest int64)
 	Adopt(offset int64, view keeper.View, now time.Time) ([]keeper.Event, []keeper.Outgoing)
 	View() (int64, keeper.View)
 	Submit(submission keeper.Submission, now time.Time) (keeper.Decision, []keeper.Outgoing)
@@ -19,11 +19,11 @@
 	Cancel(key string, forwarded bool, now time.Time) (keeper.Decision, []keeper.Outgoing)
 	Finish(key string, outcome dispatcher.Outcome, now time.Time) ([]keeper.Event, []keeper.Outgoing)
 	Receive(from string, message keeper.Message, now time.Time) ([]keeper.Event, []keeper.Outgoing)
-	Expire(now time.Time) ([]keeper.Event, []keeper.Outgoing)
-	Prefix(now time.Time) string
+	HandleDeadlines(now time.Time) ([]keeper.Event, []keeper.Outgoing)
+	KeyPrefix(now time.Time) string
 	Suspect(incarnation string)
-	Restore(incarnation string)
-	Accounted(view int64, now time.Time)
+	ClearSuspicion(incarnation string)
+	SetAdoptedByAll(view int64, now time.Time)
 	HandedOver() bool
 }
 
@@ -82,7 +82,7 @@
 
 func (node *node) openLog() {
 	node.next = node.world.trimmed
-	node.decider.OpenLog(node.next)
+	node.decider.SetEarliestOffset(node.next)
 }
 
 func (node *node) readLog() {
@@ -99,7 +99,7 @@
 }
 
 func (node *node) tick() {
-	node.apply(node.decider.Expire(node.world.now))
+	node.apply(node.decider.HandleDeadlines(node.world.now))
 	if node.leaving.IsZero() {
 		return
 	}
@@ -151,7 +151,7 @@
 		request.reply(decision.Outcome, request.decided)
 	case keeper.AnswerLost:
 		request.reply(dispatcher.NewFailed("answer lost", nil), time.Time{})
-	case keeper.NotYet:
+	case keeper.RetryLater:
 		if request.retries++; request.retries > 20 {
 			request.reply(decision.Outcome, time.Time{})
 			return
@@ -191,7 +191,7 @@
 	}
 	node.running++
 	length := world.between(50*time.Millisecond, time.Second)
-	world.after(length, func() { world.record(checker.Ended{At: world.stamp(), Key: request.submission.Key}) })
+	world.after(length, func() { world.record(checker.JobEnded{At: world.stamp(), Key: request.submission.Key}) })
 	world.strike(afterStart, node)
 	node.step(length, func() {
 		node.running--
@@ -222,7 +222,7 @@
 		request := node.tickets[event.Ticket]
 		node.world.strike(afterRecord, node)
 		node.step(0, func() { node.launch(request) })
-	case keeper.AttemptLost:
+	case keeper.AttemptFailed:
 		lost := node.tickets[event.Ticket]
 		// The request does not wait for the job any more: a later job under its key may have another body.
 		node.waiters[event.Key] = slices.DeleteFunc(node.waiters[event.Key], func(waiter *request) bool { return waiter == lost })
@@ -235,7 +235,7 @@
 		node.tickets[event.Ticket].reply(event.Refusal, event.Decided)
 	case keeper.RefusalUnconfirmed:
 		node.tickets[event.Ticket].reply(event.Outcome, time.Time{})
-	case keeper.AnswerFound:
+	case keeper.RefusalSuperseded:
 		node.tickets[event.Ticket].reply(event.Outcome, node.world.now)
 	case keeper.CancelConfirmed:
 		refused := dispatcher.NewRefused(dispatcher.ReasonCancelled, "cancelled", "", time.Time{})
@@ -267,11 +267,11 @@
 			node.decider.Suspect(other.member.Incarnation)
 			continue
 		}
-		node.decider.Restore(other.member.Incarnation)
+		node.decider.ClearSuspicion(other.member.Incarnation)
 		seen = append(seen, other.member)
 	}
 	if accounted {
-		node.decider.Accounted(number, world.now)
+		node.decider.SetAdoptedByAll(number, world.now)
 	}
 	if world.chance(0.15) {
 		node.proposeFrom(number, view, seen)
--- a/keeper/prefix.go
+++ b/keeper/prefix.go
@@ -17,20 +17,20 @@
 	return generation == latest || generation == latest-1
 }
 
-// Prefix returns a key prefix for the next job of a caller, ending in a dot: of a slice that this instance
+// KeyPrefix returns a key prefix for the next job of a caller, ending in a dot: of a slice that this instance
 // decides, otherwise of one whose owner is not suspected; a solo prefix if no other member can be reached.
-func (keeper *Keeper) Prefix(now time.Time) string {
+func (keeper *Keeper) KeyPrefix(now time.Time) string {
 	place := keeper.place.Load()
 	if place == nil || !keeper.reachable(place) {
 		return soloPrefix(keeper.domain, keeper.self.Incarnation, keeper.generation(now))
 	}
-	turn := int(keeper.issued.Add(1) % Slices)
+	turn := int(keeper.issued.Add(1) % SliceCount)
 	// Rotating by the turn makes the next served slice the lowest set bit.
 	if served := bits.RotateLeft64(keeper.serving.Load(), -turn); served != 0 {
-		return issuedPrefix(keeper.domain, place.number(), (bits.TrailingZeros64(served)+turn)%Slices)
+		return issuedPrefix(keeper.domain, place.number(), (bits.TrailingZeros64(served)+turn)%SliceCount)
 	}
-	for i := range Slices {
-		slice := (turn + i) % Slices
+	for i := range SliceCount {
+		slice := (turn + i) % SliceCount
 		if owner := place.current.owner(slice).Incarnation; owner != keeper.self.Incarnation && !keeper.suspected(owner) {
 			return issuedPrefix(keeper.domain, place.number(), slice)
 		}
--- a/keeper/protocol_test.go
+++ b/keeper/protocol_test.go
@@ -16,7 +16,7 @@
 func trio() (*group, *keeper.Keeper, keeper.Submission) {
 	group := newGroup(3)
 	owner := group.keepers[group.members[0].Incarnation]
-	return group, owner, keeper.Submission{Key: owner.Prefix(group.now) + "job", Digest: dispatcher.Digest{1}, Deadline: group.now.Add(time.Minute)}
+	return group, owner, keeper.Submission{Key: owner.KeyPrefix(group.now) + "job", Digest: dispatcher.Digest{1}, Deadline: group.now.Add(time.Minute)}
 }
 
 // asked returns the record in outgoing messages and its addressee.
@@ -41,7 +41,7 @@
 	var to string
 	for to != witness {
 		group.now = group.now.Add(25 * time.Millisecond)
-		_, outgoing = owner.Expire(group.now)
+		_, outgoing = owner.HandleDeadlines(group.now)
 		second, to = asked(outgoing)
 		is.True(to != "") // the first witness must be asked a second time
 	}
@@ -49,7 +49,7 @@
 	is.Equal(len(events), 0) // the acknowledged attempt has been withdrawn
 	_, acks := group.keepers[witness].Receive(self, second, group.now)
 	group.keepers[witness].Receive(self, keeper.Withdraw{Key: first.Key, View: first.View, Sequence: first.Sequence}, group.now)
-	is.Equal(group.keepers[witness].Records(), 1) // a late withdrawal must not remove the second copy
+	is.Equal(group.keepers[witness].RecordCount(), 1) // a late withdrawal must not remove the second copy
 	events, _ = owner.Receive(witness, acks[0].Message, group.now)
 	is.Equal(len(events), 1)
 	_, acks = group.keepers[witness].Receive(self, first, group.now)
@@ -65,7 +65,7 @@
 	owner.Cancel(submission.Key, false, group.now)
 	for range 10 {
 		group.now = group.now.Add(25 * time.Millisecond)
-		owner.Expire(group.now)
+		owner.HandleDeadlines(group.now)
 	}
 	decision, outgoing := owner.Submit(submission, group.now)
 	record, _ := asked(outgoing)
@@ -85,7 +85,7 @@
 	}
 	is.Equal(find(0), keeper.Absent{})
 	is.Equal(find(1), keeper.Forward{To: group.members[0]})
-	is.Equal(owner.Records(), 0) // a question leaves no record
+	is.Equal(owner.RecordCount(), 0) // a question leaves no record
 	owner.Submit(submission, group.now)
 	is.Equal(find(0), keeper.Running{})
 	group, owner, submission = trio()
@@ -100,10 +100,10 @@
 	now := time.Unix(1000, 0)
 	self := benchMembers(1)
 	limits := benchLimits()
-	limits.MaxAnswerBytes = keeper.Slices * 1000
+	limits.MaxAnswerBytes = keeper.SliceCount * 1000
 	owner := keeper.New(self[0], "hanoi-a", limits, now)
 	owner.Adopt(0, keeper.View{Prev: keeper.NoView, Members: self}, now)
-	prefix := owner.Prefix(now)
+	prefix := owner.KeyPrefix(now)
 	outcome := dispatcher.NewComplete([]dispatcher.TaskResult{{Name: "a", Result: []byte(fmt.Sprintf("%0400d", 0))}})
 	for i := range 5 {
 		submission := keeper.Submission{Key: fmt.Sprint(prefix, i)}
@@ -112,9 +112,9 @@
 		owner.Finish(submission.Key, outcome, now)
 	}
 	want := []keeper.Decision{
-		keeper.AnswerLost{Fate: dispatcher.Finished},
-		keeper.AnswerLost{Fate: dispatcher.Finished},
-		keeper.AnswerLost{Fate: dispatcher.Finished},
+		keeper.AnswerLost{Fate: dispatcher.FateFinished},
+		keeper.AnswerLost{Fate: dispatcher.FateFinished},
+		keeper.AnswerLost{Fate: dispatcher.FateFinished},
 		keeper.Answer{Outcome: outcome},
 		keeper.Answer{Outcome: outcome},
 	}
@@ -132,7 +132,7 @@
 	member := group.keepers[group.members[1].Incarnation]
 	member.Adopt(1, keeper.View{Prev: 0, Members: group.members}, group.now)
 	var every []int
-	for slice := range keeper.Slices {
+	for slice := range keeper.SliceCount {
 		every = append(every, slice)
 	}
 	_, outgoing := member.Receive(group.members[0].Incarnation, keeper.SyncRequest{View: 0, Slices: every, Sequence: 1}, group.now)
@@ -172,7 +172,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			reader := keeper.New(members[0], "d", benchLimits(), time.Unix(1000, 0))
-			reader.OpenLog(test.earliest)
+			reader.SetEarliestOffset(test.earliest)
 			for _, entry := range test.log {
 				reader.Adopt(entry.offset, entry.view, time.Unix(1000, 0))
 			}
@@ -189,7 +189,7 @@
 		key, err := keeper.ParseKey(text)
 		is.NoErr(err)
 		is.Equal(key.Form(), keeper.KeyForm(form))
-		is.True(key.Slice() >= 0 && key.Slice() < keeper.Slices)
+		is.True(key.Slice() >= 0 && key.Slice() < keeper.SliceCount)
 	}
 	for _, text := range []string{
 		"", "~", "~hanoi-a.12.64.order", "~hanoi-a.012.6.order", "~hanoi-a.-1.6.order", "~hanoi-a.1.6.", "~hanoi-a.1.solo-x.order",
@@ -220,7 +220,7 @@
 	is.Equal([]int{messages, events}, []int{2, 1})
 	outgoing = nil
 	for number := range 100 {
-		submission.Key = fmt.Sprint(owner.Prefix(group.now), number)
+		submission.Key = fmt.Sprint(owner.KeyPrefix(group.now), number)
 		_, sent := owner.Refuse(submission, dispatcher.NewRefused(dispatcher.ReasonOverload, "full", "", time.Time{}), group.now)
 		outgoing = append(outgoing, sent...)
 	}
@@ -235,15 +235,15 @@
 	for worker := range 4 {
 		jobs.Go(func() {
 			for number := range 300 {
-				group.runJob(owner, fmt.Sprint(owner.Prefix(group.now), worker, "-", number))
-				owner.Refuse(keeper.Submission{Key: fmt.Sprint(owner.Prefix(group.now), number)}, dispatcher.Refused{}, group.now)
-				owner.Expire(group.now)
+				group.runJob(owner, fmt.Sprint(owner.KeyPrefix(group.now), worker, "-", number))
+				owner.Refuse(keeper.Submission{Key: fmt.Sprint(owner.KeyPrefix(group.now), number)}, dispatcher.Refused{}, group.now)
+				owner.HandleDeadlines(group.now)
 			}
 		})
 	}
 	for offset := range int64(50) {
 		group.adopt(offset+1, keeper.View{Prev: offset, Members: group.members, ExpiryFloor: max(0, offset-1)})
-		owner.Accounted(offset+1, group.now)
+		owner.SetAdoptedByAll(offset+1, group.now)
 	}
 	jobs.Wait()
 	is.New(t).True(owner.Synced())
@@ -264,7 +264,7 @@
 				group.adopt(offset+1, keeper.View{Prev: offset, Members: group.members})
 			}
 			for _, member := range group.members {
-				group.keepers[member.Incarnation].Accounted(70, group.now)
+				group.keepers[member.Incarnation].SetAdoptedByAll(70, group.now)
 			}
 			group.now = group.now.Add(test.wait)
 			delete(group.keepers, group.members[0].Incarnation)
--- a/keeper/refuse.go
+++ b/keeper/refuse.go
@@ -218,7 +218,7 @@
 			keeper.confirmer.requeue(again, now, effects)
 		case outcome != nil:
 			for _, ticket := range earlier.tickets {
-				effects.emit(AnswerFound{Key: earlier.submission.Key, Ticket: ticket, Outcome: outcome})
+				effects.emit(RefusalSuperseded{Key: earlier.submission.Key, Ticket: ticket, Outcome: outcome})
 			}
 		default:
 			earlier.unconfirmed(effects)
--- a/keeper/schedule_test.go
+++ b/keeper/schedule_test.go
@@ -69,7 +69,7 @@
 	}
 	switch outcome := outcome.(type) {
 	case dispatcher.Complete:
-		answered := checker.Answered{At: at, Submission: id, Key: sent.key}
+		answered := checker.CompleteAnswer{At: at, Submission: id, Key: sent.key}
 		for _, result := range outcome.Results() {
 			answered.Tasks, answered.Digest = append(answered.Tasks, result.Name), string(result.Result)
 		}
@@ -95,7 +95,7 @@
 		case world.plan.chance(0.25):
 			sent.unrepeatable = false
 		default:
-			sent.key = world.slots[slot].decider.Prefix(world.now) + text
+			sent.key = world.slots[slot].decider.KeyPrefix(world.now) + text
 		}
 		for range 1 + world.plan.IntN(4) {
 			slot := world.plan.IntN(len(world.slots))
@@ -216,8 +216,8 @@
 // tally counts the schedules in which a version broke each promise.
 type tally struct {
 	mutex      sync.Mutex
-	violations map[checker.Promise]int
-	seeds      map[checker.Promise][]uint64
+	violations map[checker.Guarantee]int
+	seeds      map[checker.Guarantee][]uint64
 	submitted  int
 	unknown    int
 }
@@ -228,16 +228,16 @@
 	tally.submitted += int(world.count)
 	tally.unknown += world.unknown
 	for _, violation := range world.judge() {
-		tally.violations[violation.Promise()]++
-		seeds := tally.seeds[violation.Promise()]
+		tally.violations[violation.Guarantee()]++
+		seeds := tally.seeds[violation.Guarantee()]
 		if len(seeds) < 5 && !slices.Contains(seeds, seed) {
-			tally.seeds[violation.Promise()] = append(seeds, seed)
+			tally.seeds[violation.Guarantee()] = append(seeds, seed)
 		}
 	}
 }
 
 func runSchedules(naive bool) *tally {
-	tally := &tally{violations: map[checker.Promise]int{}, seeds: map[checker.Promise][]uint64{}}
+	tally := &tally{violations: map[checker.Guarantee]int{}, seeds: map[checker.Guarantee][]uint64{}}
 	var next atomic.Uint64
 	var group sync.WaitGroup
 	for range min(*workers, runtime.NumCPU()) {
@@ -261,7 +261,7 @@
 		*schedules = min(*schedules, 50)
 	}
 	baseline, real := runSchedules(true), runSchedules(false)
-	for _, promise := range checker.Promises() {
+	for _, promise := range checker.Guarantees() {
 		t.Logf("%-16s naive %d (seeds %v), real %d (seeds %v)", promise, baseline.violations[promise], baseline.seeds[promise],
 			real.violations[promise], real.seeds[promise])
 		for _, seed := range real.seeds[promise][:min(1, len(real.seeds[promise]))] {
@@ -270,7 +270,7 @@
 		is.Equal(real.violations[promise], 0) // a promise was broken; the first seeds are logged above
 	}
 	t.Logf("submitted %d and %d, unknown %d and %d", baseline.submitted, real.submitted, baseline.unknown, real.unknown)
-	for _, promise := range []checker.Promise{checker.SingleStart, checker.AtMostOnce, checker.TrueRefusal, checker.OwnAnswer} {
+	for _, promise := range []checker.Guarantee{checker.SingleStart, checker.AtMostOnce, checker.TrueRefusal, checker.OwnAnswer} {
 		is.True(baseline.violations[promise] > 0) // the naive version must break this promise
 	}
 }
@@ -291,10 +291,10 @@
 }
 
 // describe returns the first violation of a promise, or an empty string.
-func describe(world *world, promise checker.Promise) string {
+func describe(world *world, promise checker.Guarantee) string {
 	for _, violation := range world.judge() {
-		if violation.Promise() == promise {
-			return fmt.Sprintf("%s %+v", violation.Key(), violation.Events())
+		if violation.Guarantee() == promise {
+			return fmt.Sprintf("%s %+v", violation.Subject(), violation.Events())
 		}
 	}
 	return ""
--- a/keeper/submit.go
+++ b/keeper/submit.go
@@ -132,13 +132,13 @@
 	case shard.place == nil:
 		return unknown(detailNoView)
 	case key.Epoch() > shard.place.number():
-		return NotYet{Outcome: dispatcher.NewUnknown(detailBehind)}
+		return RetryLater{Outcome: dispatcher.NewUnknown(detailBehind)}
 	case !shard.owns() && forwarded:
 		return unknown(detailNotOwner)
 	case !shard.owns():
 		return Forward{To: shard.owner()}
 	case !shard.synced:
-		return NotYet{Outcome: dispatcher.NewUnknown(detailNotSynced)}
+		return RetryLater{Outcome: dispatcher.NewUnknown(detailNotSynced)}
 	default:
 		return nil
 	}
@@ -175,7 +175,7 @@
 		return nil
 	}
 	if issuer, found := shard.live(key.incarnation); found && !forwarded {
-		return Forward{To: issuer, Held: true}
+		return Forward{To: issuer, ToHolder: true}
 	}
 	return unknown(detailOtherRun)
 }
@@ -213,17 +213,17 @@
 	case known.outcome != nil:
 		return Answer{Outcome: known.outcome}
 	case known.holder == shard.self() && known.state == StateFinished:
-		return AnswerLost{Fate: dispatcher.Finished}
+		return AnswerLost{Fate: dispatcher.FateFinished}
 	case known.holder == shard.self():
 		return Joined{}
 	}
 	if holder, found := shard.live(known.holder); found {
-		return Forward{To: holder, Held: true}
+		return Forward{To: holder, ToHolder: true}
 	}
 	if known.state == StateFinished {
-		return AnswerLost{Fate: dispatcher.Finished}
+		return AnswerLost{Fate: dispatcher.FateFinished}
 	}
-	return AnswerLost{Fate: dispatcher.OutcomeUnknown}
+	return AnswerLost{Fate: dispatcher.FateUnknown}
 }
 
 func cancelledOutcome() dispatcher.Refused {
--- a/keeper/sync.go
+++ b/keeper/sync.go
@@ -83,7 +83,7 @@
 		return
 	}
 	for _, slice := range request.Slices {
-		if slice >= 0 && slice < Slices {
+		if slice >= 0 && slice < SliceCount {
 			keeper.shards[slice].answerSync(from, request, effects)
 		}
 	}
@@ -133,7 +133,7 @@
 }
 
 func (keeper *Keeper) receiveSyncResponse(from string, response SyncResponse, now time.Time, effects *effects) {
-	if response.Slice < 0 || response.Slice >= Slices {
+	if response.Slice < 0 || response.Slice >= SliceCount {
 		return
 	}
 	shard := keeper.shards[response.Slice]
@@ -290,7 +290,7 @@
 	if place == nil {
 		return false
 	}
-	for slice := range Slices {
+	for slice := range SliceCount {
 		if place.current.owner(slice).Incarnation == keeper.self.Incarnation && keeper.serving.Load()&(1<<slice) == 0 {
 			return false
 		}
@@ -298,8 +298,8 @@
 	return true
 }
 
-// Silent returns the incarnations of members that have not answered a sync request in time.
-func (keeper *Keeper) Silent(now time.Time) []string {
+// UnresponsiveMembers returns the incarnations of members that have not answered a sync request in time.
+func (keeper *Keeper) UnresponsiveMembers(now time.Time) []string {
 	silent := map[string]bool{}
 	for _, shard := range keeper.shards {
 		shard.mutex.Lock()
@@ -320,7 +320,7 @@
 		return
 	}
 	message := Synced{View: place.number()}
-	for slice := range Slices {
+	for slice := range SliceCount {
 		if served&(1<<slice) != 0 {
 			message.Slices = append(message.Slices, slice)
 		}
@@ -347,7 +347,7 @@
 		return
 	}
 	for _, slice := range synced.Slices {
-		if slice >= 0 && slice < Slices {
+		if slice >= 0 && slice < SliceCount {
 			keeper.handed.Or(1 << slice)
 		}
 	}
--- a/keeper/world_test.go
+++ b/keeper/world_test.go
@@ -236,5 +236,5 @@
 }
 
 func (world *world) judge() []checker.Violation {
-	return checker.Judge(world.history, checker.Bounds{Retention: retention, Drain: 5 * time.Second, BundleDelay: 10 * time.Second})
+	return checker.Check(world.history, checker.Bounds{Retention: retention, Drain: 5 * time.Second, BundleDelay: 10 * time.Second})
 }
--- a/leaser/leaser.go
+++ b/leaser/leaser.go
@@ -35,14 +35,14 @@
 	maxStatusBytes = 2 << 20
 )
 
-// Ending is what became of a task: Completed, Broken, NotStarted or Lost.
-type Ending interface{ isEnding() }
+// Result is what became of a task: Completed, Broken, NotStarted or Lost.
+type Result interface{ isEnding() }
 
 // Completed means that the task returned a result.
 type Completed struct{ status LeaseStatus }
 
-// Broken means that the worker reported that the task failed, was stopped or outlived its lease.
-type Broken struct{ status LeaseStatus }
+// TaskFailed means that the worker reported that the task failed, was stopped or outlived its lease.
+type TaskFailed struct{ status LeaseStatus }
 
 // NotStarted means that the task provably did not start.
 type NotStarted struct {
@@ -54,7 +54,7 @@
 type Lost struct{ detail string }
 
 func (Completed) isEnding()  {}
-func (Broken) isEnding()     {}
+func (TaskFailed) isEnding() {}
 func (NotStarted) isEnding() {}
 func (Lost) isEnding()       {}
 
@@ -62,15 +62,15 @@
 func (completed Completed) Result() json.RawMessage { return completed.status.Result }
 
 // Usage returns how the task's size is to be learned.
-func (completed Completed) Usage() placer.Ending { return usage(completed.status) }
+func (completed Completed) Usage() placer.Result { return usage(completed.status) }
 
 // Detail returns why the task has no result.
-func (broken Broken) Detail() string {
-	return fmt.Sprintf("worker reports %s: %s", broken.status.State, broken.status.Detail)
+func (taskFailed TaskFailed) Detail() string {
+	return fmt.Sprintf("worker reports %s: %s", taskFailed.status.State, taskFailed.status.Detail)
 }
 
 // Usage returns how the task's size is to be learned.
-func (broken Broken) Usage() placer.Ending { return usage(broken.status) }
+func (taskFailed TaskFailed) Usage() placer.Result { return usage(taskFailed.status) }
 
 // Detail returns why the task did not start.
 func (notStarted NotStarted) Detail() string { return notStarted.detail }
@@ -81,9 +81,9 @@
 // Detail returns what was last seen of the worker.
 func (lost Lost) Detail() string { return lost.detail }
 
-func usage(status LeaseStatus) placer.Ending {
+func usage(status LeaseStatus) placer.Result {
 	if status.Guard != GuardNone {
-		return placer.NewGuarded(status.Peak)
+		return placer.NewResourcesExceeded(status.Peak)
 	}
 	if status.State == Finished {
 		return placer.NewDone(status.Peak)
@@ -117,10 +117,10 @@
 
 // Run starts task on the worker at address under a lease of size and renews the lease until the task ends or
 // ctx is done; it starts the task at most once.
-func (leaser *Leaser) Run(ctx context.Context, address, kind string, size placer.Size, task dispatcher.Task) Ending {
+func (leaser *Leaser) Run(ctx context.Context, address, kind string, resources placer.Resources, task dispatcher.Task) Result {
 	base := fmt.Sprintf("http://%s/leases/%s", address, uuid.NewString())
 	request := LeaseRequest{
-		Kind: kind, Payload: task.Payload(), Size: size,
+		Kind: kind, Payload: task.Payload(), Resources: resources,
 		LeaseMS: leaseTime.Milliseconds(), WaitMS: renewAfter.Milliseconds(),
 	}
 	first := leaser.exchange(ctx, http.MethodPut, base, request)
@@ -132,7 +132,7 @@
 	case first.err == nil && first.code == http.StatusTooManyRequests:
 		return NotStarted{detail: "worker has no room"}
 	case first.err == nil && first.code != http.StatusOK:
-		return Broken{status: LeaseStatus{State: Failed, Detail: http.StatusText(first.code)}}
+		return TaskFailed{status: LeaseStatus{State: Failed, Detail: http.StatusText(first.code)}}
 	}
 	return leaser.follow(ctx, base, first)
 }
@@ -158,11 +158,11 @@
 
 // follow renews the lease until the worker reports an end. After a lost answer to the start it asks for the
 // state instead of starting again: the worker may know the lease.
-func (leaser *Leaser) follow(ctx context.Context, base string, last answer) Ending {
+func (leaser *Leaser) follow(ctx context.Context, base string, last answer) Result {
 	request := LeaseRequest{LeaseMS: leaseTime.Milliseconds(), WaitMS: renewAfter.Milliseconds()}
 	for {
-		if ending, ok := last.ending(); ok {
-			return ending
+		if result, ok := last.ending(); ok {
+			return result
 		}
 		if last.err != nil && !sleeper.For(ctx, retryDelay) || ctx.Err() != nil {
 			return Lost{detail: last.describe()}
@@ -172,7 +172,7 @@
 }
 
 // ending returns the end of the task if the worker reported one.
-func (answer answer) ending() (Ending, bool) {
+func (answer answer) ending() (Result, bool) {
 	switch {
 	case answer.err != nil:
 		return nil, false
@@ -186,7 +186,7 @@
 	case Finished:
 		return Completed{status: answer.status}, true
 	case Failed, Stopped, Lapsed:
-		return Broken{status: answer.status}, true
+		return TaskFailed{status: answer.status}, true
 	default:
 		return nil, false
 	}
--- a/leaser/leaser_test.go
+++ b/leaser/leaser_test.go
@@ -41,15 +41,15 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			worker := emulator.NewWorker(placer.Size{MilliCores: 4000, MemoryMB: 8192})
+			worker := emulator.NewWorker(placer.Resources{MilliCores: 4000, MemoryMB: 8192})
 			worker.SetFault(test.fault)
 			server := httptest.NewServer(worker)
 			defer server.Close()
 			ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 			defer cancel()
-			size := placer.Size{MilliCores: 1000, MemoryMB: 1000}
-			ending := leaser.New().Run(ctx, server.Listener.Addr().String(), "plan", size, test.task)
-			is.Equal(fmt.Sprintf("%T", ending), test.want)
+			resources := placer.Resources{MilliCores: 1000, MemoryMB: 1000}
+			result := leaser.New().Run(ctx, server.Listener.Addr().String(), "plan", resources, test.task)
+			is.Equal(fmt.Sprintf("%T", result), test.want)
 			is.Equal(worker.Starts(), test.starts)
 		})
 	}
@@ -62,8 +62,8 @@
 	is.NoErr(err)
 	address := listener.Addr().String()
 	is.NoErr(listener.Close())
-	ending := leaser.New().Run(context.Background(), address, "plan", placer.Size{}, task(1, 1))
-	_, ok := ending.(leaser.NotStarted)
+	result := leaser.New().Run(context.Background(), address, "plan", placer.Resources{}, task(1, 1))
+	_, ok := result.(leaser.NotStarted)
 	is.True(ok)
 }
 
@@ -80,8 +80,8 @@
 	})
 	server := httptest.NewServer(handler)
 	defer server.Close()
-	ending := leaser.New().Run(context.Background(), server.Listener.Addr().String(), "plan", placer.Size{}, task(1, 1))
-	broken, ok := ending.(leaser.Broken)
+	result := leaser.New().Run(context.Background(), server.Listener.Addr().String(), "plan", placer.Resources{}, task(1, 1))
+	taskFailed, ok := result.(leaser.TaskFailed)
 	is.True(ok)
-	is.Equal(broken.Detail(), "worker reports lapsed: the lease was not renewed")
+	is.Equal(taskFailed.Detail(), "worker reports lapsed: the lease was not renewed")
 }
--- a/leaser/wire.go
+++ b/leaser/wire.go
@@ -23,26 +23,26 @@
 	Lapsed State = "lapsed"
 )
 
-// Guard is what the worker did to a task that exceeded its size.
-type Guard string
+// GuardAction is what the worker did to a task that exceeded its size.
+type GuardAction string
 
 // Actions of the guard.
 const (
 	// GuardNone means that the guard did not act.
-	GuardNone Guard = ""
+	GuardNone GuardAction = ""
 	// GuardThrottled means that the task got less processor time.
-	GuardThrottled Guard = "throttled"
+	GuardThrottled GuardAction = "throttled"
 	// GuardCheckpointed means that the task was saved and resumed by the worker.
-	GuardCheckpointed Guard = "checkpointed"
+	GuardCheckpointed GuardAction = "checkpointed"
 	// GuardStopped means that the task was stopped.
-	GuardStopped Guard = "stopped"
+	GuardStopped GuardAction = "stopped"
 )
 
 // LeaseRequest is the body of PUT /leases/{id}, which starts a task, and of POST /leases/{id}/renew.
 type LeaseRequest struct {
-	Kind    string          `json:"kind,omitempty"`
-	Payload json.RawMessage `json:"payload,omitempty"`
-	Size    placer.Size     `json:"size"`
+	Kind      string           `json:"kind,omitempty"`
+	Payload   json.RawMessage  `json:"payload,omitempty"`
+	Resources placer.Resources `json:"size"`
 	// LeaseMS is how long the lease is valid from its receipt, in milliseconds.
 	LeaseMS int64 `json:"lease-ms"`
 	// WaitMS is how long the worker may hold its answer until the task ends, in milliseconds.
@@ -51,15 +51,15 @@
 
 // LeaseStatus is the worker's answer.
 type LeaseStatus struct {
-	State  State           `json:"state"`
-	Guard  Guard           `json:"guard,omitempty"`
-	Peak   placer.Size     `json:"peak"`
-	Result json.RawMessage `json:"result,omitempty"`
-	Detail string          `json:"detail,omitempty"`
+	State  State            `json:"state"`
+	Guard  GuardAction      `json:"guard,omitempty"`
+	Peak   placer.Resources `json:"peak"`
+	Result json.RawMessage  `json:"result,omitempty"`
+	Detail string           `json:"detail,omitempty"`
 }
 
 // UsageReport is the body of GET /usage; it describes the worker as it was AgeMS milliseconds ago.
 type UsageReport struct {
-	Used  placer.Size `json:"used"`
-	AgeMS int64       `json:"age-ms"`
+	Used  placer.Resources `json:"used"`
+	AgeMS int64            `json:"age-ms"`
 }
--- a/limiter/api.go
+++ b/limiter/api.go
@@ -6,8 +6,8 @@
 	"github.com/hyssoplift/hyssoplift/dispatcher"
 )
 
-// Kind holds the limits of one kind of task.
-type Kind struct {
+// KindLimits holds the limits of one kind of task.
+type KindLimits struct {
 	// MaxTasks is the largest number of tasks in one job; 0 means dispatcher.MaxTasks.
 	MaxTasks int
 	// MaxInFlight is how many tasks may run at once; 0 means without limit.
@@ -19,7 +19,7 @@
 // Config holds the parameters of a limiter.
 type Config struct {
 	// Kinds holds the limits by kind; a kind without an entry has none.
-	Kinds map[string]Kind
+	Kinds map[string]KindLimits
 	// TeamQuotas holds the tasks that may run at once by team; a team without an entry has no quota.
 	TeamQuotas map[string]int
 	// MaxQueued is the largest number of jobs with tasks that wait; 0 means 4096.
@@ -41,12 +41,12 @@
 // ByArrival starts jobs in the order in which they were admitted.
 type ByArrival struct{}
 
-// ByRemaining starts the job whose remaining tasks have the least expected run time first.
-type ByRemaining struct{}
+// ByRemainingWork starts the job whose remaining tasks have the least expected run time first.
+type ByRemainingWork struct{}
 
-func (ByDeadline) isOrder()  {}
-func (ByArrival) isOrder()   {}
-func (ByRemaining) isOrder() {}
+func (ByDeadline) isOrder()      {}
+func (ByArrival) isOrder()       {}
+func (ByRemainingWork) isOrder() {}
 
 // NewByDeadline returns an order whose deadlines are rounded down to step; 0 compares them exactly.
 func NewByDeadline(step time.Duration) ByDeadline { return ByDeadline{step: step} }
@@ -67,11 +67,11 @@
 // Ticket identifies an admitted job within its limiter.
 type Ticket uint64
 
-// Verdict is the answer to Admit: Run, Queued or Refused.
-type Verdict interface{ isVerdict() }
+// Decision is the answer to Admit: Run, Queued or Refused.
+type Decision interface{ isVerdict() }
 
-// Run means that the job was admitted and no limit holds its first task back; Next grants its tasks.
-type Run struct{ ticket Ticket }
+// Runnable means that the job was admitted and no limit holds its first task back; Next grants its tasks.
+type Runnable struct{ ticket Ticket }
 
 // Queued means that the job was admitted and waits; Next grants its tasks in due course.
 type Queued struct {
@@ -86,12 +86,12 @@
 	retryAt time.Time
 }
 
-func (Run) isVerdict()     {}
-func (Queued) isVerdict()  {}
-func (Refused) isVerdict() {}
+func (Runnable) isVerdict() {}
+func (Queued) isVerdict()   {}
+func (Refused) isVerdict()  {}
 
 // Ticket returns the ticket of the admitted job.
-func (run Run) Ticket() Ticket { return run.ticket }
+func (runnable Runnable) Ticket() Ticket { return runnable.ticket }
 
 // Ticket returns the ticket of the admitted job.
 func (queued Queued) Ticket() Ticket { return queued.ticket }
--- a/limiter/entry.go
+++ b/limiter/entry.go
@@ -83,7 +83,7 @@
 	case ByDeadline:
 		entry.first = entry.deadline.Truncate(order.step).UnixNano()
 		entry.second = int64(entry.remaining) * int64(entry.kind.mean)
-	case ByRemaining:
+	case ByRemainingWork:
 		entry.first = int64(entry.remaining) * int64(entry.kind.mean)
 	case ByArrival:
 	}
--- a/limiter/limiter.go
+++ b/limiter/limiter.go
@@ -47,7 +47,7 @@
 }
 
 // Admit decides whether job is accepted; a refusal is final and holds no resources.
-func (limiter *Limiter) Admit(job Job, now time.Time) Verdict {
+func (limiter *Limiter) Admit(job Job, now time.Time) Decision {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	kind, team := limiter.kind(job.kind), limiter.team(job.team)
@@ -70,7 +70,7 @@
 	limiter.queue = slices.Insert(limiter.queue, at, entry)
 	limiter.jobs[entry.ticket] = entry
 	if at == 0 && kind.hasRoom() && team.hasRoom() {
-		return Run{ticket: entry.ticket}
+		return Runnable{ticket: entry.ticket}
 	}
 	return Queued{ticket: entry.ticket, startAt: now.Add(wait)}
 }
@@ -191,8 +191,8 @@
 	return expired
 }
 
-// Retry reports whether the retry budget allows one more retry, and takes it from the budget.
-func (limiter *Limiter) Retry(now time.Time) bool {
+// AllowRetry reports whether the retry budget allows one more retry, and takes it from the budget.
+func (limiter *Limiter) AllowRetry(now time.Time) bool {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	return limiter.budget.take(now)
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -85,7 +85,7 @@
 		if len(sequence.limiter.jobs) != before || impossible != retry.IsZero() || !impossible && !retry.After(sequence.now) {
 			sequence.Fatalf("%+v was refused with %+v", job, verdict)
 		}
-	case Run:
+	case Runnable:
 		sequence.jobs = append(sequence.jobs, &model{ticket: verdict.Ticket(), job: job})
 		if due := sequence.due(""); impossible || due == nil || due.ticket != verdict.Ticket() {
 			sequence.Fatalf("%+v may not run yet", job)
@@ -192,11 +192,11 @@
 func TestRandomSequences(t *testing.T) {
 	for seed := range uint64(8) {
 		config := Config{
-			Kinds: make(map[string]Kind), TeamQuotas: map[string]int{"team-0": 4, "team-1": 9, "team-2": 20},
+			Kinds: make(map[string]KindLimits), TeamQuotas: map[string]int{"team-0": 4, "team-1": 9, "team-2": 20},
 			MaxQueued: 40, Order: NewByDeadline(time.Second),
 		}
 		for i := range 3 {
-			config.Kinds[fmt.Sprint("kind-", i)] = Kind{MaxTasks: 10 + i, MaxInFlight: 5 + 5*i, RunTime: testRunTime}
+			config.Kinds[fmt.Sprint("kind-", i)] = KindLimits{MaxTasks: 10 + i, MaxInFlight: 5 + 5*i, RunTime: testRunTime}
 		}
 		sequence := &sequence{T: t, random: rand.New(rand.NewPCG(seed, 3)), limiter: New(config), config: config, now: time.Unix(1000, 0)}
 		for range 10_000 {
@@ -228,7 +228,7 @@
 	// Ten tasks run at once, because of the kind, the team or the targets.
 	config := func(kind, team int) Config {
 		return Config{
-			Kinds: map[string]Kind{
+			Kinds: map[string]KindLimits{
 				"check": {MaxTasks: 20, MaxInFlight: kind, RunTime: time.Second},
 				"off":   {MaxInFlight: -1},
 			},
@@ -291,7 +291,7 @@
 		for ok := true; ok; starts++ {
 			_, ok = limiter.Next(now, func(string) bool { return true })
 		}
-		for limiter.Retry(now) {
+		for limiter.AllowRetry(now) {
 			retries++
 		}
 	}
@@ -301,7 +301,7 @@
 	for range 10 {
 		now = now.Add(time.Hour)
 		retries = 0
-		for limiter.Retry(now) {
+		for limiter.AllowRetry(now) {
 			retries++
 		}
 		is.True(retries <= retryBurst) // an idle hour saves up no storm
@@ -313,7 +313,7 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	limiter := New(Config{WastedMessageWeight: 1})
-	large, _ := limiter.Admit(NewJob("check", "open", 100, now.Add(3*time.Second)), now).(Run)
+	large, _ := limiter.Admit(NewJob("check", "open", 100, now.Add(3*time.Second)), now).(Runnable)
 	small, _ := limiter.Admit(NewJob("check", "open", 2, now.Add(9*time.Second)), now).(Queued)
 	pick := func(string) bool { return true }
 	grant, _ := limiter.Next(now, pick)
--- a/linker/codec.go
+++ b/linker/codec.go
@@ -134,7 +134,7 @@
 	case "bundle-response":
 		return decodeAs[BundleResponse](data)
 	case "news":
-		return decodeAs[News](data)
+		return decodeAs[StateUpdate](data)
 	case "delegation":
 		return decodeAs[Delegation](data)
 	case "delegation-answer":
@@ -168,7 +168,7 @@
 		return "bundle-request"
 	case BundleResponse:
 		return "bundle-response"
-	case News:
+	case StateUpdate:
 		return "news"
 	case Delegation:
 		return "delegation"
@@ -224,7 +224,7 @@
 		return checkTexts(message.Key)
 	case CancelAnswer:
 		return checkTexts(message.Key, message.Result)
-	case News:
+	case StateUpdate:
 		return checkNews(&message)
 	case Delegation:
 		return checkDelegation(&message)
@@ -244,7 +244,7 @@
 	texts := []string{delegation.Job, delegation.Route, delegation.Service}
 	for i := range delegation.Steps {
 		step := &delegation.Steps[i]
-		for _, earlier := range step.After {
+		for _, earlier := range step.DependsOn {
 			if earlier < 0 || earlier >= i {
 				return eris.Errorf("step %d of a delegated job waits for step %d", i, earlier)
 			}
@@ -254,23 +254,23 @@
 	return checkTexts(texts...)
 }
 
-func checkNews(news *News) error {
-	texts := make([]string, 0, 2*(len(news.Claims)+len(news.Ends)+len(news.Withdrawn)+len(news.Stops))+len(news.Rooms))
-	for i := range news.Claims {
-		texts = append(texts, news.Claims[i].Target, news.Claims[i].Task)
+func checkNews(update *StateUpdate) error {
+	texts := make([]string, 0, 2*(len(update.Claims)+len(update.Ends)+len(update.Withdrawn)+len(update.Stops))+len(update.FreeCapacity))
+	for i := range update.Claims {
+		texts = append(texts, update.Claims[i].Target, update.Claims[i].Task)
 	}
-	for i := range news.Ends {
-		texts = append(texts, news.Ends[i].Target, news.Ends[i].Task)
+	for i := range update.Ends {
+		texts = append(texts, update.Ends[i].Target, update.Ends[i].Task)
 	}
-	for _, names := range [][]RunName{news.Withdrawn, news.Stops} {
+	for _, names := range [][]RunID{update.Withdrawn, update.Stops} {
 		for i := range names {
 			texts = append(texts, names[i].Target, names[i].Task)
 		}
 	}
-	for i := range news.Rooms {
-		texts = append(texts, news.Rooms[i].Target)
+	for i := range update.FreeCapacity {
+		texts = append(texts, update.FreeCapacity[i].Target)
 	}
-	texts = append(texts, news.Abandoned...)
+	texts = append(texts, update.Abandoned...)
 	return checkTexts(texts...)
 }
 
--- a/linker/connect.go
+++ b/linker/connect.go
@@ -29,7 +29,7 @@
 // dial connects to address and returns the link once both sides have said hello; a non-empty incarnation
 // must match the peer's.
 func (linker *Linker) dial(ctx context.Context, address, incarnation string, limits Limits) (*link, error) {
-	handshake, cancel := context.WithTimeout(ctx, linker.limits.SilenceLimit)
+	handshake, cancel := context.WithTimeout(ctx, linker.limits.IOTimeout)
 	defer cancel()
 	conn, _, err := websocket.Dial(handshake, "ws://"+address+Path, &websocket.DialOptions{
 		HTTPClient:   &http.Client{Transport: newTransport(), CheckRedirect: refuseRedirect},
@@ -108,7 +108,7 @@
 	linker.group.Add(1)
 	linker.mu.Unlock()
 	defer linker.group.Done()
-	handshake, cancel := context.WithTimeout(linker.ctx, linker.limits.SilenceLimit)
+	handshake, cancel := context.WithTimeout(linker.ctx, linker.limits.IOTimeout)
 	remote, err := linker.greet(handshake, conn)
 	cancel()
 	if err != nil {
@@ -129,7 +129,7 @@
 func (linker *Linker) reserveAccepted() bool {
 	linker.mu.Lock()
 	defer linker.mu.Unlock()
-	if linker.accepted >= linker.limits.RemoteLinks {
+	if linker.accepted >= linker.limits.MaxRemoteLinks {
 		return false
 	}
 	linker.accepted++
--- a/linker/link.go
+++ b/linker/link.go
@@ -137,7 +137,7 @@
 
 // write sends one frame; a peer that takes no bytes for the silence limit counts as gone.
 func (link *link) write(ctx context.Context, frame []byte) error {
-	ctx, cancel := context.WithTimeout(ctx, link.limits.SilenceLimit)
+	ctx, cancel := context.WithTimeout(ctx, link.limits.IOTimeout)
 	defer cancel()
 	link.traffic.framesSent.Add(1)
 	link.traffic.bytesSent.Add(int64(len(frame)))
@@ -199,7 +199,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case now := <-ticker.C:
-			if link.limits.IdleLimit > 0 && now.Sub(time.Unix(0, link.used.Load())) > link.limits.IdleLimit {
+			if link.limits.IdleTimeout > 0 && now.Sub(time.Unix(0, link.used.Load())) > link.limits.IdleTimeout {
 				_ = link.conn.Close(websocket.StatusNormalClosure, "link is idle")
 				return eris.New("link is idle")
 			}
@@ -215,7 +215,7 @@
 }
 
 func (link *link) ping(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, link.limits.SilenceLimit)
+	ctx, cancel := context.WithTimeout(ctx, link.limits.IOTimeout)
 	defer cancel()
 	link.traffic.pingsSent.Add(1)
 	return eris.Wrapf(link.conn.Ping(ctx), "pinging %s", link.remote.Name)
--- a/linker/linker.go
+++ b/linker/linker.go
@@ -32,23 +32,23 @@
 	QueueBytes    int
 	// PingInterval is how long a link may be silent before it is pinged.
 	PingInterval time.Duration
-	// SilenceLimit is how long the answer to a ping, the handshake or a write may take.
-	SilenceLimit time.Duration
-	// IdleLimit is how long a link to another failure domain may be unused; members' links stay.
-	IdleLimit time.Duration
-	// RemoteLinks bounds the links to other failure domains.
-	RemoteLinks int
+	// IOTimeout is how long the answer to a ping, the handshake or a write may take.
+	IOTimeout time.Duration
+	// IdleTimeout is how long a link to another failure domain may be unused; members' links stay.
+	IdleTimeout time.Duration
+	// MaxRemoteLinks bounds the links to other failure domains.
+	MaxRemoteLinks int
 }
 
 // DefaultLimits returns the limits that instances use.
 func DefaultLimits() Limits {
 	return Limits{
-		QueueMessages: 4096,
-		QueueBytes:    2 * MaxMessageBytes,
-		PingInterval:  time.Second,
-		SilenceLimit:  2 * time.Second,
-		IdleLimit:     30 * time.Second,
-		RemoteLinks:   64,
+		QueueMessages:  4096,
+		QueueBytes:     2 * MaxMessageBytes,
+		PingInterval:   time.Second,
+		IOTimeout:      2 * time.Second,
+		IdleTimeout:    30 * time.Second,
+		MaxRemoteLinks: 64,
 	}
 }
 
@@ -181,8 +181,8 @@
 // Connected reports whether a link to the instance is up.
 func (linker *Linker) Connected(incarnation string) bool { return linker.link(incarnation) != nil }
 
-// Domain returns the incarnations in the failure domain to which a link is up.
-func (linker *Linker) Domain(domain string) []string {
+// ConnectedIn returns the incarnations in the failure domain to which a link is up.
+func (linker *Linker) ConnectedIn(domain string) []string {
 	linker.mu.RLock()
 	defer linker.mu.RUnlock()
 	incarnations := make([]string, 0, len(linker.links))
@@ -299,7 +299,7 @@
 
 func (linker *Linker) memberLimits() Limits {
 	limits := linker.limits
-	limits.IdleLimit = 0
+	limits.IdleTimeout = 0
 	return limits
 }
 
--- a/linker/linker_test.go
+++ b/linker/linker_test.go
@@ -89,7 +89,7 @@
 
 // sampleMessages holds one message of every type with its fields filled.
 func sampleMessages() []Message {
-	outcome := EncodeOutcome(dispatcher.NewFailed("cut", []dispatcher.TaskFate{{Name: "t", Fate: dispatcher.Finished, Detail: "d"}}), time.Time{})
+	outcome := EncodeOutcome(dispatcher.NewFailed("cut", []dispatcher.TaskFate{{Name: "t", Fate: dispatcher.FateFinished, Detail: "d"}}), time.Time{})
 	return []Message{
 		Hello{Version: 1, Domain: "d", Name: "n", Incarnation: "i", Address: "a:1"},
 		Heartbeat{View: 7, Suspects: []string{"a"}, BundleVersion: 3, Load: 5, Synced: true, Leaving: true},
@@ -116,14 +116,14 @@
 		CancelAnswer{ID: 1, Key: "k", Result: "too-late"},
 		BundleRequest{ID: 1, Stream: "bundles", After: -1},
 		BundleResponse{ID: 1, Offset: 4, Through: 5, Record: []byte("b")},
-		News{
-			Claims: []Claim{{Target: "t", Task: "k", Attempt: 1, MilliCores: 2, MemoryMB: 3, Accelerators: 4, EstimateMS: 5}},
-			Ends:   []RunEnd{{Target: "t", Task: "k", Attempt: 1, Number: 2, Cause: 1}},
-			Rooms:  []Room{{Target: "t", MilliCores: 1, Lost: true}}, Abandoned: []string{"j"}, Waiting: []int64{1, 0}, Leaving: true, Busy: true,
+		StateUpdate{
+			Claims:       []Claim{{Target: "t", Task: "k", Attempt: 1, MilliCores: 2, MemoryMB: 3, Accelerators: 4, EstimateMS: 5}},
+			Ends:         []RunEnd{{Target: "t", Task: "k", Attempt: 1, Number: 2, Cause: 1}},
+			FreeCapacity: []FreeCapacity{{Target: "t", MilliCores: 1, Unreachable: true}}, Abandoned: []string{"j"}, Waiting: []int64{1, 0}, Leaving: true, Busy: true,
 		},
 		Delegation{
 			ID: 1, Job: "j", Route: "r", Service: "s", Body: "b", Priority: 1, MaxFailures: 2, AgeUS: 3, RemainingUS: 4, ObjectiveUS: 5,
-			Steps: []JobStep{{Tasks: []string{"k"}, MilliCores: 1, EstimateUS: 2, Label: "l"}, {Tasks: []string{"m"}, After: []int{0}, PerTarget: 3}},
+			Steps: []JobStep{{Tasks: []string{"k"}, MilliCores: 1, EstimateUS: 2, Label: "l"}, {Tasks: []string{"m"}, DependsOn: []int{0}, MaxPerTarget: 3}},
 		},
 		DelegationAnswer{ID: 1, Job: "j", Outcome: outcome},
 		part{Last: true, Data: []byte{1}},
@@ -252,7 +252,7 @@
 func TestSilentLinkIsClosed(t *testing.T) {
 	is := is.New(t)
 	limits := testLimits()
-	limits.SilenceLimit = 200 * time.Millisecond
+	limits.IOTimeout = 200 * time.Millisecond
 	silent := make(chan struct{})
 	defer close(silent)
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -299,7 +299,7 @@
 func TestRemoteLinksAreBoundedAndCloseWhenIdle(t *testing.T) {
 	is := is.New(t)
 	limits := testLimits()
-	limits.RemoteLinks, limits.IdleLimit = 1, 100*time.Millisecond
+	limits.MaxRemoteLinks, limits.IdleTimeout = 1, 100*time.Millisecond
 	a, b, c := startNode(t, "here", "a", limits), startNode(t, "there", "b", limits), startNode(t, "there", "c", limits)
 	for _, node := range []*node{b, c} {
 		go func() {
--- a/linker/message.go
+++ b/linker/message.go
@@ -20,8 +20,8 @@
 	Weight float64 `cbor:"weight,omitempty"`
 }
 
-// Share returns the weight of the instance, 1 if it names none.
-func (hello *Hello) Share() float64 {
+// EffectiveWeight returns the weight of the instance, 1 if it names none.
+func (hello *Hello) EffectiveWeight() float64 {
 	if hello.Weight <= 0 {
 		return 1
 	}
@@ -87,8 +87,8 @@
 	ID      uint64  `cbor:"id"`
 	Key     string  `cbor:"key"`
 	Outcome Outcome `cbor:"outcome"`
-	// Counts grants the count of the request in the burn report to the forward's origin.
-	Counts bool `cbor:"counts,omitempty"`
+	// CountGranted grants the count of the request in the burn report to the forward's origin.
+	CountGranted bool `cbor:"counts,omitempty"`
 }
 
 // Outcome is the wire form of a dispatcher.Outcome.
@@ -177,38 +177,38 @@
 	Cause int64
 }
 
-// RunName names a run on a target.
-type RunName struct {
+// RunID names a run on a target.
+type RunID struct {
 	_       struct{} `cbor:",toarray"`
 	Target  string
 	Task    string
 	Attempt int64
 }
 
-// Room is what is free on a target by the knowledge of its reader.
-type Room struct {
+// FreeCapacity is what is free on a target by the knowledge of its reader.
+type FreeCapacity struct {
 	_            struct{} `cbor:",toarray"`
 	Target       string
 	MilliCores   int64
 	MemoryMB     int64
 	Accelerators int64
-	// Lost means that the target does not answer its reader, which does not renew its lease any more.
-	Lost bool
+	// Unreachable means that the target does not answer its reader, which does not renew its lease any more.
+	Unreachable bool
 }
 
-// News tells what an instance did and saw on the targets since its last news.
-type News struct {
+// StateUpdate tells what an instance did and saw on the targets since its last news.
+type StateUpdate struct {
 	// Claims, Withdrawn and Stops go to the reader of their targets: runs that the sender starts, that do not occupy
 	// their targets, and that it cannot stop itself.
-	Claims    []Claim   `cbor:"claims,omitempty"`
-	Withdrawn []RunName `cbor:"withdrawn,omitempty"`
-	Stops     []RunName `cbor:"stops,omitempty"`
+	Claims    []Claim `cbor:"claims,omitempty"`
+	Withdrawn []RunID `cbor:"withdrawn,omitempty"`
+	Stops     []RunID `cbor:"stops,omitempty"`
 	// Abandoned goes to the instance that runs these jobs for callers of the sender, who need them no more.
 	Abandoned []string `cbor:"abandoned,omitempty"`
 	// Ends goes to the owner of the runs.
 	Ends []RunEnd `cbor:"ends,omitempty"`
-	// Rooms tells of targets that the sender reads.
-	Rooms []Room `cbor:"rooms,omitempty"`
+	// FreeCapacity tells of targets that the sender reads.
+	FreeCapacity []FreeCapacity `cbor:"rooms,omitempty"`
 	// Waiting counts the sender's waiting tasks by priority; it is empty in news for one instance.
 	Waiting []int64 `cbor:"waiting,omitempty"`
 	// Leaving says that the sender has begun a planned stop.
@@ -225,10 +225,10 @@
 	MemoryMB     int64
 	Accelerators int64
 	// EstimateUS is the declared run time of a task in microseconds.
-	EstimateUS int64
-	After      []int
-	Label      string
-	PerTarget  int
+	EstimateUS   int64
+	DependsOn    []int
+	Label        string
+	MaxPerTarget int
 }
 
 // Delegation asks an instance to run a job for the caller of the sender.
@@ -275,7 +275,7 @@
 func (CancelAnswer) isMessage()     {}
 func (BundleRequest) isMessage()    {}
 func (BundleResponse) isMessage()   {}
-func (News) isMessage()             {}
+func (StateUpdate) isMessage()      {}
 func (Delegation) isMessage()       {}
 func (DelegationAnswer) isMessage() {}
 func (LinkEnded) isMessage()        {}
--- a/linker/remote.go
+++ b/linker/remote.go
@@ -43,7 +43,7 @@
 	if remote := linker.remote[address]; remote != nil {
 		return remote, nil
 	}
-	if linker.closed || len(linker.remote) >= linker.limits.RemoteLinks {
+	if linker.closed || len(linker.remote) >= linker.limits.MaxRemoteLinks {
 		return nil, ErrTooManyLinks
 	}
 	remote := &remoteLink{ready: make(chan struct{})}
--- a/lister/lister.go
+++ b/lister/lister.go
@@ -39,8 +39,8 @@
 	State   State  `json:"state"`
 }
 
-// Page is the list's response.
-type Page struct {
+// InstanceList is the list's response.
+type InstanceList struct {
 	Instances []Instance `json:"instances"`
 }
 
@@ -75,18 +75,18 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "reading the instance list")
 	}
-	var page Page
-	if err := json.Unmarshal(body, &page); err != nil {
+	var list InstanceList
+	if err := json.Unmarshal(body, &list); err != nil {
 		return nil, eris.Wrap(err, "decoding the instance list")
 	}
-	if err := page.check(failureDomain); err != nil {
+	if err := list.check(failureDomain); err != nil {
 		return nil, err
 	}
-	return page.Instances, nil
+	return list.Instances, nil
 }
 
-func (page Page) check(failureDomain string) error {
-	for _, instance := range page.Instances {
+func (list InstanceList) check(failureDomain string) error {
+	for _, instance := range list.Instances {
 		if instance.Name == "" || instance.FailureDomain != failureDomain {
 			return eris.Errorf("the instance list shows %q of failure domain %q, expected one of %q", instance.Name, instance.FailureDomain, failureDomain)
 		}
--- a/measurer/counts.go
+++ b/measurer/counts.go
@@ -84,18 +84,18 @@
 	counts.answered = append(counts.answered, other.answered...)
 }
 
-// Figures are the results of one cell of the table.
-type Figures struct {
+// Results are the results of one cell of the table.
+type Results struct {
 	// Mean and P99 are response times of complete jobs divided by their ideal.
 	Mean, P99 float64
-	// P99All counts failed jobs as well, as if they had been answered at their deadline.
-	P99All float64
+	// P99WithFailed counts failed jobs as well, as if they had been answered at their deadline.
+	P99WithFailed float64
 	// WastedPerThousand is the number of wasted messages per 1,000 tasks.
 	WastedPerThousand float64
-	// WastedPart is the part of the messages that was wasted.
-	WastedPart float64
-	// RefusedPart and FailedPart are parts of the jobs that were not cancelled.
-	RefusedPart, FailedPart float64
+	// WastedRatio is the part of the messages that was wasted.
+	WastedRatio float64
+	// RefusedRatio and FailedPart are parts of the jobs that were not cancelled.
+	RefusedRatio, FailedRatio float64
 	// Cancelled is the number of jobs that were cancelled before their start.
 	Cancelled int
 	// StartedTwice and UntrueRefusals are the numbers of broken promises.
@@ -103,7 +103,7 @@
 }
 
 // figures returns the results that the sums give.
-func (counts *counts) figures() Figures {
+func (counts *counts) figures() Results {
 	slices.Sort(counts.slowdowns)
 	var sum float64
 	for _, slowdown := range counts.slowdowns {
@@ -111,29 +111,29 @@
 	}
 	complete := len(counts.slowdowns)
 	jobs := float64(max(1, complete+counts.failed+counts.refused))
-	figures := Figures{
+	results := Results{
 		WastedPerThousand: 1000 * float64(counts.wasted) / float64(max(1, counts.tasks)),
-		WastedPart:        float64(counts.wasted) / float64(max(1, counts.messages)),
-		RefusedPart:       float64(counts.refused) / jobs,
-		FailedPart:        float64(counts.failed) / jobs,
+		WastedRatio:       float64(counts.wasted) / float64(max(1, counts.messages)),
+		RefusedRatio:      float64(counts.refused) / jobs,
+		FailedRatio:       float64(counts.failed) / jobs,
 		Cancelled:         counts.cancelled,
 	}
 	if complete > 0 {
-		figures.Mean = sum / float64(complete)
-		figures.P99 = quantile(counts.slowdowns)
-		figures.P99All = quantile(slices.Sorted(slices.Values(slices.Concat(counts.slowdowns, counts.lost))))
+		results.Mean = sum / float64(complete)
+		results.P99 = quantile(counts.slowdowns)
+		results.P99WithFailed = quantile(slices.Sorted(slices.Values(slices.Concat(counts.slowdowns, counts.lost))))
 	}
 	for _, job := range counts.answered {
 		for _, starts := range job.starts {
-			figures.StartedTwice += max(0, starts-1)
+			results.StartedTwice += max(0, starts-1)
 		}
 	}
 	for _, job := range counts.notRun {
 		if slices.Max(job.starts) > 0 {
-			figures.UntrueRefusals++
+			results.UntrueRefusals++
 		}
 	}
-	return figures
+	return results
 }
 
 // quantile returns the 99th percentile of sorted, which must not be empty.
--- a/measurer/instance.go
+++ b/measurer/instance.go
@@ -44,11 +44,11 @@
 
 func newInstance(cluster *cluster, domain *domain, config router.Config, declared map[string]time.Duration) *instance {
 	limits := limiter.Config{
-		Kinds: make(map[string]limiter.Kind), Order: cluster.variant.order,
+		Kinds: make(map[string]limiter.KindLimits), Order: cluster.variant.order,
 		ResponseTimeWeight: config.ResponseTimeWeight, WastedMessageWeight: config.WastedMessageWeight,
 	}
 	for name, runTime := range declared {
-		limits.Kinds[name] = limiter.Kind{RunTime: runTime}
+		limits.Kinds[name] = limiter.KindLimits{RunTime: runTime}
 	}
 	instance := &instance{
 		cluster: cluster, domain: domain,
@@ -109,7 +109,7 @@
 	clock := instance.cluster.clock
 	progress := &progress{job: job}
 	switch verdict := instance.limiter.Admit(limiter.NewJob(job.kind.name, "team", len(job.tasks), job.deadline), clock.now).(type) {
-	case limiter.Run:
+	case limiter.Runnable:
 		progress.ticket = verdict.Ticket()
 	case limiter.Queued:
 		progress.ticket = verdict.Ticket()
@@ -208,7 +208,7 @@
 	case full, gone:
 		counts.waste(progress.job, 2)
 		instance.router.Done(choice, router.NewNotStarted(answer.status == gone), now)
-		if instance.limiter.Retry(now) && now.Before(progress.job.deadline) {
+		if instance.limiter.AllowRetry(now) && now.Before(progress.job.deadline) {
 			instance.retries = append(instance.retries, attempt)
 		} else {
 			instance.abandon(attempt)
--- a/measurer/measurer_test.go
+++ b/measurer/measurer_test.go
@@ -19,15 +19,15 @@
 	}
 	for _, load := range loads {
 		deployment := Deployments()[0]
-		figures := Measure(deployment, load, Variant{policy: router.LeastExpected{}}, seeds)
-		is.Equal(figures.StartedTwice, 0)
-		is.Equal(figures.UntrueRefusals, 0)
-		is.True(figures.WastedPart < 0.01)
+		results := Measure(deployment, load, Variant{policy: router.LeastExpectedCompletion{}}, seeds)
+		is.Equal(results.StartedTwice, 0)
+		is.Equal(results.UntrueRefusals, 0)
+		is.True(results.WastedRatio < 0.01)
 		naive := Measure(deployment, load, Variant{naive: true, policy: router.Random{}, keepOutliers: true}, seeds)
 		is.True(naive.StartedTwice > 0) // the count of broken promises works
-		is.True(figures.P99All < naive.P99All/2)
+		is.True(results.P99WithFailed < naive.P99WithFailed/2)
 	}
-	chosen := Variant{policy: router.LeastExpected{}}
+	chosen := Variant{policy: router.LeastExpectedCompletion{}}
 	is.Equal(Measure(Deployments()[0], loads[0], chosen, seeds), Measure(Deployments()[0], loads[0], chosen, seeds))
 }
 
@@ -39,7 +39,7 @@
 			if candidate.name != load {
 				continue
 			}
-			cluster := newCluster(Deployments()[1], candidate, Variant{policy: router.LeastExpected{}}, 1)
+			cluster := newCluster(Deployments()[1], candidate, Variant{policy: router.LeastExpectedCompletion{}}, 1)
 			counts := cluster.run()
 			is.Equal(len(counts.answered)+len(counts.notRun), cluster.submitted)
 			for _, domain := range cluster.domains {
--- a/measurer/table.go
+++ b/measurer/table.go
@@ -45,10 +45,10 @@
 			continue
 		}
 		for _, variant := range group.variants {
-			figures := Measure(deployment, candidate, variant, seeds)
+			results := Measure(deployment, candidate, variant, seeds)
 			fmt.Fprintf(&text, "| %s | %s | %.2f | %.1f | %.1f | %.2f | %.2f | %.2f | %.2f | %d | %d |\n",
-				candidate.name, variant.name, figures.Mean, figures.P99, figures.P99All, figures.WastedPerThousand, 100*figures.WastedPart,
-				100*figures.RefusedPart, 100*figures.FailedPart, figures.StartedTwice, figures.UntrueRefusals)
+				candidate.name, variant.name, results.Mean, results.P99, results.P99WithFailed, results.WastedPerThousand, 100*results.WastedRatio,
+				100*results.RefusedRatio, 100*results.FailedRatio, results.StartedTwice, results.UntrueRefusals)
 		}
 	}
 	_, err := io.WriteString(writer, text.String())
--- a/measurer/variant.go
+++ b/measurer/variant.go
@@ -27,7 +27,7 @@
 	config := router.Config{
 		Seed: seed, Policy: variant.policy, Share: share,
 		ResponseTimeWeight: deployment.responseTime, WastedMessageWeight: deployment.wasted,
-		KeepShare: variant.keepShare, KeepOutliers: variant.keepOutliers,
+		DisableBorrowing: variant.keepShare, DisableEjection: variant.keepOutliers,
 	}
 	if variant.responseTime+variant.wasted > 0 {
 		config.ResponseTimeWeight, config.WastedMessageWeight = variant.responseTime, variant.wasted
@@ -49,13 +49,13 @@
 
 // Groups returns all comparisons; the names of the variants mark the rules in use.
 func Groups() []Group {
-	least := router.LeastExpected{}
+	least := router.LeastExpectedCompletion{}
 	return []Group{
 		{name: "policies", variants: []Variant{
 			{name: "naive", naive: true, policy: router.Random{}, keepOutliers: true},
 			{name: "round robin", policy: router.RoundRobin{}},
 			{name: "least in flight", policy: router.LeastInFlight{}},
-			{name: "two choices", policy: router.TwoChoices{}},
+			{name: "two choices", policy: router.PowerOfTwoChoices{}},
 			{name: "least expected (chosen)", policy: least},
 		}},
 		{name: "orders", variants: []Variant{
@@ -64,7 +64,7 @@
 			{name: "deadline by 2 s, remaining", policy: least, order: limiter.NewByDeadline(2 * time.Second)},
 			{name: "deadline by 10 s, remaining", policy: least, order: limiter.NewByDeadline(10 * time.Second)},
 			{name: "deadline by weight, remaining (chosen)", policy: least},
-			{name: "remaining", policy: least, order: limiter.ByRemaining{}},
+			{name: "remaining", policy: least, order: limiter.ByRemainingWork{}},
 		}},
 		{name: "shares", variants: []Variant{
 			{name: "static", policy: least, keepShare: true},
@@ -84,7 +84,7 @@
 }
 
 // Measure runs variant with each of the seeds and returns the figures over all runs.
-func Measure(deployment Deployment, load Load, variant Variant, seeds []uint64) Figures {
+func Measure(deployment Deployment, load Load, variant Variant, seeds []uint64) Results {
 	var sums counts
 	for _, seed := range seeds {
 		sums.add(newCluster(deployment, load, variant, seed).run())
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -13,11 +13,11 @@
 type Worker struct {
 	name  string
 	rack  string
-	total Size
+	total Resources
 }
 
 // NewWorker returns a worker named name in rack with the given total size.
-func NewWorker(name, rack string, total Size) Worker {
+func NewWorker(name, rack string, total Resources) Worker {
 	return Worker{name: name, rack: rack, total: total}
 }
 
@@ -28,15 +28,15 @@
 func (worker Worker) Rack() string { return worker.rack }
 
 // Total returns the worker's size.
-func (worker Worker) Total() Size { return worker.total }
+func (worker Worker) Total() Resources { return worker.total }
 
-// Verdict is the answer to a request for a place: Placed, Full or Impossible.
-type Verdict interface{ isVerdict() }
+// Decision is the answer to a request for a place: Placed, Full or Impossible.
+type Decision interface{ isVerdict() }
 
 // Placed means that room was reserved on a worker.
 type Placed struct {
 	worker  Worker
-	granted Size
+	granted Resources
 	id      uint64
 }
 
@@ -44,7 +44,7 @@
 type Full struct{}
 
 // Impossible means that no worker, even an idle one, is large enough.
-type Impossible struct{ largest Size }
+type Impossible struct{ largest Resources }
 
 func (Placed) isVerdict()     {}
 func (Full) isVerdict()       {}
@@ -54,50 +54,50 @@
 func (placed Placed) Worker() Worker { return placed.worker }
 
 // Granted returns the size to ask for in the lease.
-func (placed Placed) Granted() Size { return placed.granted }
+func (placed Placed) Granted() Resources { return placed.granted }
 
 // Largest returns the largest size on offer in each dimension.
-func (impossible Impossible) Largest() Size { return impossible.largest }
+func (impossible Impossible) Largest() Resources { return impossible.largest }
 
-// Ending is how a placed task ended: Done, Guarded or Unstarted.
-type Ending interface{ isEnding() }
+// Result is how a placed task ended: Done, Guarded or Unstarted.
+type Result interface{ isEnding() }
 
 // Done means that the task ended on its own, with the peak usage that the worker reported.
-type Done struct{ peak Size }
+type Done struct{ peak Resources }
 
-// Guarded means that the worker throttled, checkpointed or stopped the task for exceeding its size.
-type Guarded struct{ peak Size }
+// ResourcesExceeded means that the worker throttled, checkpointed or stopped the task for exceeding its size.
+type ResourcesExceeded struct{ peak Resources }
 
 // Failed means that the task failed on its worker for another reason than its size.
 type Failed struct{}
 
-// Unstarted means that the task gave no information on its size or its worker.
-type Unstarted struct{}
+// NotStarted means that the task gave no information on its size or its worker.
+type NotStarted struct{}
 
-func (Done) isEnding()      {}
-func (Guarded) isEnding()   {}
-func (Failed) isEnding()    {}
-func (Unstarted) isEnding() {}
+func (Done) isEnding()              {}
+func (ResourcesExceeded) isEnding() {}
+func (Failed) isEnding()            {}
+func (NotStarted) isEnding()        {}
 
 // NewDone returns an ending with the given peak usage.
-func NewDone(peak Size) Done { return Done{peak: peak} }
+func NewDone(peak Resources) Done { return Done{peak: peak} }
 
-// NewGuarded returns an ending by the guard with the given peak usage.
-func NewGuarded(peak Size) Guarded { return Guarded{peak: peak} }
+// NewResourcesExceeded returns an ending by the guard with the given peak usage.
+func NewResourcesExceeded(peak Resources) ResourcesExceeded { return ResourcesExceeded{peak: peak} }
 
 // seat is the placer's account of one worker.
 type seat struct {
 	Worker
-	reserved Size
+	reserved Resources
 	// foreign is the usage of other instances' tasks, as last reported, until foreignEnd.
-	foreign    Size
+	foreign    Resources
 	foreignEnd time.Time
 	// closedEnd is when the worker gets tasks again; failures counts those in a row.
 	closedEnd time.Time
 	failures  int
 }
 
-func (seat *seat) room(now time.Time) Size {
+func (seat *seat) room(now time.Time) Resources {
 	room := seat.total.subtract(seat.reserved)
 	if now.Before(seat.foreignEnd) {
 		room = room.subtract(seat.foreign)
@@ -111,7 +111,7 @@
 type reservation struct {
 	worker  string
 	kind    string
-	granted Size
+	granted Resources
 }
 
 // Placer places tasks on the workers of one service; it is safe for concurrent use.
@@ -122,7 +122,7 @@
 	estimates    map[string]*sizeEstimate
 	reservations map[uint64]reservation
 	lastID       uint64
-	largest      Size
+	largest      Resources
 	lastRacks    map[string]string
 	racks        map[string]span
 	random       *rand.Rand
@@ -152,7 +152,7 @@
 	old := placer.byName
 	placer.byName = make(map[string]*seat, len(workers))
 	placer.seats = placer.seats[:0]
-	placer.largest = Size{}
+	placer.largest = Resources{}
 	for _, worker := range workers {
 		entry := &seat{Worker: worker}
 		if previous := old[worker.name]; previous != nil {
@@ -178,18 +178,18 @@
 	}
 }
 
-// Report takes a worker's usage, which holds until end; usage beyond the own reservations is held to be other
+// ReportUsage takes a worker's usage, which holds until end; usage beyond the own reservations is held to be other
 // instances'. Later than end it would describe tasks that have long ended.
-func (placer *Placer) Report(worker string, used Size, end time.Time) {
+func (placer *Placer) ReportUsage(worker string, used Resources, end time.Time) {
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
 	if entry := placer.byName[worker]; entry != nil {
-		entry.foreign, entry.foreignEnd = used.subtract(entry.reserved).Maximum(Size{}), end
+		entry.foreign, entry.foreignEnd = used.subtract(entry.reserved).Maximum(Resources{}), end
 	}
 }
 
-// Close keeps new tasks from a worker until end.
-func (placer *Placer) Close(worker string, end time.Time) {
+// Suspend keeps new tasks from a worker until end.
+func (placer *Placer) Suspend(worker string, end time.Time) {
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
 	if entry := placer.byName[worker]; entry != nil {
@@ -199,7 +199,7 @@
 
 // Place reserves room for one task of kind; nearRack, if not empty, is preferred, because a job whose tasks
 // share a rack is lost to the failure of fewer racks.
-func (placer *Placer) Place(kind string, declared Size, nearRack string, now time.Time) Verdict {
+func (placer *Placer) Place(kind string, declared Resources, nearRack string, now time.Time) Decision {
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
 	request := placer.estimate(kind).request(declared)
@@ -228,20 +228,20 @@
 	return placer.lastRacks[kind]
 }
 
-// Possible reports whether a task of the declared size fits on any worker that is idle.
-func (placer *Placer) Possible(declared Size) bool {
+// FitsAnyWorker reports whether a task of the declared size fits on any worker that is idle.
+func (placer *Placer) FitsAnyWorker(declared Resources) bool {
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
 	return placer.fitsIdle(declared)
 }
 
-func (placer *Placer) fitsIdle(request Size) bool {
+func (placer *Placer) fitsIdle(request Resources) bool {
 	return slices.ContainsFunc(placer.seats, func(seat *seat) bool { return request.Fits(seat.total) })
 }
 
 // choose returns an open worker that has room, or nil. It looks at the near rack first, then at a sample, and
 // at all workers only if neither has room.
-func (placer *Placer) choose(request Size, nearRack string, now time.Time) *seat {
+func (placer *Placer) choose(request Resources, nearRack string, now time.Time) *seat {
 	near := placer.racks[nearRack]
 	best := freest(nil, placer.seats[near.low:near.high], request, now)
 	if best != nil {
@@ -260,7 +260,7 @@
 }
 
 // freest returns the open worker with the largest free share among best and those of seats that have room.
-func freest(best *seat, seats []*seat, request Size, now time.Time) *seat {
+func freest(best *seat, seats []*seat, request Resources, now time.Time) *seat {
 	for _, seat := range seats {
 		room := seat.room(now)
 		if seat.closed(now) || !request.Fits(room) {
@@ -274,12 +274,12 @@
 }
 
 // freeShare compares workers of different size by the part of their processor time that is free, in 1/1,000,000.
-func freeShare(entry *seat, room Size) int64 {
+func freeShare(entry *seat, room Resources) int64 {
 	return room.MilliCores * 1_000_000 / max(entry.total.MilliCores, 1)
 }
 
-// End releases the room of a placed task and learns from how it ended; a second call has no effect.
-func (placer *Placer) End(placed Placed, ending Ending, now time.Time) {
+// Release releases the room of a placed task and learns from how it ended; a second call has no effect.
+func (placer *Placer) Release(placed Placed, result Result, now time.Time) {
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
 	held, ok := placer.reservations[placed.id]
@@ -292,15 +292,15 @@
 		entry = &seat{}
 	}
 	entry.reserved = entry.reserved.subtract(held.granted)
-	switch ending := ending.(type) {
+	switch ending := result.(type) {
 	case Done:
 		entry.failures = 0
 		placer.estimate(held.kind).observe(ending.peak)
-	case Guarded:
+	case ResourcesExceeded:
 		placer.estimate(held.kind).guard(held.granted, ending.peak)
 	case Failed:
 		placer.countFailure(entry, now)
-	case Unstarted:
+	case NotStarted:
 	}
 }
 
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func fleet(count, perRack int, total placer.Size) []placer.Worker {
+func fleet(count, perRack int, total placer.Resources) []placer.Worker {
 	workers := make([]placer.Worker, count)
 	for i := range workers {
 		workers[i] = placer.NewWorker(fmt.Sprintf("worker-%03d", i), fmt.Sprintf("rack-%03d", i/perRack), total)
@@ -24,39 +24,39 @@
 // Guards against reserving more than a worker has and against losing or doubling a release.
 func TestReservationsAgainstReference(t *testing.T) {
 	is := is.New(t)
-	total := placer.Size{MilliCores: 32_000, MemoryMB: 131_072}
+	total := placer.Resources{MilliCores: 32_000, MemoryMB: 131_072}
 	random := rand.New(rand.NewPCG(1, 2))
 	subject := placer.New(rand.New(rand.NewPCG(3, 4)))
 	subject.Update(fleet(16, 8, total))
-	used := make(map[string]placer.Size)
+	used := make(map[string]placer.Resources)
 	var held []placer.Placed
 	for range 20_000 {
 		if len(held) > 0 && random.IntN(3) == 0 {
 			i := random.IntN(len(held))
 			placed := held[i]
 			held = append(held[:i], held[i+1:]...)
-			subject.End(placed, placer.Unstarted{}, start)
-			subject.End(placed, placer.Unstarted{}, start)
-			size := used[placed.Worker().Name()]
-			size.MilliCores -= placed.Granted().MilliCores
-			size.MemoryMB -= placed.Granted().MemoryMB
-			used[placed.Worker().Name()] = size
+			subject.Release(placed, placer.NotStarted{}, start)
+			subject.Release(placed, placer.NotStarted{}, start)
+			resources := used[placed.Worker().Name()]
+			resources.MilliCores -= placed.Granted().MilliCores
+			resources.MemoryMB -= placed.Granted().MemoryMB
+			used[placed.Worker().Name()] = resources
 			continue
 		}
-		request := placer.Size{MilliCores: 1000 * (1 + random.Int64N(16)), MemoryMB: 1024 * (1 + random.Int64N(64))}
+		request := placer.Resources{MilliCores: 1000 * (1 + random.Int64N(16)), MemoryMB: 1024 * (1 + random.Int64N(64))}
 		switch verdict := subject.Place("plan", request, "", start).(type) {
 		case placer.Placed:
 			held = append(held, verdict)
-			size := used[verdict.Worker().Name()]
-			size.MilliCores += request.MilliCores
-			size.MemoryMB += request.MemoryMB
-			used[verdict.Worker().Name()] = size
-			is.True(size.MilliCores <= total.MilliCores) // processor time is never reserved twice
-			is.True(size.MemoryMB <= total.MemoryMB)     // memory is never reserved twice
+			resources := used[verdict.Worker().Name()]
+			resources.MilliCores += request.MilliCores
+			resources.MemoryMB += request.MemoryMB
+			used[verdict.Worker().Name()] = resources
+			is.True(resources.MilliCores <= total.MilliCores) // processor time is never reserved twice
+			is.True(resources.MemoryMB <= total.MemoryMB)     // memory is never reserved twice
 		case placer.Full:
 			for _, worker := range fleet(16, 8, total) {
-				size := used[worker.Name()]
-				fits := size.MilliCores+request.MilliCores <= total.MilliCores && size.MemoryMB+request.MemoryMB <= total.MemoryMB
+				resources := used[worker.Name()]
+				fits := resources.MilliCores+request.MilliCores <= total.MilliCores && resources.MemoryMB+request.MemoryMB <= total.MemoryMB
 				is.True(!fits) // full is said only when no worker has room
 			}
 		case placer.Impossible:
@@ -67,17 +67,17 @@
 
 // Guards against queueing a task for ever that no worker can run, and against placing on a closed worker.
 func TestVerdicts(t *testing.T) {
-	total := placer.Size{MilliCores: 4000, MemoryMB: 8192, Accelerators: 2}
+	total := placer.Resources{MilliCores: 4000, MemoryMB: 8192, Accelerators: 2}
 	cases := []struct {
 		name    string
-		request placer.Size
+		request placer.Resources
 		closed  bool
 		want    string
 	}{
-		{"fits", placer.Size{MilliCores: 4000, MemoryMB: 8192, Accelerators: 2}, false, "placer.Placed"},
-		{"too much memory", placer.Size{MemoryMB: 8193}, false, "placer.Impossible"},
-		{"too many accelerators", placer.Size{Accelerators: 3}, false, "placer.Impossible"},
-		{"closed worker", placer.Size{MilliCores: 1}, true, "placer.Full"},
+		{"fits", placer.Resources{MilliCores: 4000, MemoryMB: 8192, Accelerators: 2}, false, "placer.Placed"},
+		{"too much memory", placer.Resources{MemoryMB: 8193}, false, "placer.Impossible"},
+		{"too many accelerators", placer.Resources{Accelerators: 3}, false, "placer.Impossible"},
+		{"closed worker", placer.Resources{MilliCores: 1}, true, "placer.Full"},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -85,7 +85,7 @@
 			subject := placer.New(rand.New(rand.NewPCG(3, 4)))
 			subject.Update(fleet(1, 1, total))
 			if test.closed {
-				subject.Close("worker-000", start.Add(time.Second))
+				subject.Suspend("worker-000", start.Add(time.Second))
 			}
 			is.Equal(fmt.Sprintf("%T", subject.Place("plan", test.request, "", start)), test.want)
 		})
@@ -96,34 +96,34 @@
 func TestSizesAreLearned(t *testing.T) {
 	is := is.New(t)
 	subject := placer.New(rand.New(rand.NewPCG(3, 4)))
-	subject.Update(fleet(4, 2, placer.Size{MilliCores: 32_000, MemoryMB: 131_072}))
-	place := func(kind string, declared placer.Size) placer.Placed {
+	subject.Update(fleet(4, 2, placer.Resources{MilliCores: 32_000, MemoryMB: 131_072}))
+	place := func(kind string, declared placer.Resources) placer.Placed {
 		placed, ok := subject.Place(kind, declared, "", start).(placer.Placed)
 		is.True(ok)
 		return placed
 	}
-	small := placer.Size{MilliCores: 1000, MemoryMB: 1000}
-	subject.End(place("understated", small), placer.NewGuarded(placer.Size{MilliCores: 1000, MemoryMB: 4000}), start)
+	small := placer.Resources{MilliCores: 1000, MemoryMB: 1000}
+	subject.Release(place("understated", small), placer.NewResourcesExceeded(placer.Resources{MilliCores: 1000, MemoryMB: 4000}), start)
 	is.True(place("understated", small).Granted().MemoryMB >= 4000) // the next lease is large enough
 
-	large := placer.Size{MilliCores: 16_000, MemoryMB: 65_536}
+	large := placer.Resources{MilliCores: 16_000, MemoryMB: 65_536}
 	for range 20 {
-		subject.End(place("overstated", large), placer.NewDone(small), start)
+		subject.Release(place("overstated", large), placer.NewDone(small), start)
 	}
-	is.Equal(place("overstated", large).Granted(), placer.Size{MilliCores: 1200, MemoryMB: 1200})
+	is.Equal(place("overstated", large).Granted(), placer.Resources{MilliCores: 1200, MemoryMB: 1200})
 }
 
 // Guards against counting other instances' tasks as free room, and against doing so from an expired report.
 func TestForeignUsageIsKeptFree(t *testing.T) {
 	is := is.New(t)
 	subject := placer.New(rand.New(rand.NewPCG(3, 4)))
-	subject.Update(fleet(1, 1, placer.Size{MilliCores: 4000, MemoryMB: 4000}))
-	request := placer.Size{MilliCores: 2000, MemoryMB: 2000}
-	busy := placer.Size{MilliCores: 3000, MemoryMB: 3000}
-	subject.Report("worker-000", busy, start)
+	subject.Update(fleet(1, 1, placer.Resources{MilliCores: 4000, MemoryMB: 4000}))
+	request := placer.Resources{MilliCores: 2000, MemoryMB: 2000}
+	busy := placer.Resources{MilliCores: 3000, MemoryMB: 3000}
+	subject.ReportUsage("worker-000", busy, start)
 	_, ok := subject.Place("plan", request, "", start).(placer.Placed)
 	is.True(ok) // an expired report says nothing
-	subject.Report("worker-000", busy, start.Add(time.Second))
+	subject.ReportUsage("worker-000", busy, start.Add(time.Second))
 	_, ok = subject.Place("plan", request, "", start).(placer.Full)
 	is.True(ok) // the own 2000 and another instance's 1000 leave 1000
 }
@@ -132,18 +132,18 @@
 func TestFailingWorkersAreClosed(t *testing.T) {
 	is := is.New(t)
 	subject := placer.New(rand.New(rand.NewPCG(3, 4)))
-	subject.Update(fleet(10, 5, placer.Size{MilliCores: 4000, MemoryMB: 4000}))
-	small := placer.Size{MilliCores: 100, MemoryMB: 100}
+	subject.Update(fleet(10, 5, placer.Resources{MilliCores: 4000, MemoryMB: 4000}))
+	small := placer.Resources{MilliCores: 100, MemoryMB: 100}
 	run := func(failing func(name string) bool, now time.Time) map[string]int {
 		starts := make(map[string]int)
 		for range 500 {
 			placed := subject.Place("plan", small, "", now).(placer.Placed)
 			starts[placed.Worker().Name()]++
 			if failing(placed.Worker().Name()) {
-				subject.End(placed, placer.Failed{}, now)
+				subject.Release(placed, placer.Failed{}, now)
 				continue
 			}
-			subject.End(placed, placer.NewDone(small), now)
+			subject.Release(placed, placer.NewDone(small), now)
 		}
 		return starts
 	}
@@ -174,7 +174,7 @@
 func jobsHit(near string) int {
 	random := rand.New(rand.NewPCG(5, 6))
 	subject := placer.New(rand.New(rand.NewPCG(3, 4)))
-	subject.Update(fleet(48, 8, placer.Size{MilliCores: 32_000, MemoryMB: 131_072}))
+	subject.Update(fleet(48, 8, placer.Resources{MilliCores: 32_000, MemoryMB: 131_072}))
 	hit := 0
 	for range 60 {
 		rack, uses := "", false
@@ -182,7 +182,7 @@
 			rack = subject.LastRack("plan")
 		}
 		for range 1 + random.IntN(20) {
-			placed := subject.Place("plan", placer.Size{MilliCores: 1000, MemoryMB: 1000}, rack, start).(placer.Placed)
+			placed := subject.Place("plan", placer.Resources{MilliCores: 1000, MemoryMB: 1000}, rack, start).(placer.Placed)
 			if near != "none" {
 				rack = placed.Worker().Rack()
 			}
@@ -199,11 +199,11 @@
 	for _, count := range []int{50, 500, 2_000, 22_000} {
 		b.Run(fmt.Sprintf("workers=%d", count), func(b *testing.B) {
 			subject := placer.New(rand.New(rand.NewPCG(3, 4)))
-			subject.Update(fleet(count, 8, placer.Size{MilliCores: 32_000, MemoryMB: 131_072}))
+			subject.Update(fleet(count, 8, placer.Resources{MilliCores: 32_000, MemoryMB: 131_072}))
 			b.ReportAllocs()
 			for b.Loop() {
-				placed := subject.Place("plan", placer.Size{MilliCores: 1000, MemoryMB: 1000}, "", start).(placer.Placed)
-				subject.End(placed, placer.Unstarted{}, start)
+				placed := subject.Place("plan", placer.Resources{MilliCores: 1000, MemoryMB: 1000}, "", start).(placer.Placed)
+				subject.Release(placed, placer.NotStarted{}, start)
 			}
 		})
 	}
--- a/placer/size.go
+++ b/placer/size.go
@@ -1,7 +1,7 @@
 package placer
 
-// Size is what a task needs or a worker has.
-type Size struct {
+// Resources is what a task needs or a worker has.
+type Resources struct {
 	// MilliCores is processor time in thousandths of a core.
 	MilliCores int64 `json:"milli-cores"`
 	// MemoryMB is memory in megabytes.
@@ -10,31 +10,31 @@
 	Accelerators int64 `json:"accelerators"`
 }
 
-func (size Size) add(other Size) Size {
-	return Size{size.MilliCores + other.MilliCores, size.MemoryMB + other.MemoryMB, size.Accelerators + other.Accelerators}
+func (resources Resources) add(other Resources) Resources {
+	return Resources{resources.MilliCores + other.MilliCores, resources.MemoryMB + other.MemoryMB, resources.Accelerators + other.Accelerators}
 }
 
-func (size Size) subtract(other Size) Size {
-	return Size{size.MilliCores - other.MilliCores, size.MemoryMB - other.MemoryMB, size.Accelerators - other.Accelerators}
+func (resources Resources) subtract(other Resources) Resources {
+	return Resources{resources.MilliCores - other.MilliCores, resources.MemoryMB - other.MemoryMB, resources.Accelerators - other.Accelerators}
 }
 
 // Fits reports whether size is no larger than room in any dimension.
-func (size Size) Fits(room Size) bool {
-	return size.MilliCores <= room.MilliCores && size.MemoryMB <= room.MemoryMB && size.Accelerators <= room.Accelerators
+func (resources Resources) Fits(room Resources) bool {
+	return resources.MilliCores <= room.MilliCores && resources.MemoryMB <= room.MemoryMB && resources.Accelerators <= room.Accelerators
 }
 
 // Maximum returns the larger value of each dimension.
-func (size Size) Maximum(other Size) Size {
-	return Size{max(size.MilliCores, other.MilliCores), max(size.MemoryMB, other.MemoryMB), max(size.Accelerators, other.Accelerators)}
+func (resources Resources) Maximum(other Resources) Resources {
+	return Resources{max(resources.MilliCores, other.MilliCores), max(resources.MemoryMB, other.MemoryMB), max(resources.Accelerators, other.Accelerators)}
 }
 
-func (size Size) minimum(other Size) Size {
-	return Size{min(size.MilliCores, other.MilliCores), min(size.MemoryMB, other.MemoryMB), min(size.Accelerators, other.Accelerators)}
+func (resources Resources) minimum(other Resources) Resources {
+	return Resources{min(resources.MilliCores, other.MilliCores), min(resources.MemoryMB, other.MemoryMB), min(resources.Accelerators, other.Accelerators)}
 }
 
 // scale multiplies the divisible dimensions by percent/100; accelerators are whole.
-func (size Size) scale(percent int64) Size {
-	return Size{size.MilliCores * percent / 100, size.MemoryMB * percent / 100, size.Accelerators}
+func (resources Resources) scale(percent int64) Resources {
+	return Resources{resources.MilliCores * percent / 100, resources.MemoryMB * percent / 100, resources.Accelerators}
 }
 
 const (
@@ -51,11 +51,11 @@
 
 // sizeEstimate is the learned size of one kind: a slowly decaying maximum of observed peaks.
 type sizeEstimate struct {
-	peak    Size
+	peak    Resources
 	samples int
 }
 
-func (sizeEstimate *sizeEstimate) observe(peak Size) {
+func (sizeEstimate *sizeEstimate) observe(peak Resources) {
 	excess := sizeEstimate.peak.subtract(peak)
 	decayed := peak.add(excess.scale(decayPercent))
 	decayed.Accelerators = max(peak.Accelerators, sizeEstimate.peak.Accelerators)
@@ -64,13 +64,13 @@
 }
 
 // guard raises the estimate after the worker throttled, checkpointed or stopped a task that was granted size.
-func (sizeEstimate *sizeEstimate) guard(granted, peak Size) {
+func (sizeEstimate *sizeEstimate) guard(granted, peak Resources) {
 	sizeEstimate.peak = sizeEstimate.peak.Maximum(granted.scale(guardPercent)).Maximum(peak)
 	sizeEstimate.samples = max(sizeEstimate.samples, 1)
 }
 
 // request returns the size to ask for, given the declared one.
-func (sizeEstimate *sizeEstimate) request(declared Size) Size {
+func (sizeEstimate *sizeEstimate) request(declared Resources) Resources {
 	if sizeEstimate.samples == 0 {
 		return declared
 	}
--- a/router/api.go
+++ b/router/api.go
@@ -27,10 +27,10 @@
 	WastedMessageWeight float64
 	// Share is this instance's part of the slots of its failure domain.
 	Share Share
-	// KeepShare forbids borrowing slots beyond the share.
-	KeepShare bool
-	// KeepOutliers switches the ejection of targets off; only measurements use it.
-	KeepOutliers bool
+	// DisableBorrowing forbids borrowing slots beyond the share.
+	DisableBorrowing bool
+	// DisableEjection switches the ejection of targets off; only measurements use it.
+	DisableEjection bool
 }
 
 // Share is an instance's range in the cumulative weights of the instances of its failure domain.
@@ -55,8 +55,8 @@
 // LeastInFlight, TwoChoices or Random.
 type Policy interface{ isPolicy() }
 
-// LeastExpected chooses the target with the least expected completion time.
-type LeastExpected struct{}
+// LeastExpectedCompletion chooses the target with the least expected completion time.
+type LeastExpectedCompletion struct{}
 
 // RoundRobin chooses the targets in turn.
 type RoundRobin struct{}
@@ -64,17 +64,17 @@
 // LeastInFlight chooses the target with the fewest own tasks in flight per slot.
 type LeastInFlight struct{}
 
-// TwoChoices draws two targets and chooses the one with fewer own tasks in flight per slot.
-type TwoChoices struct{}
+// PowerOfTwoChoices draws two targets and chooses the one with fewer own tasks in flight per slot.
+type PowerOfTwoChoices struct{}
 
 // Random chooses any target with room.
 type Random struct{}
 
-func (LeastExpected) isPolicy() {}
-func (RoundRobin) isPolicy()    {}
-func (LeastInFlight) isPolicy() {}
-func (TwoChoices) isPolicy()    {}
-func (Random) isPolicy()        {}
+func (LeastExpectedCompletion) isPolicy() {}
+func (RoundRobin) isPolicy()              {}
+func (LeastInFlight) isPolicy()           {}
+func (PowerOfTwoChoices) isPolicy()       {}
+func (Random) isPolicy()                  {}
 
 // Choice is one target picked for one task; it must be given back to Done exactly once.
 type Choice struct {
--- a/router/borrow_test.go
+++ b/router/borrow_test.go
@@ -82,7 +82,7 @@
 func TestSetShare(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	router := New(Config{Share: NewShare([]float64{1, 1}, 0), KeepShare: true})
+	router := New(Config{Share: NewShare([]float64{1, 1}, 0), DisableBorrowing: true})
 	router.Update([]Target{NewTarget("runner", "address", 8, false)}, now)
 	choices := fill(router, "check", now)
 	is.Equal(len(choices), 4)
--- a/router/choose.go
+++ b/router/choose.go
@@ -109,7 +109,7 @@
 		return candidates.firstReady(router.below(count), now)
 	case LeastInFlight:
 		return router.best(candidates, count, kindID, now, load)
-	case TwoChoices:
+	case PowerOfTwoChoices:
 		a, b := candidates.firstReady(router.below(count), now), candidates.firstReady(router.below(count), now)
 		if a != nil && load(router, b, kindID, now) < load(router, a, kindID, now) {
 			return b
--- a/router/eject.go
+++ b/router/eject.go
@@ -58,7 +58,7 @@
 
 // eject takes a healthy target out of the choice unless too many are out already, and reports whether it did.
 func (router *Router) eject(target *target, state state, now int64) bool {
-	if router.config.KeepOutliers || target.gone || target.leavingUntil != 0 || len(router.ejected) >= router.maxEjected() {
+	if router.config.DisableEjection || target.gone || target.leavingUntil != 0 || len(router.ejected) >= router.maxEjected() {
 		return false
 	}
 	target.state = state
--- a/router/router.go
+++ b/router/router.go
@@ -32,7 +32,7 @@
 // New returns a router without targets.
 func New(config Config) *Router {
 	if config.Policy == nil {
-		config.Policy = LeastExpected{}
+		config.Policy = LeastExpectedCompletion{}
 	}
 	if config.Share == (Share{}) {
 		config.Share = Share{high: 1}
@@ -117,8 +117,8 @@
 	return 0.5
 }
 
-// Leave marks the target named name as leaving: it gets nothing new until a later snapshot clears it.
-func (router *Router) Leave(name string, now time.Time) {
+// MarkLeaving marks the target named name as leaving: it gets nothing new until a later snapshot clears it.
+func (router *Router) MarkLeaving(name string, now time.Time) {
 	router.mu.Lock()
 	defer router.mu.Unlock()
 	if target, ok := router.targets[name]; ok {
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -78,7 +78,7 @@
 	var candidates []*target
 	for name, target := range router.targets {
 		limit := target.share
-		if !router.config.KeepShare && (!long || !ownSlots) {
+		if !router.config.DisableBorrowing && (!long || !ownSlots) {
 			limit += int32(target.extra)
 		}
 		if sequence.reference.mayWork(name) && target.state == healthy && target.inFlight < limit && target.pausedUntil <= nanos {
@@ -112,7 +112,7 @@
 	cheapest, silent := sequence.cheapest(candidates, kindID)
 	ejected := slices.Clone(sequence.router.ejected)
 	choice, ok := sequence.router.Pick(kind, sequence.now)
-	_, least := sequence.router.config.Policy.(LeastExpected)
+	_, least := sequence.router.config.Policy.(LeastExpectedCompletion)
 	switch {
 	case !ok && len(candidates) > 0 && !silent:
 		sequence.Fatalf("no target was picked, %d have room", len(candidates))
@@ -167,7 +167,7 @@
 
 func (sequence *sequence) leave() {
 	name := fmt.Sprint("runner-", sequence.random.IntN(45))
-	sequence.router.Leave(name, sequence.now)
+	sequence.router.MarkLeaving(name, sequence.now)
 	sequence.reference.leave(name, sequence.now)
 }
 
@@ -182,7 +182,7 @@
 		if int(target.inFlight) != sequence.reference.inFlight[target] || target.inFlight < 0 {
 			sequence.Fatalf("%s has %d tasks in flight, want %d", name, target.inFlight, sequence.reference.inFlight[target])
 		}
-		if router.config.KeepShare && target.inFlight > target.share || int(target.inFlight) > target.slots {
+		if router.config.DisableBorrowing && target.inFlight > target.share || int(target.inFlight) > target.slots {
 			sequence.Fatalf("%s has %d tasks in flight, its share is %d of %d slots", name, target.inFlight, target.share, target.slots)
 		}
 		if up := sequence.reference.mayWork(name) && target.state == healthy; up {
@@ -203,11 +203,11 @@
 	share := NewShare([]float64{2, 1, 1}, 0)
 	for _, config := range []Config{
 		{Share: share},
-		{Share: share, KeepShare: true},
-		{Share: share, KeepOutliers: true},
+		{Share: share, DisableBorrowing: true},
+		{Share: share, DisableEjection: true},
 		{Share: share, Policy: RoundRobin{}, WastedMessageWeight: 1},
 		{Share: share, Policy: LeastInFlight{}, ResponseTimeWeight: 1},
-		{Share: share, Policy: TwoChoices{}},
+		{Share: share, Policy: PowerOfTwoChoices{}},
 		{Share: share, Policy: Random{}},
 	} {
 		for seed := range uint64(4) {
@@ -236,7 +236,7 @@
 				sequence.check()
 				ejected = max(ejected, sequence.router.Ejected())
 			}
-			if sequence.picked < 2500 || (ejected > 0) == config.KeepOutliers {
+			if sequence.picked < 2500 || (ejected > 0) == config.DisableEjection {
 				t.Fatalf("seed %d: %d picks and %d ejected at once do not test the rules", seed, sequence.picked, ejected)
 			}
 		}
@@ -324,7 +324,7 @@
 		{"refuses", time.Millisecond, NewNotStarted(false)},
 		{"lags", 900 * time.Millisecond, NewFinished(900 * time.Millisecond)},
 	} {
-		for _, policy := range []Policy{LeastExpected{}, RoundRobin{}, LeastInFlight{}, TwoChoices{}, Random{}} {
+		for _, policy := range []Policy{LeastExpectedCompletion{}, RoundRobin{}, LeastInFlight{}, PowerOfTwoChoices{}, Random{}} {
 			first, second, ejected := play(Config{Seed: 1, Policy: policy}, odd, 9)
 			t.Logf("%T, %s: %.4f of the starts, then %.4f", policy, odd.name, first, second)
 			is.True(first < 0.01)  // with a fault, a tenth of the even part at most
--- a/router/target.go
+++ b/router/target.go
@@ -94,7 +94,7 @@
 
 // limit returns how many tasks this instance may have in flight on target.
 func (router *Router) limit(target *target) int32 {
-	if router.config.KeepShare {
+	if router.config.DisableBorrowing {
 		return target.share
 	}
 	return target.share + int32(max(0, target.extra))
--- a/scheduler/admit.go
+++ b/scheduler/admit.go
@@ -33,9 +33,9 @@
 		return scheduler.refusal(job, dispatcher.ReasonDeadline, "the job takes longer than its caller waits", now), false
 	}
 	job.load = scheduler.load(job, rate, now)
-	job.load.Patience = scheduler.patience(job, rate)
-	job.giveUp = now.Add(job.load.Patience)
-	if job.load.Expected > job.load.Patience {
+	job.load.MaxWait = scheduler.patience(job, rate)
+	job.giveUp = now.Add(job.load.MaxWait)
+	if job.load.ExpectedWait > job.load.MaxWait {
 		return scheduler.refusal(job, dispatcher.ReasonOverload, "the job would wait longer than it has time", now), false
 	}
 	return dispatcher.Refused{}, true
@@ -51,7 +51,7 @@
 // possible reports whether any target could ever run a task of the step.
 func (scheduler *Scheduler) possible(service string, step *Step) bool {
 	for _, target := range scheduler.byService[service] {
-		if step.Size.Fits(target.Capacity) && target.hasLabel(step.Label) {
+		if step.Resources.Fits(target.Capacity) && target.hasLabel(step.Label) {
 			return true
 		}
 	}
@@ -61,27 +61,27 @@
 // load returns how much work is ahead of a job, and how long it takes until the last task of its first steps finds room.
 func (scheduler *Scheduler) load(job *job, rate releaseRate, now time.Time) Load {
 	needed := int64(0)
-	var size Size
+	var resources Resources
 	for _, task := range job.tasks {
 		if task.state == waiting {
 			needed++
-			size = task.spec().Size
+			resources = task.spec().Resources
 		}
 	}
 	// A step that is wider than its share of all room runs in waves, and its objective allows for them.
-	needed = min(needed, max(1, scheduler.slots(job.Service, size, needed*waveShare)/waveShare))
-	load := Load{Ahead: scheduler.Demand().upTo(job.Priority)}
+	needed = min(needed, max(1, scheduler.slots(job.Service, resources, needed*waveShare)/waveShare))
+	load := Load{TasksAhead: scheduler.Demand().upTo(job.Priority)}
 	for _, demand := range scheduler.demands {
-		load.Ahead += demand.upTo(job.Priority)
+		load.TasksAhead += demand.upTo(job.Priority)
 	}
-	load.Free = scheduler.free(job.Service, size, needed+load.Ahead, now)
-	short := needed + load.Ahead - load.Free
+	load.FreeSlots = scheduler.free(job.Service, resources, needed+load.TasksAhead, now)
+	short := needed + load.TasksAhead - load.FreeSlots
 	switch {
 	case short <= 0:
 	case rate.perHour <= 0:
-		load.Expected = job.Deadline.Sub(now)
+		load.ExpectedWait = job.Deadline.Sub(now)
 	default:
-		load.Expected = time.Duration(float64(short) / float64(rate.perHour) * float64(time.Hour))
+		load.ExpectedWait = time.Duration(float64(short) / float64(rate.perHour) * float64(time.Hour))
 	}
 	return load
 }
@@ -90,20 +90,20 @@
 const waveShare = 4
 
 // slots returns how many tasks of a size all targets can run at once, or some number from enough on.
-func (scheduler *Scheduler) slots(service string, size Size, enough int64) int64 {
+func (scheduler *Scheduler) slots(service string, resources Resources, enough int64) int64 {
 	count := int64(0)
 	for _, target := range scheduler.byService[service] {
 		if count >= enough {
 			break
 		}
-		count += size.countIn(target.Capacity)
+		count += resources.countIn(target.Capacity)
 	}
 	return count
 }
 
 // free returns how many tasks of a size find room now, or some number from enough on: all targets are counted only
 // under load.
-func (scheduler *Scheduler) free(service string, size Size, enough int64, now time.Time) int64 {
+func (scheduler *Scheduler) free(service string, resources Resources, enough int64, now time.Time) int64 {
 	count := int64(0)
 	for _, target := range scheduler.byService[service] {
 		if count >= enough {
@@ -112,7 +112,7 @@
 		if !target.sound(now) || now.Before(target.excludedUntil) {
 			continue
 		}
-		count += size.countIn(target.room(now))
+		count += resources.countIn(target.room(now))
 	}
 	return count
 }
@@ -141,7 +141,7 @@
 			rate.perHour += int64(time.Hour / max(runTime, time.Millisecond))
 		}
 	}
-	rate.free = scheduler.free(service, Size{MilliCores: scheduler.usualSize}, math.MaxInt64, now)
+	rate.free = scheduler.free(service, Resources{MilliCores: scheduler.usualSize}, math.MaxInt64, now)
 	if rate.best == 0 {
 		rate.best = 1
 	}
@@ -152,5 +152,5 @@
 // refusal returns a refusal that names when to come back: after the tasks ahead have found room.
 func (scheduler *Scheduler) refusal(job *job, reason dispatcher.Reason, detail string, now time.Time) dispatcher.Refused {
 	load := scheduler.load(job, scheduler.release(job.Service, now), now)
-	return dispatcher.NewRefused(reason, detail, "", now.Add(max(load.Expected, minRetryWait)))
+	return dispatcher.NewRefused(reason, detail, "", now.Add(max(load.ExpectedWait, minRetryWait)))
 }
--- a/scheduler/admit_test.go
+++ b/scheduler/admit_test.go
@@ -26,7 +26,7 @@
 			refused++
 		}
 	}
-	taken = scheduler.Active()
+	taken = scheduler.ActiveJobs()
 	is.Equal(taken+refused, 20)
 	is.True(taken >= 2) // room for two jobs at once
 	is.True(taken <= 4) // a third waits 50 ms for its last task; later ones would miss their objective
@@ -86,12 +86,12 @@
 			is := is.New(t)
 			scheduler := newTestScheduler(1)
 			scheduler.Submit(testJob("j", 1, 400, 0), at(0))
-			var answer Answer
+			var answer AnswerJob
 			given := 0
 			for now := 2; now < 3100 && given == 0; now += 5 {
 				drained := drain(scheduler)
 				for _, start := range drained.starts {
-					scheduler.StartAnswered(start.Target, start.Run, test.result, at(now))
+					scheduler.HandleStartResult(start.Target, start.Run, test.result, at(now))
 				}
 				scheduler.Tick(at(now))
 				if len(drained.answers) > 0 {
