--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -8,8 +8,8 @@
 	"github.com/hyssoplift/hyssoplift/dispatcher"
 )
 
-// StartAnswered takes what came of the order to start a run.
-func (scheduler *Scheduler) StartAnswered(targetID string, run Run, result StartResult, now time.Time) {
+// HandleStartResult takes what came of the order to start a run.
+func (scheduler *Scheduler) HandleStartResult(targetID string, run Run, result StartResult, now time.Time) {
 	target := scheduler.targets[targetID]
 	task := scheduler.tasks[run.Task]
 	current := task != nil && task.state == starting && task.latest(targetID, run)
@@ -60,7 +60,7 @@
 		return
 	}
 	scheduler.vacate(target, run)
-	scheduler.act(Withdraw{Target: target.ID, Run: run})
+	scheduler.act(WithdrawClaim{Target: target.ID, Run: run})
 	switch result {
 	case StartNoRoom:
 		target.news = now
@@ -81,7 +81,7 @@
 		target.heldUntil = now.Add(rejectedPause)
 		return
 	}
-	target.reported = Size{}
+	target.reported = Resources{}
 }
 
 // rejectedPause keeps work back from a target without room until the next end is likely to be known.
@@ -117,8 +117,8 @@
 	return true
 }
 
-// StopAnswered takes what came of the order to stop a run; stopped means that the target has taken the order.
-func (scheduler *Scheduler) StopAnswered(targetID string, run Run, stopped bool, now time.Time) {
+// HandleStopResult takes what came of the order to stop a run; stopped means that the target has taken the order.
+func (scheduler *Scheduler) HandleStopResult(targetID string, run Run, stopped bool, now time.Time) {
 	target := scheduler.targets[targetID]
 	switch {
 	case target == nil:
@@ -132,13 +132,13 @@
 		return
 	}
 	if stopped {
-		task.notBefore = now.Add(StopTime)
+		task.notBefore = now.Add(MaxStopDuration)
 		scheduler.restart(task, now)
 		return
 	}
 	task.state = uncertain
 	// An order is void after the lease that it asked for, which began when it was sent.
-	task.notBefore = task.started.Add(LeaseTime + leaseSlack)
+	task.notBefore = task.started.Add(LeaseDuration + leaseSlack)
 	scheduler.act(RelayStop{Target: targetID, Run: run})
 }
 
@@ -152,8 +152,8 @@
 	scheduler.enqueue(task)
 }
 
-// Ended takes the end of a run that a target listed, or that the reader of the target told of.
-func (scheduler *Scheduler) Ended(targetID string, end End, now time.Time) {
+// HandleEnd takes the end of a run that a target listed, or that the reader of the target told of.
+func (scheduler *Scheduler) HandleEnd(targetID string, end End, now time.Time) {
 	if target, ok := scheduler.targets[targetID]; ok {
 		if end.Cause != NeverRan {
 			target.news = now
@@ -237,46 +237,46 @@
 	scheduler.enqueue(task)
 }
 
-// Looked takes what a target told of its runs, and returns its ends in their order.
-func (scheduler *Scheduler) Looked(targetID string, look Look) {
+// HandlePoll takes what a target told of its runs, and returns its ends in their order.
+func (scheduler *Scheduler) HandlePoll(targetID string, poll PollResult) {
 	target, ok := scheduler.targets[targetID]
 	if !ok {
 		return
 	}
-	now := look.Answered
+	now := poll.Answered
 	target.news, target.looked = now, now
 	if target.unreachable {
 		target.unreachable = false
 		scheduler.changed[targetID] = target.reader
 	}
-	if look.Incarnation != 0 && look.Incarnation > target.Incarnation {
-		scheduler.restarted(target, look.Incarnation, now)
+	if poll.Incarnation != 0 && poll.Incarnation > target.Incarnation {
+		scheduler.restarted(target, poll.Incarnation, now)
 	}
-	listed := make(map[Run]bool, len(look.Running)+len(look.Ended))
-	for _, row := range look.Running {
-		listed[row.Run] = true
-		scheduler.rowSeen(target, row, now)
+	listed := make(map[Run]bool, len(poll.Running)+len(poll.Ended))
+	for _, active := range poll.Running {
+		listed[active.Run] = true
+		scheduler.rowSeen(target, active, now)
 	}
-	for _, end := range look.Ended {
+	for _, end := range poll.Ended {
 		listed[end.Run] = true
 	}
 	for run, occupant := range target.occupants {
-		if !listed[run] && !occupant.confirmed.IsZero() && occupant.confirmed.Before(look.Sent) {
+		if !listed[run] && !occupant.confirmed.IsZero() && occupant.confirmed.Before(poll.Sent) {
 			scheduler.notListed(target, run, occupant, now)
 		}
 	}
 	scheduler.place(now)
 }
 
-func (scheduler *Scheduler) rowSeen(target *target, row Row, now time.Time) {
-	known, ok := target.occupants[row.Run]
+func (scheduler *Scheduler) rowSeen(target *target, active ActiveRun, now time.Time) {
+	known, ok := target.occupants[active.Run]
 	if !ok {
-		size := Size{MilliCores: row.MilliCores}
-		if size.MilliCores <= 0 {
-			size.MilliCores = unknownSize
+		resources := Resources{MilliCores: active.MilliCores}
+		if resources.MilliCores <= 0 {
+			resources.MilliCores = unknownSize
 		}
-		known = &occupant{size: size, claimed: now}
-		target.occupy(row.Run, known)
+		known = &occupant{size: resources, claimed: now}
+		target.occupy(active.Run, known)
 		scheduler.changed[target.ID] = true
 	}
 	known.confirmed, known.missing = now, time.Time{}
@@ -322,8 +322,8 @@
 	}
 }
 
-// Unreachable notes that the target did not answer; it gets no work until it does.
-func (scheduler *Scheduler) Unreachable(targetID string) {
+// MarkUnreachable notes that the target did not answer; it gets no work until it does.
+func (scheduler *Scheduler) MarkUnreachable(targetID string) {
 	if target, ok := scheduler.targets[targetID]; ok {
 		scheduler.setUnreachable(target)
 	}
@@ -336,9 +336,9 @@
 	}
 }
 
-// PeerClaimed takes the claim of another instance on a target that this one reads. It returns the end of the run if
+// HandlePeerClaim takes the claim of another instance on a target that this one reads. It returns the end of the run if
 // that is known already.
-func (scheduler *Scheduler) PeerClaimed(owner string, claim Claim, now time.Time) (End, bool) {
+func (scheduler *Scheduler) HandlePeerClaim(owner string, claim Claim, now time.Time) (End, bool) {
 	if past, ok := scheduler.ended[targetRun{claim.Target, claim.Run}]; ok {
 		return past.End, true
 	}
@@ -350,20 +350,20 @@
 		known.repeated = now
 		return End{}, false
 	}
-	added := &occupant{owner: owner, size: claim.Size, estimate: claim.Estimate, claimed: now, repeated: now}
+	added := &occupant{owner: owner, size: claim.Resources, estimate: claim.Estimate, claimed: now, repeated: now}
 	if known, ok := target.occupants[claim.Run]; ok {
 		added.claimed, added.confirmed = known.claimed, known.confirmed
 	}
 	target.occupy(claim.Run, added)
 	target.extendLease(now)
-	scheduler.noteSize(claim.Size)
+	scheduler.noteSize(claim.Resources)
 	scheduler.changed[target.ID] = true
 	scheduler.offer(target, now)
 	return End{}, false
 }
 
-// PeerWithdrew takes that a claimed run does not occupy its target.
-func (scheduler *Scheduler) PeerWithdrew(targetID string, run Run, now time.Time) {
+// HandlePeerWithdrawal takes that a claimed run does not occupy its target.
+func (scheduler *Scheduler) HandlePeerWithdrawal(targetID string, run Run, now time.Time) {
 	if target, ok := scheduler.targets[targetID]; ok {
 		scheduler.vacate(target, run)
 		scheduler.offer(target, now)
@@ -372,52 +372,52 @@
 }
 
 // noteSize learns the usual size of a run.
-func (scheduler *Scheduler) noteSize(size Size) {
+func (scheduler *Scheduler) noteSize(resources Resources) {
 	const weight = 16
 	if scheduler.usualSize == 0 {
-		scheduler.usualSize = size.MilliCores
+		scheduler.usualSize = resources.MilliCores
 	}
-	scheduler.usualSize += (size.MilliCores - scheduler.usualSize) / weight
+	scheduler.usualSize += (resources.MilliCores - scheduler.usualSize) / weight
 }
 
-// PeerStop stops a run for an instance that cannot do it itself.
-func (scheduler *Scheduler) PeerStop(targetID string, run Run) {
+// HandlePeerStop stops a run for an instance that cannot do it itself.
+func (scheduler *Scheduler) HandlePeerStop(targetID string, run Run) {
 	if target, ok := scheduler.targets[targetID]; ok {
 		scheduler.act(StopRun{On: target.Target, Run: run, Reason: "its instance cannot reach the target"})
 	}
 }
 
-// PeerReported takes the room of a target from its reader, which says so if the target is lost to it.
-func (scheduler *Scheduler) PeerReported(report Report, now time.Time) {
+// HandlePeerReport takes the room of a target from its reader, which says so if the target is lost to it.
+func (scheduler *Scheduler) HandlePeerReport(report CapacityReport, now time.Time) {
 	target, ok := scheduler.targets[report.Target]
 	if !ok || target.reader {
 		return
 	}
-	target.reported, target.reportedAt, target.lost = report.Room, now, report.Lost
-	if !report.Lost {
+	target.reported, target.reportedAt, target.lost = report.FreeCapacity, now, report.Unreachable
+	if !report.Unreachable {
 		target.news, target.looked = now, now
 		target.extendLease(now.Add(renewalTime))
 		return
 	}
 	// The reader has not renewed the lease since it lost the target.
-	if end := now.Add(LeaseTime + leaseSlack); end.Before(target.leaseEnd) {
+	if end := now.Add(LeaseDuration + leaseSlack); end.Before(target.leaseEnd) {
 		target.leaseEnd = end
 	}
 }
 
-// PeerDemand takes the waiting tasks of another instance.
-func (scheduler *Scheduler) PeerDemand(owner string, demand Demand) {
+// HandlePeerDemand takes the waiting tasks of another instance.
+func (scheduler *Scheduler) HandlePeerDemand(owner string, demand Demand) {
 	scheduler.demands[owner] = demand
 }
 
-// PeerGone forgets the waiting tasks of an instance that is not heard of any more.
-func (scheduler *Scheduler) PeerGone(owner string) { delete(scheduler.demands, owner) }
+// RemovePeer forgets the waiting tasks of an instance that is not heard of any more.
+func (scheduler *Scheduler) RemovePeer(owner string) { delete(scheduler.demands, owner) }
 
 // Place starts what finds room after news of other instances.
 func (scheduler *Scheduler) Place(now time.Time) { scheduler.place(now) }
 
-// Read says whether this instance reads the ends of a target from now on.
-func (scheduler *Scheduler) Read(targetID string, reads bool, now time.Time) {
+// SetReader says whether this instance reads the ends of a target from now on.
+func (scheduler *Scheduler) SetReader(targetID string, reads bool, now time.Time) {
 	target, ok := scheduler.targets[targetID]
 	if !ok || target.reader == reads {
 		return
@@ -442,24 +442,24 @@
 	for _, name := range slices.Sorted(maps.Keys(scheduler.tasks)) {
 		task := scheduler.tasks[name]
 		if task.occupies() && task.state != uncertain && !task.on.reader {
-			claims = append(claims, Claim{Target: task.on.ID, Run: task.run(), Size: task.spec().Size, Estimate: task.spec().Estimate})
+			claims = append(claims, Claim{Target: task.on.ID, Run: task.run(), Resources: task.spec().Resources, Estimate: task.spec().Estimate})
 		}
 	}
 	return claims
 }
 
-// Report is the room of a target that this instance reads.
-type Report struct {
-	Target string
-	Room   Size
-	// Lost means that the target does not answer, and that its lease is not renewed any more.
-	Lost bool
+// CapacityReport is the room of a target that this instance reads.
+type CapacityReport struct {
+	Target       string
+	FreeCapacity Resources
+	// Unreachable means that the target does not answer, and that its lease is not renewed any more.
+	Unreachable bool
 }
 
-// Reports returns the targets whose room differs from what was reported last, and those that are occupied and were
+// DueReports returns the targets whose room differs from what was reported last, and those that are occupied and were
 // not reported for a while; a report also says that the target is looked after.
-func (scheduler *Scheduler) Reports(now time.Time) []Report {
-	var reports []Report
+func (scheduler *Scheduler) DueReports(now time.Time) []CapacityReport {
+	var reports []CapacityReport
 	for _, id := range slices.Sorted(maps.Keys(scheduler.changed)) {
 		target, ok := scheduler.targets[id]
 		if ok && scheduler.offered[id] {
@@ -476,11 +476,11 @@
 	return reports
 }
 
-// Renewed returns the report of a target whose lease was renewed, if the last one is old.
-func (scheduler *Scheduler) Renewed(targetID string, now time.Time) (Report, bool) {
+// RenewalReport returns the report of a target whose lease was renewed, if the last one is old.
+func (scheduler *Scheduler) RenewalReport(targetID string, now time.Time) (CapacityReport, bool) {
 	target, ok := scheduler.targets[targetID]
 	if !ok || !target.reader || scheduler.offered[targetID] || now.Sub(target.toldAt) < reportTime {
-		return Report{}, false
+		return CapacityReport{}, false
 	}
 	target.told, target.toldAt = target.report(now), now
 	return target.told, true
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -92,7 +92,7 @@
 	for number, step := range info.Steps {
 		job.open[number] = len(step.Tasks)
 		state := blocked
-		if len(step.After) == 0 {
+		if len(step.DependsOn) == 0 {
 			state = waiting
 		}
 		for _, name := range step.Tasks {
@@ -125,7 +125,7 @@
 	ends := make([]time.Duration, len(steps))
 	longest := time.Duration(0)
 	for number := range steps {
-		for _, earlier := range steps[number].After {
+		for _, earlier := range steps[number].DependsOn {
 			ends[number] = max(ends[number], ends[earlier])
 		}
 		if counts(number) {
@@ -138,7 +138,7 @@
 
 // ready reports whether all steps that the step waits for are done.
 func (job *job) ready(step int) bool {
-	for _, earlier := range job.Steps[step].After {
+	for _, earlier := range job.Steps[step].DependsOn {
 		if job.open[earlier] > 0 {
 			return false
 		}
--- a/scheduler/lease_test.go
+++ b/scheduler/lease_test.go
@@ -15,8 +15,8 @@
 		stopped  bool
 		earliest int
 	}{
-		{"stop taken", true, 120 + int(StopTime/time.Millisecond)},
-		{"stop not answered", false, int((LeaseTime + leaseSlack) / time.Millisecond)},
+		{"stop taken", true, 120 + int(MaxStopDuration/time.Millisecond)},
+		{"stop not answered", false, int((LeaseDuration + leaseSlack) / time.Millisecond)},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -24,9 +24,9 @@
 			scheduler := newTestScheduler(2)
 			scheduler.Submit(testJob("j", 1, 100, 0), at(0))
 			start := drain(scheduler).starts[0]
-			scheduler.StartAnswered(start.Target, start.Run, StartUnanswered, at(110))
+			scheduler.HandleStartResult(start.Target, start.Run, StartUnanswered, at(110))
 			is.Equal(len(drain(scheduler).stops), 1)
-			scheduler.StopAnswered(start.Target, start.Run, test.stopped, at(120))
+			scheduler.HandleStopResult(start.Target, start.Run, test.stopped, at(120))
 			again := -1
 			for now := 120; now < 3000 && again < 0; now++ {
 				scheduler.Tick(at(now))
@@ -49,17 +49,17 @@
 	scheduler.SetTargets(testTargets(2), at(0))
 	scheduler.Submit(testJob("j", 1, 100, 0), at(0))
 	start := drain(scheduler).starts[0]
-	scheduler.StartAnswered(start.Target, start.Run, StartUnanswered, at(110))
-	scheduler.StopAnswered(start.Target, start.Run, false, at(120))
+	scheduler.HandleStartResult(start.Target, start.Run, StartUnanswered, at(110))
+	scheduler.HandleStopResult(start.Target, start.Run, false, at(120))
 	is.Equal(len(drain(scheduler).relays), 1) // the reader is asked to stop it
 	for now := 120; now < 2800; now += 5 {
 		if now%200 == 0 {
-			scheduler.PeerReported(Report{Target: start.Target, Room: Size{MilliCores: 18000}}, at(now))
+			scheduler.HandlePeerReport(CapacityReport{Target: start.Target, FreeCapacity: Resources{MilliCores: 18000}}, at(now))
 		}
 		scheduler.Tick(at(now))
 		is.Equal(len(drain(scheduler).starts), 0)
 	}
-	scheduler.Ended(start.Target, End{Run: start.Run, Cause: Stopped}, at(2800))
+	scheduler.HandleEnd(start.Target, End{Run: start.Run, Cause: Stopped}, at(2800))
 	is.Equal(len(drain(scheduler).starts), 1)
 }
 
@@ -68,7 +68,7 @@
 	is := is.New(t)
 	scheduler := newTestScheduler(2)
 	start := startOne(scheduler, testJob("j", 1, 1000, 0))
-	scheduler.Looked(start.Target, Look{Incarnation: 1, Sent: at(100), Answered: at(102)})
+	scheduler.HandlePoll(start.Target, PollResult{Incarnation: 1, Sent: at(100), Answered: at(102)})
 	scheduler.Tick(at(105))
 	is.Equal(len(drain(scheduler).starts), 0) // its end may be on the way
 	scheduler.Tick(at(102 + int(missingTime/time.Millisecond)))
@@ -80,7 +80,7 @@
 	is := is.New(t)
 	scheduler := newTestScheduler(2)
 	start := startOne(scheduler, testJob("j", 1, 500, 0))
-	scheduler.Looked(start.Target, Look{Incarnation: 2, Sent: at(100), Answered: at(102)})
+	scheduler.HandlePoll(start.Target, PollResult{Incarnation: 2, Sent: at(100), Answered: at(102)})
 	second := drain(scheduler).starts
 	is.Equal(len(second), 1)
 	is.Equal(second[0].Run.Attempt, int64(2))
@@ -94,10 +94,10 @@
 	alive := map[string]bool{"peer": true}
 	isAlive := func(owner string) bool { return alive[owner] }
 	claimed, unknown := Run{"p.0.0.0", 1}, Run{"q.0.0.0", 1}
-	scheduler.PeerClaimed("peer", Claim{Target: "t0", Run: claimed, Size: Size{MilliCores: 14000}, Estimate: time.Second}, at(0))
+	scheduler.HandlePeerClaim("peer", Claim{Target: "t0", Run: claimed, Resources: Resources{MilliCores: 14000}, Estimate: time.Second}, at(0))
 	look := func(now int) {
-		scheduler.Looked("t0", Look{Incarnation: 1, Running: []Row{{Run: claimed}, {Run: unknown}}, Sent: at(now), Answered: at(now + 1)})
-		scheduler.Orphans("t0", isAlive, at(now+1))
+		scheduler.HandlePoll("t0", PollResult{Incarnation: 1, Running: []ActiveRun{{Run: claimed}, {Run: unknown}}, Sent: at(now), Answered: at(now + 1)})
+		scheduler.StopOrphans("t0", isAlive, at(now+1))
 	}
 	look(10)
 	is.Equal(len(drain(scheduler).stops), 0)
@@ -117,12 +117,12 @@
 	is := is.New(t)
 	scheduler := newTestScheduler(1)
 	run := Run{"p.0.0.0", 1}
-	scheduler.Ended("t0", End{Number: 1, Run: run, Cause: Done}, at(10))
-	end, ended := scheduler.PeerClaimed("peer", Claim{Target: "t0", Run: run, Size: Size{MilliCores: 14000}}, at(12))
+	scheduler.HandleEnd("t0", End{Seq: 1, Run: run, Cause: Done}, at(10))
+	end, ended := scheduler.HandlePeerClaim("peer", Claim{Target: "t0", Run: run, Resources: Resources{MilliCores: 14000}}, at(12))
 	is.True(ended)
 	is.Equal(end.Cause, Done)
 	scheduler.Sweep(at(12 + int(endsKept/time.Millisecond)))
-	_, ended = scheduler.PeerClaimed("peer", Claim{Target: "t0", Run: run, Size: Size{MilliCores: 14000}}, at(5000))
+	_, ended = scheduler.HandlePeerClaim("peer", Claim{Target: "t0", Run: run, Resources: Resources{MilliCores: 14000}}, at(5000))
 	is.True(!ended)
 }
 
@@ -131,9 +131,9 @@
 	is := is.New(t)
 	scheduler := newTestScheduler(2)
 	start := startOne(scheduler, testJob("j", 1, 900, 0))
-	scheduler.Renewing(start.Target, at(400))
-	scheduler.Unreachable(start.Target)
-	end := 400 + int((LeaseTime+leaseSlack)/time.Millisecond)
+	scheduler.NoteRenewal(start.Target, at(400))
+	scheduler.MarkUnreachable(start.Target)
+	end := 400 + int((LeaseDuration+leaseSlack)/time.Millisecond)
 	again := 0
 	for now := 400; now < 2500 && again == 0; now += 5 {
 		scheduler.Tick(at(now))
@@ -150,10 +150,10 @@
 	is := is.New(t)
 	scheduler := newTestScheduler(2)
 	start := startOne(scheduler, testJob("j", 1, 900, 0))
-	scheduler.Paused(at(1500))
+	scheduler.NotePause(at(1500))
 	scheduler.Tick(at(1500))
 	is.Equal(len(drain(scheduler).starts), 0)
-	scheduler.Renewing(start.Target, at(1510))
+	scheduler.NoteRenewal(start.Target, at(1510))
 	scheduler.Tick(at(1900))
 	is.Equal(len(drain(scheduler).starts), 0)
 }
@@ -164,10 +164,10 @@
 	scheduler := New("self", "a")
 	scheduler.SetTargets(testTargets(2), at(0))
 	start := startOne(scheduler, testJob("j", 1, 900, 0))
-	scheduler.PeerReported(Report{Target: start.Target, Lost: true}, at(500))
+	scheduler.HandlePeerReport(CapacityReport{Target: start.Target, Unreachable: true}, at(500))
 	scheduler.Submit(testJob("k", 1, 100, 500), at(500))
 	is.True(drain(scheduler).starts[0].Target != start.Target)
-	scheduler.Tick(at(int((LeaseTime + leaseSlack) / time.Millisecond)))
+	scheduler.Tick(at(int((LeaseDuration + leaseSlack) / time.Millisecond)))
 	is.Equal(len(drain(scheduler).starts), 1) // started again 1.06 s after the only order that set the lease
 }
 
@@ -178,13 +178,13 @@
 	scheduler := New("self", "a")
 	scheduler.SetTargets(testTargets(2), at(0))
 	start := startOne(scheduler, testJob("j", 1, 900, 0))
-	scheduler.PeerReported(Report{Target: start.Target, Room: Size{MilliCores: 18000}}, at(45))
+	scheduler.HandlePeerReport(CapacityReport{Target: start.Target, FreeCapacity: Resources{MilliCores: 18000}}, at(45))
 	// The reader hears nothing of the owner, renews the lease until 45+800 ms and ends then.
 	for now := 45; now < 45+800+1000; now += 5 {
 		scheduler.Tick(at(now))
 		is.Equal(len(drain(scheduler).starts), 0)
 	}
-	scheduler.Tick(at(45 + 800 + int((LeaseTime+leaseSlack)/time.Millisecond)))
+	scheduler.Tick(at(45 + 800 + int((LeaseDuration+leaseSlack)/time.Millisecond)))
 	is.Equal(len(drain(scheduler).starts), 1)
 }
 
@@ -198,9 +198,9 @@
 	scheduler.Submit(testJob("j", 1, 900, 0), at(0))
 	starts := drain(scheduler).starts
 	take(scheduler, starts, at(2))
-	row := Row{Run: starts[0].Run, MilliCores: 14000}
-	scheduler.Looked(starts[0].Target, Look{Incarnation: 1, Running: []Row{row}, Sent: at(649), Answered: at(650)})
-	end := 650 + int((LeaseTime+leaseSlack)/time.Millisecond)
+	active := ActiveRun{Run: starts[0].Run, MilliCores: 14000}
+	scheduler.HandlePoll(starts[0].Target, PollResult{Incarnation: 1, Running: []ActiveRun{active}, Sent: at(649), Answered: at(650)})
+	end := 650 + int((LeaseDuration+leaseSlack)/time.Millisecond)
 	for now := 660; now < end; now += 10 {
 		scheduler.Tick(at(now))
 	}
@@ -239,21 +239,21 @@
 		name string
 		news func(*Scheduler)
 	}{
-		{"end", func(scheduler *Scheduler) { scheduler.Ended("t0", End{Number: 1, Run: run, Cause: Stopped}, at(4)) }},
-		{"start not answered", func(scheduler *Scheduler) { scheduler.StartAnswered("t0", run, StartUnanswered, at(4)) }},
-		{"start rejected", func(scheduler *Scheduler) { scheduler.StartAnswered("t0", run, StartNoRoom, at(4)) }},
+		{"end", func(scheduler *Scheduler) { scheduler.HandleEnd("t0", End{Seq: 1, Run: run, Cause: Stopped}, at(4)) }},
+		{"start not answered", func(scheduler *Scheduler) { scheduler.HandleStartResult("t0", run, StartUnanswered, at(4)) }},
+		{"start rejected", func(scheduler *Scheduler) { scheduler.HandleStartResult("t0", run, StartNoRoom, at(4)) }},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			scheduler := resubmitted(t)
 			test.news(scheduler)
-			scheduler.StartAnswered("t1", run, StartTaken, at(5))
+			scheduler.HandleStartResult("t1", run, StartTaken, at(5))
 			for now := 10; now < 300; now += 10 {
 				scheduler.Tick(at(now))
 			}
 			is.Equal(len(drain(scheduler).starts), 0)
-			scheduler.Ended("t1", End{Number: 1, Run: run, Cause: Done}, at(310))
+			scheduler.HandleEnd("t1", End{Seq: 1, Run: run, Cause: Done}, at(310))
 			answers := drain(scheduler).answers
 			is.Equal(len(answers), 1)
 			is.Equal(outcome(answers[0]), "complete")
@@ -267,11 +267,11 @@
 	is := is.New(t)
 	scheduler := newTestScheduler(2)
 	run := Run{Task: "j.0.0.0", Attempt: 1}
-	scheduler.PeerClaimed("former", Claim{Target: "t0", Run: run, Size: Size{MilliCores: 14000}}, at(0))
-	scheduler.Ended("t0", End{Number: 1, Run: run, Cause: Stopped}, at(10))
-	_, ended := scheduler.PeerClaimed("next", Claim{Target: "t1", Run: run, Size: Size{MilliCores: 14000}}, at(20))
+	scheduler.HandlePeerClaim("former", Claim{Target: "t0", Run: run, Resources: Resources{MilliCores: 14000}}, at(0))
+	scheduler.HandleEnd("t0", End{Seq: 1, Run: run, Cause: Stopped}, at(10))
+	_, ended := scheduler.HandlePeerClaim("next", Claim{Target: "t1", Run: run, Resources: Resources{MilliCores: 14000}}, at(20))
 	is.True(!ended)
-	_, ended = scheduler.PeerClaimed("former", Claim{Target: "t0", Run: run, Size: Size{MilliCores: 14000}}, at(30))
+	_, ended = scheduler.HandlePeerClaim("former", Claim{Target: "t0", Run: run, Resources: Resources{MilliCores: 14000}}, at(30))
 	is.True(ended)
 }
 
@@ -280,12 +280,12 @@
 func TestRunOfAnEarlierSubmissionIsAnOrphan(t *testing.T) {
 	is := is.New(t)
 	scheduler := resubmitted(t)
-	scheduler.Read("t0", true, at(5))
-	row := Row{Run: Run{Task: "j.0.0.0", Attempt: 1}, MilliCores: 14000}
+	scheduler.SetReader("t0", true, at(5))
+	active := ActiveRun{Run: Run{Task: "j.0.0.0", Attempt: 1}, MilliCores: 14000}
 	stopped := 0
 	for now := 10; now < 2000 && stopped == 0; now += 100 {
-		scheduler.Looked("t0", Look{Incarnation: 1, Running: []Row{row}, Sent: at(now), Answered: at(now)})
-		scheduler.Orphans("t0", func(string) bool { return true }, at(now))
+		scheduler.HandlePoll("t0", PollResult{Incarnation: 1, Running: []ActiveRun{active}, Sent: at(now), Answered: at(now)})
+		scheduler.StopOrphans("t0", func(string) bool { return true }, at(now))
 		for _, stop := range drain(scheduler).stops {
 			if stop.On.ID == "t0" {
 				stopped = now
--- a/scheduler/model.go
+++ b/scheduler/model.go
@@ -6,38 +6,38 @@
 	"github.com/hyssoplift/hyssoplift/dispatcher"
 )
 
-// Size is what a task occupies on a target, or what a target offers.
-type Size struct {
+// Resources is what a task occupies on a target, or what a target offers.
+type Resources struct {
 	MilliCores   int64
 	MemoryMB     int64
 	Accelerators int64
 }
 
 // Fits reports whether size fits into room.
-func (size Size) Fits(room Size) bool {
-	return size.MilliCores <= room.MilliCores && size.MemoryMB <= room.MemoryMB && size.Accelerators <= room.Accelerators
+func (resources Resources) Fits(room Resources) bool {
+	return resources.MilliCores <= room.MilliCores && resources.MemoryMB <= room.MemoryMB && resources.Accelerators <= room.Accelerators
 }
 
 // countIn returns how many tasks of a size fit into room.
-func (size Size) countIn(room Size) int64 {
-	count := room.MilliCores / max(size.MilliCores, 1)
-	if size.MemoryMB > 0 {
-		count = min(count, room.MemoryMB/size.MemoryMB)
+func (resources Resources) countIn(room Resources) int64 {
+	count := room.MilliCores / max(resources.MilliCores, 1)
+	if resources.MemoryMB > 0 {
+		count = min(count, room.MemoryMB/resources.MemoryMB)
 	}
-	if size.Accelerators > 0 {
-		count = min(count, room.Accelerators/size.Accelerators)
+	if resources.Accelerators > 0 {
+		count = min(count, room.Accelerators/resources.Accelerators)
 	}
 	return max(count, 0)
 }
 
 // Plus returns the sum of both sizes.
-func (size Size) Plus(other Size) Size {
-	return Size{size.MilliCores + other.MilliCores, size.MemoryMB + other.MemoryMB, size.Accelerators + other.Accelerators}
+func (resources Resources) Plus(other Resources) Resources {
+	return Resources{resources.MilliCores + other.MilliCores, resources.MemoryMB + other.MemoryMB, resources.Accelerators + other.Accelerators}
 }
 
 // Minus returns size without other.
-func (size Size) Minus(other Size) Size {
-	return Size{size.MilliCores - other.MilliCores, size.MemoryMB - other.MemoryMB, size.Accelerators - other.Accelerators}
+func (resources Resources) Minus(other Resources) Resources {
+	return Resources{resources.MilliCores - other.MilliCores, resources.MemoryMB - other.MemoryMB, resources.Accelerators - other.Accelerators}
 }
 
 // Target is what discovery tells of one incarnation of a target.
@@ -47,7 +47,7 @@
 	Address  string
 	Domain   string
 	Labels   []string
-	Capacity Size
+	Capacity Resources
 	Draining bool
 	// Incarnation differs after each restart under the same ID; 0 if it is not known.
 	Incarnation int64
@@ -69,16 +69,16 @@
 // Step is a set of like tasks of a job.
 type Step struct {
 	// Tasks holds the name of each task.
-	Tasks []string
-	Size  Size
+	Tasks     []string
+	Resources Resources
 	// Estimate is the declared run time of one task, which may be far off.
 	Estimate time.Duration
-	// After lists the earlier steps whose tasks must all be done first.
-	After []int
+	// DependsOn lists the earlier steps whose tasks must all be done first.
+	DependsOn []int
 	// Label must be among the labels of the target, if it is set.
 	Label string
-	// PerTarget bounds how many tasks of the step run on one target; 0 means no bound.
-	PerTarget int
+	// MaxPerTarget bounds how many tasks of the step run on one target; 0 means no bound.
+	MaxPerTarget int
 }
 
 // Job is a request of a caller.
@@ -98,8 +98,8 @@
 	Objective time.Time
 }
 
-// Chain returns the declared run time of the longest chain of the job's steps.
-func (job *Job) Chain() time.Duration {
+// CriticalPath returns the declared run time of the longest chain of the job's steps.
+func (job *Job) CriticalPath() time.Duration {
 	return longestChain(job.Steps, func(int) bool { return true })
 }
 
@@ -185,8 +185,8 @@
 	return names[0]
 }
 
-// Row is one run that a target lists as running.
-type Row struct {
+// ActiveRun is one run that a target lists as running.
+type ActiveRun struct {
 	Run Run
 	// MilliCores is what the run used lately, by the target's own measure; 0 if unknown.
 	MilliCores int64
@@ -194,16 +194,16 @@
 
 // End is one run that a target lists as ended.
 type End struct {
-	// Number counts the ends of one incarnation of the target from 1.
-	Number int64
-	Run    Run
-	Cause  Cause
+	// Seq counts the ends of one incarnation of the target from 1.
+	Seq   int64
+	Run   Run
+	Cause Cause
 }
 
-// Look is what a target told of itself.
-type Look struct {
+// PollResult is what a target told of itself.
+type PollResult struct {
 	Incarnation int64
-	Running     []Row
+	Running     []ActiveRun
 	Ended       []End
 	// Sent is when the question left, and Answered when the answer was there.
 	Sent     time.Time
@@ -212,10 +212,10 @@
 
 // Claim says that an instance starts a run on a target and so occupies room there.
 type Claim struct {
-	Target   string
-	Run      Run
-	Size     Size
-	Estimate time.Duration
+	Target    string
+	Run       Run
+	Resources Resources
+	Estimate  time.Duration
 }
 
 // Action is something that the scheduler asks its owner to do: StartTask,
@@ -228,13 +228,13 @@
 	On   Target
 	Job  string
 	Body string
-	// Wanted is when the job arrived, and Issued when the start was decided, from which its lease counts.
-	Wanted time.Time
-	Issued time.Time
-	// Room is what was believed to be free on the target before the start.
-	Room Size
-	// RoomAge is how old the report of the room is; 0 on targets that this instance reads.
-	RoomAge time.Duration
+	// Arrived is when the job arrived, and Issued when the start was decided, from which its lease counts.
+	Arrived time.Time
+	Issued  time.Time
+	// FreeCapacity is what was believed to be free on the target before the start.
+	FreeCapacity Resources
+	// FreeCapacityAge is how old the report of the room is; 0 on targets that this instance reads.
+	FreeCapacityAge time.Duration
 	// Predicted is the run time that is expected on this target.
 	Predicted time.Duration
 }
@@ -246,8 +246,8 @@
 	Reason string
 }
 
-// Answer gives the outcome of a job to its callers.
-type Answer struct {
+// AnswerJob gives the outcome of a job to its callers.
+type AnswerJob struct {
 	Job     string
 	Outcome dispatcher.Outcome
 	// Started tells whether a task of the job has run or may have.
@@ -261,17 +261,17 @@
 
 // Load is how much work waited when a job was admitted or refused.
 type Load struct {
-	// Ahead counts the tasks of all instances that come no later, and Free how many tasks of the job's size find room; from
+	// TasksAhead counts the tasks of all instances that come no later, and Free how many tasks of the job's size find room; from
 	// Ahead and the job's own tasks on, it is not counted further.
-	Ahead int64
-	Free  int64
-	// Expected is when the last task of the job's first steps would have found room, and Patience how long it could wait.
-	Expected time.Duration
-	Patience time.Duration
+	TasksAhead int64
+	FreeSlots  int64
+	// ExpectedWait is when the last task of the job's first steps would have found room, and Patience how long it could wait.
+	ExpectedWait time.Duration
+	MaxWait      time.Duration
 }
 
-// Withdraw asks to tell the reader of a target that a run does not occupy it.
-type Withdraw struct {
+// WithdrawClaim asks to tell the reader of a target that a run does not occupy it.
+type WithdrawClaim struct {
 	Target string
 	Run    Run
 }
@@ -282,16 +282,16 @@
 	Run    Run
 }
 
-// Offer asks to tell an instance first of room that has become free.
-type Offer struct {
-	To     string
-	Target string
-	Room   Size
+// OfferCapacity asks to tell an instance first of room that has become free.
+type OfferCapacity struct {
+	To           string
+	Target       string
+	FreeCapacity Resources
 }
 
-func (StartTask) isAction() {}
-func (StopRun) isAction()   {}
-func (Answer) isAction()    {}
-func (Withdraw) isAction()  {}
-func (RelayStop) isAction() {}
-func (Offer) isAction()     {}
+func (StartTask) isAction()     {}
+func (StopRun) isAction()       {}
+func (AnswerJob) isAction()     {}
+func (WithdrawClaim) isAction() {}
+func (RelayStop) isAction()     {}
+func (OfferCapacity) isAction() {}
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -45,7 +45,7 @@
 			kept = append(kept, task)
 			continue
 		}
-		best.free = best.free.Minus(task.spec().Size)
+		best.free = best.free.Minus(task.spec().Resources)
 		scheduler.start(task, best.target, now)
 	}
 	clear(scheduler.queue[len(kept):])
@@ -55,19 +55,19 @@
 // candidate is a target that may take work, with its room.
 type candidate struct {
 	*target
-	free Size
+	free Resources
 }
 
 // candidates returns the targets that have room for the smallest waiting task; under load there are few.
 func (scheduler *Scheduler) candidates(now time.Time) []candidate {
-	least := scheduler.queue[0].spec().Size.MilliCores
+	least := scheduler.queue[0].spec().Resources.MilliCores
 	for _, task := range scheduler.queue {
-		least = min(least, task.spec().Size.MilliCores)
+		least = min(least, task.spec().Resources.MilliCores)
 	}
-	return scheduler.candidatesFor(Size{MilliCores: least}, now)
+	return scheduler.candidatesFor(Resources{MilliCores: least}, now)
 }
 
-func (scheduler *Scheduler) candidatesFor(least Size, now time.Time) []candidate {
+func (scheduler *Scheduler) candidatesFor(least Resources, now time.Time) []candidate {
 	found := scheduler.found[:0]
 	scheduler.turned++
 	for index := range scheduler.ordered {
@@ -93,10 +93,10 @@
 	bestCost := time.Duration(0)
 	for i := range candidates {
 		candidate := &candidates[i]
-		if candidate.Service != task.job.Service || !step.Size.Fits(candidate.free) || !candidate.hasLabel(step.Label) || task.avoided[candidate.ID] {
+		if candidate.Service != task.job.Service || !step.Resources.Fits(candidate.free) || !candidate.hasLabel(step.Label) || task.avoided[candidate.ID] {
 			continue
 		}
-		if candidate.trial && len(candidate.occupants) > 0 || step.PerTarget > 0 && scheduler.siblings(task, candidate.target) >= step.PerTarget {
+		if candidate.trial && len(candidate.occupants) > 0 || step.MaxPerTarget > 0 && scheduler.siblings(task, candidate.target) >= step.MaxPerTarget {
 			continue
 		}
 		cost := candidate.predict(step.Estimate)
@@ -122,8 +122,8 @@
 	return best
 }
 
-// Affinity returns a number between 0 and 1 that is drawn once and for all for an instance and a target.
-func Affinity(instance, target string) float64 {
+// RendezvousHash returns a number between 0 and 1 that is drawn once and for all for an instance and a target.
+func RendezvousHash(instance, target string) float64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(instance))
 	_, _ = hash.Write([]byte{'/'})
@@ -158,22 +158,22 @@
 	task.started = now
 	task.missing = time.Time{}
 	task.predicted = on.predict(step.Estimate)
-	on.occupy(task.run(), &occupant{owner: scheduler.self, size: step.Size, estimate: step.Estimate, claimed: now})
+	on.occupy(task.run(), &occupant{owner: scheduler.self, size: step.Resources, estimate: step.Estimate, claimed: now})
 	on.extendLease(now)
-	scheduler.noteSize(step.Size)
+	scheduler.noteSize(step.Resources)
 	if on.reader {
 		scheduler.changed[on.ID] = true
 	}
 	scheduler.act(StartTask{
-		Claim:     Claim{Target: on.ID, Run: task.run(), Size: step.Size, Estimate: step.Estimate},
-		On:        on.Target,
-		Job:       task.job.ID,
-		Body:      task.job.Body,
-		Wanted:    task.job.Arrived,
-		Issued:    now,
-		Room:      room,
-		RoomAge:   on.roomAge(now),
-		Predicted: task.predicted,
+		Claim:           Claim{Target: on.ID, Run: task.run(), Resources: step.Resources, Estimate: step.Estimate},
+		On:              on.Target,
+		Job:             task.job.ID,
+		Body:            task.job.Body,
+		Arrived:         task.job.Arrived,
+		Issued:          now,
+		FreeCapacity:    room,
+		FreeCapacityAge: on.roomAge(now),
+		Predicted:       task.predicted,
 	})
 }
 
@@ -209,7 +209,7 @@
 		if winner := scheduler.draw(target.ID, target.draws, priority, waiting, own[priority]); winner != scheduler.self {
 			target.heldUntil = now.Add(turnTime)
 			scheduler.offered[target.ID] = true
-			scheduler.act(Offer{To: winner, Target: target.ID, Room: target.room(now)})
+			scheduler.act(OfferCapacity{To: winner, Target: target.ID, FreeCapacity: target.room(now)})
 		}
 		return
 	}
--- a/scheduler/place_test.go
+++ b/scheduler/place_test.go
@@ -12,22 +12,22 @@
 func TestFreedRoomIsOfferedToOneInstance(t *testing.T) {
 	is := is.New(t)
 	scheduler := newTestScheduler(1)
-	size := Size{MilliCores: 16000, MemoryMB: 64}
+	resources := Resources{MilliCores: 16000, MemoryMB: 64}
 	runs := []Run{{"p.0.0.0", 1}, {"p.0.0.1", 1}}
 	for _, run := range runs {
-		scheduler.PeerClaimed("peer", Claim{Target: "t0", Run: run, Size: size, Estimate: 100 * time.Millisecond}, at(0))
+		scheduler.HandlePeerClaim("peer", Claim{Target: "t0", Run: run, Resources: resources, Estimate: 100 * time.Millisecond}, at(0))
 	}
-	is.Equal(len(scheduler.Reports(at(1))), 1)
-	scheduler.PeerDemand("peer", Demand{3})
-	scheduler.Ended("t0", End{Number: 1, Run: runs[0], Cause: Done}, at(50))
+	is.Equal(len(scheduler.DueReports(at(1))), 1)
+	scheduler.HandlePeerDemand("peer", Demand{3})
+	scheduler.HandleEnd("t0", End{Seq: 1, Run: runs[0], Cause: Done}, at(50))
 	offers := drain(scheduler).offers
 	is.Equal(len(offers), 1)
 	is.Equal(offers[0].To, "peer")
-	is.Equal(offers[0].Room.MilliCores, int64(16000))
-	is.Equal(len(scheduler.Reports(at(51))), 0) // not told to the others yet
-	scheduler.PeerDemand("peer", Demand{})
-	scheduler.Turns(at(50 + int(turnTime/time.Millisecond)))
-	is.Equal(len(scheduler.Reports(at(60))), 1) // nobody took it
+	is.Equal(offers[0].FreeCapacity.MilliCores, int64(16000))
+	is.Equal(len(scheduler.DueReports(at(51))), 0) // not told to the others yet
+	scheduler.HandlePeerDemand("peer", Demand{})
+	scheduler.ExpireOffers(at(50 + int(turnTime/time.Millisecond)))
+	is.Equal(len(scheduler.DueReports(at(60))), 1) // nobody took it
 }
 
 // Guards against a belief of room that outlives a rejection.
@@ -35,12 +35,12 @@
 	is := is.New(t)
 	scheduler := New("self", "a")
 	scheduler.SetTargets(testTargets(1), at(0))
-	scheduler.PeerReported(Report{Target: "t0", Room: Size{MilliCores: 32000, MemoryMB: 1024}}, at(0))
+	scheduler.HandlePeerReport(CapacityReport{Target: "t0", FreeCapacity: Resources{MilliCores: 32000, MemoryMB: 1024}}, at(0))
 	scheduler.Submit(testJob("j", 1, 400, 0), at(0))
 	start := drain(scheduler).starts[0]
-	scheduler.StartAnswered("t0", start.Run, StartNoRoom, at(3))
+	scheduler.HandleStartResult("t0", start.Run, StartNoRoom, at(3))
 	is.Equal(len(drain(scheduler).starts), 0)
-	scheduler.PeerReported(Report{Target: "t0", Room: Size{MilliCores: 16000, MemoryMB: 1024}}, at(20))
+	scheduler.HandlePeerReport(CapacityReport{Target: "t0", FreeCapacity: Resources{MilliCores: 16000, MemoryMB: 1024}}, at(20))
 	scheduler.Place(at(20))
 	is.Equal(len(drain(scheduler).starts), 1)
 }
@@ -54,7 +54,7 @@
 		scheduler := New(fmt.Sprintf("instance-%d", instance), "a")
 		scheduler.SetTargets(testTargets(30), at(0))
 		for _, id := range scheduler.Targets() {
-			scheduler.PeerReported(Report{Target: id, Room: Size{MilliCores: 32000, MemoryMB: 1024}}, at(0))
+			scheduler.HandlePeerReport(CapacityReport{Target: id, FreeCapacity: Resources{MilliCores: 32000, MemoryMB: 1024}}, at(0))
 		}
 		scheduler.Submit(testJob("j", 1, 100, 1), at(1))
 		chosen[drain(scheduler).starts[0].Target]++
@@ -77,7 +77,7 @@
 			counts[start.Target]++
 		}
 		now += map[string]int{"t0": 50, "t1": 180}[start.Target]
-		scheduler.Ended(start.Target, End{Run: start.Run, Cause: Done}, at(now))
+		scheduler.HandleEnd(start.Target, End{Run: start.Run, Cause: Done}, at(now))
 		drain(scheduler)
 	}
 	is.True(counts["t0"] >= 29)
@@ -118,12 +118,12 @@
 	targets := testTargets(2)
 	targets[0].Domain = "b"
 	scheduler.SetTargets(targets, at(0))
-	scheduler.Suspend("b", true)
+	scheduler.SetDomainSuspended("b", true)
 	scheduler.Submit(testJob("j", 2, 100, 0), at(0))
 	for _, start := range drain(scheduler).starts {
 		is.Equal(start.Target, "t1")
 	}
-	scheduler.Suspend("b", false)
+	scheduler.SetDomainSuspended("b", false)
 	scheduler.Submit(testJob("k", 2, 100, 0), at(0))
 	is.Equal(len(drain(scheduler).starts), 2)
 }
@@ -136,7 +136,7 @@
 	stoppedAt := 0
 	for now := 5; now < 1000 && stoppedAt == 0; now += 5 {
 		if now > 300 {
-			scheduler.Looked(start.Target, Look{Incarnation: 1, Running: []Row{{Run: start.Run}}, Sent: at(now - 2), Answered: at(now)})
+			scheduler.HandlePoll(start.Target, PollResult{Incarnation: 1, Running: []ActiveRun{{Run: start.Run}}, Sent: at(now - 2), Answered: at(now)})
 		}
 		scheduler.Tick(at(now))
 		drained := drain(scheduler)
@@ -146,9 +146,9 @@
 		}
 	}
 	is.True(stoppedAt > 300) // not before the target was seen to run it still
-	scheduler.StopAnswered(start.Target, start.Run, true, at(stoppedAt+2))
+	scheduler.HandleStopResult(start.Target, start.Run, true, at(stoppedAt+2))
 	is.Equal(len(drain(scheduler).starts), 0)
-	scheduler.Ended(start.Target, End{Run: start.Run, Cause: Stopped}, at(stoppedAt+30))
+	scheduler.HandleEnd(start.Target, End{Run: start.Run, Cause: Stopped}, at(stoppedAt+30))
 	second := drain(scheduler).starts
 	is.Equal(len(second), 1)
 	is.True(second[0].Target != start.Target)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -28,9 +28,9 @@
 	// maxRestarts bounds how often a task starts anew after a run that was lost or stopped.
 	maxRestarts = 4
 	// claimTime is how long the claim of another instance counts if it is not repeated.
-	claimTime = 4 * RepeatTime
-	// RepeatTime is how often an instance repeats its claims to the readers of their targets, which may have changed.
-	RepeatTime = 250 * time.Millisecond
+	claimTime = 4 * ClaimRepeatInterval
+	// ClaimRepeatInterval is how often an instance repeats its claims to the readers of their targets, which may have changed.
+	ClaimRepeatInterval = 250 * time.Millisecond
 	// endsKept is how long a reader keeps the ends of other instances' runs, for claims that arrive or are repeated
 	// after them.
 	endsKept = 3 * time.Second
@@ -133,15 +133,15 @@
 	}
 }
 
-// Drain returns the actions that are due, in the order of the decisions.
-func (scheduler *Scheduler) Drain() []Action {
+// TakeActions returns the actions that are due, in the order of the decisions.
+func (scheduler *Scheduler) TakeActions() []Action {
 	actions := scheduler.actions
 	scheduler.actions = nil
 	return actions
 }
 
-// Active returns the number of jobs without an answer.
-func (scheduler *Scheduler) Active() int { return len(scheduler.jobs) }
+// ActiveJobs returns the number of jobs without an answer.
+func (scheduler *Scheduler) ActiveJobs() int { return len(scheduler.jobs) }
 
 // Pending returns the number of jobs of a route of which no task has started.
 func (scheduler *Scheduler) Pending(route string) int {
@@ -194,7 +194,7 @@
 	if !ok {
 		added := newTarget(info, scheduler.group(info))
 		added.suspended = scheduler.suspended[info.Domain]
-		added.unreadBias = unreadSpread * Affinity(scheduler.self, info.ID)
+		added.unreadBias = unreadSpread * RendezvousHash(scheduler.self, info.ID)
 		scheduler.targets[info.ID] = added
 		return
 	}
@@ -235,12 +235,12 @@
 // Submit takes a job on or answers it with a refusal.
 func (scheduler *Scheduler) Submit(info Job, now time.Time) {
 	if at, ok := scheduler.answered[info.ID]; ok && now.Sub(at) < answersKept {
-		scheduler.act(Answer{Job: info.ID, Outcome: dispatcher.NewComplete(nil), Started: true, Arrived: info.Arrived, Objective: info.Objective})
+		scheduler.act(AnswerJob{Job: info.ID, Outcome: dispatcher.NewComplete(nil), Started: true, Arrived: info.Arrived, Objective: info.Objective})
 		return
 	}
 	job := newJob(info)
 	if refusal, ok := scheduler.admit(job, now); !ok {
-		scheduler.act(Answer{Job: info.ID, Outcome: refusal, Arrived: job.Arrived, Objective: job.Objective, Load: job.load})
+		scheduler.act(AnswerJob{Job: info.ID, Outcome: refusal, Arrived: job.Arrived, Objective: job.Objective, Load: job.load})
 		return
 	}
 	scheduler.jobs[job.ID] = job
@@ -275,7 +275,7 @@
 	if _, ok := outcome.(dispatcher.Complete); ok {
 		scheduler.answered[job.ID] = now
 	}
-	scheduler.act(Answer{
+	scheduler.act(AnswerJob{
 		Job: job.ID, Outcome: outcome, Started: !untouched, Arrived: job.Arrived, Objective: job.Objective, Load: job.load,
 	})
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -20,7 +20,7 @@
 func testTarget(number int) Target {
 	return Target{
 		ID: fmt.Sprintf("t%d", number), Service: "work", Address: "127.0.0.1:1", Domain: "a", Labels: []string{"kind"},
-		Capacity: Size{MilliCores: 32000, MemoryMB: 1024}, Incarnation: 1,
+		Capacity: Resources{MilliCores: 32000, MemoryMB: 1024}, Incarnation: 1,
 	}
 }
 
@@ -38,7 +38,7 @@
 	for index := range names {
 		names[index] = fmt.Sprintf("%s.0.0.%d", id, index)
 	}
-	step := Step{Tasks: names, Size: Size{MilliCores: 14000, MemoryMB: 64}, Estimate: time.Duration(estimate) * time.Millisecond}
+	step := Step{Tasks: names, Resources: Resources{MilliCores: 14000, MemoryMB: 64}, Estimate: time.Duration(estimate) * time.Millisecond}
 	return Job{
 		ID: id, Route: "r", Service: "work", Steps: []Step{step}, MaxFailures: 2,
 		Arrived: at(arrived), Deadline: at(arrived + 3000), Objective: at(arrived + estimate*8/5 + 60),
@@ -50,7 +50,7 @@
 	scheduler := New("self", "a")
 	scheduler.SetTargets(testTargets(targets), at(0))
 	for _, id := range scheduler.Targets() {
-		scheduler.Read(id, true, at(-1000))
+		scheduler.SetReader(id, true, at(-1000))
 	}
 	return scheduler
 }
@@ -59,26 +59,26 @@
 type drained struct {
 	starts  []StartTask
 	stops   []StopRun
-	answers []Answer
+	answers []AnswerJob
 	relays  []RelayStop
-	offers  []Offer
+	offers  []OfferCapacity
 }
 
 func drain(scheduler *Scheduler) drained {
 	var drained drained
-	for _, action := range scheduler.Drain() {
+	for _, action := range scheduler.TakeActions() {
 		switch action := action.(type) {
 		case StartTask:
 			drained.starts = append(drained.starts, action)
 		case StopRun:
 			drained.stops = append(drained.stops, action)
-		case Answer:
+		case AnswerJob:
 			drained.answers = append(drained.answers, action)
 		case RelayStop:
 			drained.relays = append(drained.relays, action)
-		case Offer:
+		case OfferCapacity:
 			drained.offers = append(drained.offers, action)
-		case Withdraw:
+		case WithdrawClaim:
 		}
 	}
 	return drained
@@ -87,7 +87,7 @@
 // take answers starts with success.
 func take(scheduler *Scheduler, starts []StartTask, now time.Time) {
 	for _, start := range starts {
-		scheduler.StartAnswered(start.Target, start.Run, StartTaken, now)
+		scheduler.HandleStartResult(start.Target, start.Run, StartTaken, now)
 	}
 }
 
@@ -99,7 +99,7 @@
 	return start
 }
 
-func outcome(answer Answer) string {
+func outcome(answer AnswerJob) string {
 	switch outcome := answer.Outcome.(type) {
 	case dispatcher.Complete:
 		return "complete"
@@ -128,10 +128,10 @@
 	is.Equal(perTarget["t1"], 2)
 	take(scheduler, first.starts, at(2))
 	for index, start := range first.starts {
-		scheduler.Ended(start.Target, End{Number: int64(index + 1), Run: start.Run, Cause: Done}, at(100+index))
+		scheduler.HandleEnd(start.Target, End{Seq: int64(index + 1), Run: start.Run, Cause: Done}, at(100+index))
 		is.Equal(len(drain(scheduler).answers) == 1, index == 3)
 	}
-	is.Equal(scheduler.Active(), 0)
+	is.Equal(scheduler.ActiveJobs(), 0)
 }
 
 // Guards against runs that go on for a caller that left.
@@ -140,11 +140,11 @@
 	scheduler := newTestScheduler(2)
 	scheduler.Submit(testJob("j", 2, 100, 0), at(0))
 	starts := drain(scheduler).starts
-	scheduler.StartAnswered(starts[0].Target, starts[0].Run, StartTaken, at(2))
+	scheduler.HandleStartResult(starts[0].Target, starts[0].Run, StartTaken, at(2))
 	scheduler.Abandon("j", "left", at(3))
 	is.Equal(len(drain(scheduler).stops), 2)
 	// The answer to the second start arrives after the order to stop, which it may have overtaken.
-	scheduler.StartAnswered(starts[1].Target, starts[1].Run, StartTaken, at(4))
+	scheduler.HandleStartResult(starts[1].Target, starts[1].Run, StartTaken, at(4))
 	is.Equal(len(drain(scheduler).stops), 1)
 }
 
@@ -154,16 +154,16 @@
 	scheduler := newTestScheduler(2)
 	job := testJob("j", 2, 100, 0)
 	second := job.Steps[0]
-	second.Tasks, second.After = []string{"j.0.1.0"}, []int{0}
+	second.Tasks, second.DependsOn = []string{"j.0.1.0"}, []int{0}
 	job.Steps = append(job.Steps, second)
 	job.Objective = at(1000)
 	scheduler.Submit(job, at(0))
 	first := drain(scheduler).starts
 	is.Equal(len(first), 2)
 	take(scheduler, first, at(2))
-	scheduler.Ended(first[0].Target, End{Run: first[0].Run, Cause: Done}, at(100))
+	scheduler.HandleEnd(first[0].Target, End{Run: first[0].Run, Cause: Done}, at(100))
 	is.Equal(len(drain(scheduler).starts), 0)
-	scheduler.Ended(first[1].Target, End{Run: first[1].Run, Cause: Done}, at(110))
+	scheduler.HandleEnd(first[1].Target, End{Run: first[1].Run, Cause: Done}, at(110))
 	last := drain(scheduler).starts
 	is.Equal(len(last), 1)
 	is.Equal(last[0].Run.Task, "j.0.1.0")
@@ -174,7 +174,7 @@
 	is := is.New(t)
 	scheduler := newTestScheduler(1)
 	start := startOne(scheduler, testJob("j", 1, 100, 0))
-	scheduler.Ended(start.Target, End{Run: start.Run, Cause: Done}, at(100))
+	scheduler.HandleEnd(start.Target, End{Run: start.Run, Cause: Done}, at(100))
 	is.Equal(outcome(drain(scheduler).answers[0]), "complete")
 	scheduler.Submit(testJob("j", 1, 100, 1500), at(1500))
 	again := drain(scheduler)
--- a/scheduler/target.go
+++ b/scheduler/target.go
@@ -22,12 +22,12 @@
 	// firstExclusion and lastExclusion bound the doubling time for which a faulty target gets no work.
 	firstExclusion = 800 * time.Millisecond
 	lastExclusion  = 6 * time.Second
-	// LeaseTime is the longest lease that a target grants.
-	LeaseTime = time.Second
+	// LeaseDuration is the longest lease that a target grants.
+	LeaseDuration = time.Second
 	// leaseSlack covers a target's clock that is 2% slow and an order on its way.
 	leaseSlack = 60 * time.Millisecond
-	// StopTime bounds how long a target takes to stop a run, with an order on its way.
-	StopTime = 65 * time.Millisecond
+	// MaxStopDuration bounds how long a target takes to stop a run, with an order on its way.
+	MaxStopDuration = 65 * time.Millisecond
 	// unknownSize is assumed for a run of which no claim was heard and no use is known.
 	unknownSize = 14000
 	// reportSettle is how long before a reader's report own claims may not be part of it: they wait to be sent, and the
@@ -50,7 +50,7 @@
 type occupant struct {
 	// owner is the incarnation of the instance that started the run, empty if it is not known.
 	owner    string
-	size     Size
+	size     Resources
 	estimate time.Duration
 	claimed  time.Time
 	// repeated is when the owner last claimed the run.
@@ -83,7 +83,7 @@
 type target struct {
 	Target
 	occupants map[Run]*occupant
-	used      Size
+	used      Resources
 	speed     learnedSpeed
 	group     *learnedSpeed
 	// deleted is when the entry of the target went, zero while it is there.
@@ -113,10 +113,10 @@
 	// reader means that this instance reads the ends of the target, hears of all claims, and so knows its room.
 	reader bool
 	// reported is the room that the reader of the target told of at reportedAt.
-	reported   Size
+	reported   Resources
 	reportedAt time.Time
 	// told is what this instance reported last as the reader.
-	told   Report
+	told   CapacityReport
 	toldAt time.Time
 	// draws counts the turns that were drawn for the room of the target.
 	draws int64
@@ -130,7 +130,7 @@
 }
 
 // room returns what is believed to be free: the reader knows all claims, others know their own and the reader's report.
-func (target *target) room(now time.Time) Size {
+func (target *target) room(now time.Time) Resources {
 	if target.reader || target.reportedAt.IsZero() || now.Sub(target.reportedAt) > reportUse {
 		return target.Capacity.Minus(target.used)
 	}
@@ -147,14 +147,14 @@
 // report returns what the reader of the target tells the other instances. It sees the ends of all runs, and so knows
 // first whether the target fails what it starts; until a trial has succeeded, no other instance is to start anything
 // there.
-func (target *target) report(now time.Time) Report {
+func (target *target) report(now time.Time) CapacityReport {
 	switch {
 	case target.unreachable:
-		return Report{Target: target.ID, Lost: true}
+		return CapacityReport{Target: target.ID, Unreachable: true}
 	case target.trial:
-		return Report{Target: target.ID}
+		return CapacityReport{Target: target.ID}
 	}
-	return Report{Target: target.ID, Room: target.room(now)}
+	return CapacityReport{Target: target.ID, FreeCapacity: target.room(now)}
 }
 
 // roomAge returns how old the report is that the room is taken from, 0 if this instance knows the room itself.
@@ -222,7 +222,7 @@
 
 // extendLease notes an order that may have set the lease anew at now.
 func (target *target) extendLease(now time.Time) {
-	if end := now.Add(LeaseTime + leaseSlack); end.After(target.leaseEnd) {
+	if end := now.Add(LeaseDuration + leaseSlack); end.After(target.leaseEnd) {
 		target.leaseEnd = end
 	}
 }
--- a/scheduler/target_test.go
+++ b/scheduler/target_test.go
@@ -27,7 +27,7 @@
 			} else {
 				now += 95
 			}
-			scheduler.Ended(start.Target, End{Run: start.Run, Cause: cause}, at(now))
+			scheduler.HandleEnd(start.Target, End{Run: start.Run, Cause: cause}, at(now))
 			drained = drain(scheduler)
 		}
 		return outcome(drained.answers[0])
@@ -51,7 +51,7 @@
 					cause = Failed
 					failed++
 				}
-				scheduler.Ended(start.Target, End{Run: start.Run, Cause: cause}, at(now))
+				scheduler.HandleEnd(start.Target, End{Run: start.Run, Cause: cause}, at(now))
 			}
 		}
 	}
@@ -69,7 +69,7 @@
 		take(scheduler, drained.starts, at(now))
 		now += 10
 		for _, start := range drained.starts {
-			scheduler.Ended(start.Target, End{Run: start.Run, Cause: Failed}, at(now))
+			scheduler.HandleEnd(start.Target, End{Run: start.Run, Cause: Failed}, at(now))
 		}
 		drained = drain(scheduler)
 	}
@@ -82,8 +82,8 @@
 func newPeerOfReader(reader *Scheduler, targets int, now time.Time) *Scheduler {
 	peer := New("peer", "a")
 	peer.SetTargets(testTargets(targets), now)
-	for _, report := range reader.Reports(now) {
-		peer.PeerReported(report, now)
+	for _, report := range reader.DueReports(now) {
+		peer.HandlePeerReport(report, now)
 	}
 	return peer
 }
@@ -95,22 +95,22 @@
 	reader := newTestScheduler(1)
 	fail := func(number, now int) {
 		run := Run{Task: fmt.Sprintf("j%d.0.0.0", number), Attempt: 1}
-		reader.PeerClaimed("peer", Claim{Target: "t0", Run: run, Size: Size{MilliCores: 14000}, Estimate: 100 * time.Millisecond}, at(now))
-		reader.Ended("t0", End{Number: int64(number), Run: run, Cause: Failed}, at(now+5))
+		reader.HandlePeerClaim("peer", Claim{Target: "t0", Run: run, Resources: Resources{MilliCores: 14000}, Estimate: 100 * time.Millisecond}, at(now))
+		reader.HandleEnd("t0", End{Seq: int64(number), Run: run, Cause: Failed}, at(now+5))
 	}
 	for number := 1; number <= failureStreak; number++ {
 		fail(number, 10*number)
 	}
 	peer := newPeerOfReader(reader, 1, at(50))
 	peer.Submit(testJob("next", 1, 1000, 51), at(51))
-	is.Equal(peer.Active(), 1)
+	is.Equal(peer.ActiveJobs(), 1)
 	is.Equal(len(drain(peer).starts), 0)
 	// The reader itself tries again later, and tells of success.
 	run := Run{Task: "trial.0.0.0", Attempt: 1}
-	reader.PeerClaimed("peer", Claim{Target: "t0", Run: run, Size: Size{MilliCores: 14000}, Estimate: 100 * time.Millisecond}, at(900))
-	reader.Ended("t0", End{Number: 9, Run: run, Cause: Done}, at(1000))
-	for _, report := range reader.Reports(at(1001)) {
-		peer.PeerReported(report, at(1001))
+	reader.HandlePeerClaim("peer", Claim{Target: "t0", Run: run, Resources: Resources{MilliCores: 14000}, Estimate: 100 * time.Millisecond}, at(900))
+	reader.HandleEnd("t0", End{Seq: 9, Run: run, Cause: Done}, at(1000))
+	for _, report := range reader.DueReports(at(1001)) {
+		peer.HandlePeerReport(report, at(1001))
 	}
 	peer.Place(at(1001))
 	is.Equal(len(drain(peer).starts), 1)
--- a/scheduler/tick.go
+++ b/scheduler/tick.go
@@ -17,14 +17,14 @@
 	scheduler.place(now)
 }
 
-// Paused notes that the instance itself stood still before now: news of renewed leases may wait to be read.
-func (scheduler *Scheduler) Paused(now time.Time) { scheduler.awake = now.Add(awakeTime) }
+// NotePause notes that the instance itself stood still before now: news of renewed leases may wait to be read.
+func (scheduler *Scheduler) NotePause(now time.Time) { scheduler.awake = now.Add(awakeTime) }
 
 // awakeTime is how long after a pause no run is taken to be lost.
 const awakeTime = 300 * time.Millisecond
 
-// Suspend keeps work back from the targets of a failure domain of which nothing is heard, or allows it again.
-func (scheduler *Scheduler) Suspend(domain string, suspended bool) {
+// SetDomainSuspended keeps work back from the targets of a failure domain of which nothing is heard, or allows it again.
+func (scheduler *Scheduler) SetDomainSuspended(domain string, suspended bool) {
 	if suspended {
 		scheduler.suspended[domain] = true
 	} else {
@@ -37,15 +37,15 @@
 	}
 }
 
-// Renewing notes that an order that renews the lease of a target is about to be sent.
-func (scheduler *Scheduler) Renewing(targetID string, now time.Time) {
+// NoteRenewal notes that an order that renews the lease of a target is about to be sent.
+func (scheduler *Scheduler) NoteRenewal(targetID string, now time.Time) {
 	if target, ok := scheduler.targets[targetID]; ok {
 		target.extendLease(now)
 	}
 }
 
-// Turns offers room anew that the instance whose turn it was did not claim; it is due as often as a turn takes.
-func (scheduler *Scheduler) Turns(now time.Time) {
+// ExpireOffers offers room anew that the instance whose turn it was did not claim; it is due as often as a turn takes.
+func (scheduler *Scheduler) ExpireOffers(now time.Time) {
 	if len(scheduler.offered) > 0 {
 		scheduler.nextTurns(now)
 		scheduler.place(now)
@@ -119,9 +119,9 @@
 		return
 	}
 	task.avoid(task.on)
-	candidates := scheduler.candidatesFor(task.spec().Size, now)
+	candidates := scheduler.candidatesFor(task.spec().Resources, now)
 	if best := scheduler.choose(task, candidates, now); best != nil {
-		least := StopTime + startOverhead + best.predict(task.spec().Estimate)
+		least := MaxStopDuration + startOverhead + best.predict(task.spec().Estimate)
 		if now.Add(least).Before(task.job.Deadline) {
 			task.state = stopping
 			task.on.exclude(now)
@@ -152,9 +152,9 @@
 	}
 }
 
-// Orphans asks to stop the runs on a target whose owner is not alive, or is not known for a while; alive reports
+// StopOrphans asks to stop the runs on a target whose owner is not alive, or is not known for a while; alive reports
 // whether an instance is heard of. Only the reader of the target calls it.
-func (scheduler *Scheduler) Orphans(targetID string, alive func(owner string) bool, now time.Time) {
+func (scheduler *Scheduler) StopOrphans(targetID string, alive func(owner string) bool, now time.Time) {
 	target, ok := scheduler.targets[targetID]
 	if !ok {
 		return
@@ -190,31 +190,31 @@
 
 // orphanTime is how long a run without a known owner is left alone: a live owner repeats its claim within it, and the
 // caller of a dead one sends its job again only later.
-const orphanTime = 2*RepeatTime + 100*time.Millisecond
+const orphanTime = 2*ClaimRepeatInterval + 100*time.Millisecond
 
-// Work describes what there is to look after on a target.
-type Work struct {
+// TargetState describes what there is to look after on a target.
+type TargetState struct {
 	// Occupied tells whether any run is believed to be there, and Own whether an own one is.
-	Occupied bool
-	Own      bool
+	Occupied   bool
+	HasOwnRuns bool
 	// Unreachable tells that the target did not answer this instance lately, and Lost that it did not answer its reader.
-	Unreachable bool
-	Lost        bool
-	// News is when the target was last heard of.
-	News time.Time
+	Unreachable         bool
+	UnreachableByReader bool
+	// LastHeard is when the target was last heard of.
+	LastHeard time.Time
 }
 
-// Work returns what there is to look after on the target.
-func (scheduler *Scheduler) Work(targetID string) Work {
+// TargetState returns what there is to look after on the target.
+func (scheduler *Scheduler) TargetState(targetID string) TargetState {
 	target, ok := scheduler.targets[targetID]
 	if !ok {
-		return Work{}
+		return TargetState{}
 	}
-	work := Work{Occupied: len(target.occupants) > 0, Unreachable: target.unreachable, Lost: target.lost, News: target.news}
+	state := TargetState{Occupied: len(target.occupants) > 0, Unreachable: target.unreachable, UnreachableByReader: target.lost, LastHeard: target.news}
 	for _, occupant := range target.occupants {
-		work.Own = work.Own || occupant.owner == scheduler.self
+		state.HasOwnRuns = state.HasOwnRuns || occupant.owner == scheduler.self
 	}
-	return work
+	return state
 }
 
 // Owner returns the incarnation of the instance that started the run, empty if it is not known.
--- a/scheduler/world_test.go
+++ b/scheduler/world_test.go
@@ -185,18 +185,18 @@
 			continue
 		}
 		if instance.frozenTo != 0 {
-			instance.scheduler.Paused(at(world.now))
+			instance.scheduler.NotePause(at(world.now))
 			instance.frozenTo = 0
 		}
 		instance.scheduler.Tick(at(world.now))
-		instance.scheduler.Turns(at(world.now))
+		instance.scheduler.ExpireOffers(at(world.now))
 		if world.now%100 == 0 {
 			instance.scheduler.Sweep(at(world.now))
 		}
 		if world.now%50 == 0 {
 			world.look(number)
 		}
-		if world.now%int(RepeatTime/time.Millisecond) == 0 {
+		if world.now%int(ClaimRepeatInterval/time.Millisecond) == 0 {
 			for _, claim := range instance.scheduler.Claims() {
 				world.claim(number, claim)
 			}
@@ -209,36 +209,36 @@
 	instance := world.instances[number]
 	for index, target := range world.targets {
 		reads := world.reader(index) == number
-		instance.scheduler.Read(target.id, reads, at(world.now))
+		instance.scheduler.SetReader(target.id, reads, at(world.now))
 		if !reads {
 			continue
 		}
-		work := instance.scheduler.Work(target.id)
+		state := instance.scheduler.TargetState(target.id)
 		if target.dark(world.now) || world.lossy && world.random.IntN(10) == 0 {
 			if target.dark(world.now) {
-				instance.scheduler.Unreachable(target.id)
+				instance.scheduler.MarkUnreachable(target.id)
 			}
 			continue
 		}
-		if work.Occupied && !work.Unreachable {
-			instance.scheduler.Renewing(target.id, at(world.now))
+		if state.Occupied && !state.Unreachable {
+			instance.scheduler.NoteRenewal(target.id, at(world.now))
 			target.lease = max(target.lease, world.now+1000)
 		}
-		look := Look{Incarnation: 1, Sent: at(world.now - 1), Answered: at(world.now)}
+		poll := PollResult{Incarnation: 1, Sent: at(world.now - 1), Answered: at(world.now)}
 		for _, running := range target.sorted() {
-			look.Running = append(look.Running, Row{Run: running.run})
+			poll.Running = append(poll.Running, ActiveRun{Run: running.run})
 		}
 		for _, end := range target.ended {
-			if end.Number > instance.acked[target.id] {
-				look.Ended = append(look.Ended, end)
+			if end.Seq > instance.acked[target.id] {
+				poll.Ended = append(poll.Ended, end)
 			}
 		}
-		instance.scheduler.Looked(target.id, look)
-		for _, end := range look.Ended {
+		instance.scheduler.HandlePoll(target.id, poll)
+		for _, end := range poll.Ended {
 			owner := instance.scheduler.Owner(target.id, end.Run)
-			instance.acked[target.id] = end.Number
-			instance.scheduler.Ended(target.id, end, at(world.now))
-			world.tell(owner, func(peer *Scheduler) { peer.Ended(target.id, end, at(world.now)) })
+			instance.acked[target.id] = end.Seq
+			instance.scheduler.HandleEnd(target.id, end, at(world.now))
+			world.tell(owner, func(peer *Scheduler) { peer.HandleEnd(target.id, end, at(world.now)) })
 		}
 		alive := func(owner string) bool {
 			for other := range world.instances {
@@ -248,8 +248,8 @@
 			}
 			return false
 		}
-		instance.scheduler.Orphans(target.id, alive, at(world.now))
-		if report, due := instance.scheduler.Renewed(target.id, at(world.now)); due {
+		instance.scheduler.StopOrphans(target.id, alive, at(world.now))
+		if report, due := instance.scheduler.RenewalReport(target.id, at(world.now)); due {
 			world.report(number, report)
 		}
 	}
@@ -270,10 +270,10 @@
 	}
 }
 
-func (world *world) report(from int, report Report) {
+func (world *world) report(from int, report CapacityReport) {
 	for number, instance := range world.instances {
 		if number != from {
-			world.tell(instance.name, func(peer *Scheduler) { peer.PeerReported(report, at(world.now)) })
+			world.tell(instance.name, func(peer *Scheduler) { peer.HandlePeerReport(report, at(world.now)) })
 		}
 	}
 }
@@ -285,8 +285,8 @@
 	}
 	owner := world.instances[from].name
 	world.tell(world.instances[reader].name, func(peer *Scheduler) {
-		if end, ended := peer.PeerClaimed(owner, claim, at(world.now)); ended {
-			world.tell(owner, func(back *Scheduler) { back.Ended(claim.Target, end, at(world.now)) })
+		if end, ended := peer.HandlePeerClaim(owner, claim, at(world.now)); ended {
+			world.tell(owner, func(back *Scheduler) { back.HandleEnd(claim.Target, end, at(world.now)) })
 		}
 	})
 }
@@ -303,7 +303,7 @@
 // settle carries out the actions of an instance.
 func (world *world) settle(number int) {
 	scheduler := world.instances[number].scheduler
-	for _, action := range scheduler.Drain() {
+	for _, action := range scheduler.TakeActions() {
 		switch action := action.(type) {
 		case StartTask:
 			world.claim(number, action.Claim)
@@ -312,26 +312,26 @@
 					if !answered && world.naive {
 						result = StartRefused
 					}
-					scheduler.StartAnswered(action.Target, action.Run, result, at(world.now))
+					scheduler.HandleStartResult(action.Target, action.Run, result, at(world.now))
 				})
 		case StopRun:
 			world.order(number, action.On.ID, func(target *worldTarget) StartResult { return world.stop(target, action.Run) },
 				func(_ StartResult, answered bool) {
-					scheduler.StopAnswered(action.On.ID, action.Run, answered, at(world.now))
+					scheduler.HandleStopResult(action.On.ID, action.Run, answered, at(world.now))
 				})
 		case RelayStop:
 			if reader := world.reader(world.index(action.Target)); reader >= 0 && reader != number {
-				world.tell(world.instances[reader].name, func(peer *Scheduler) { peer.PeerStop(action.Target, action.Run) })
+				world.tell(world.instances[reader].name, func(peer *Scheduler) { peer.HandlePeerStop(action.Target, action.Run) })
 			}
-		case Answer:
+		case AnswerJob:
 			world.answers[action.Job] = action.Outcome
 			if _, refused := action.Outcome.(dispatcher.Refused); refused && world.started[action.Job] {
 				world.problem("job %s is refused though it has started", action.Job)
 			}
-		case Withdraw, Offer:
+		case WithdrawClaim, OfferCapacity:
 		}
 	}
-	for _, report := range scheduler.Reports(at(world.now)) {
+	for _, report := range scheduler.DueReports(at(world.now)) {
 		world.report(number, report)
 	}
 }
@@ -380,7 +380,7 @@
 		return StartStale
 	case world.now > ordered+1000:
 		return StartLate
-	case target.used+start.Size.MilliCores > 32000:
+	case target.used+start.Resources.MilliCores > 32000:
 		return StartNoRoom
 	}
 	for _, other := range world.targets {
@@ -394,9 +394,9 @@
 	world.started[start.Job] = true
 	target.lease = max(target.lease, ordered+1000)
 	target.highest[start.Run.Task] = start.Run.Attempt
-	target.used += start.Size.MilliCores
+	target.used += start.Resources.MilliCores
 	ends := world.now + int(float64(start.Estimate/time.Millisecond)/target.speed*(0.8+0.4*world.random.Float64()))
-	target.runs[start.Run.Task] = &worldRun{run: start.Run, size: start.Size.MilliCores, ends: ends}
+	target.runs[start.Run.Task] = &worldRun{run: start.Run, size: start.Resources.MilliCores, ends: ends}
 	return StartTaken
 }
 
@@ -425,7 +425,7 @@
 	delete(target.runs, running.run.Task)
 	target.used -= running.size
 	target.number++
-	target.ended = append(target.ended, End{Number: target.number, Run: running.run, Cause: cause})
+	target.ended = append(target.ended, End{Seq: target.number, Run: running.run, Cause: cause})
 }
 
 // lapse ends runs that are done, and those of targets whose leases are over.
--- a/server/decider.go
+++ b/server/decider.go
@@ -64,7 +64,7 @@
 			case <-ctx.Done():
 				return
 			case now := <-ticker.C:
-				decider.apply(decider.keeper.Expire(now))
+				decider.apply(decider.keeper.HandleDeadlines(now))
 			}
 		}
 	}()
@@ -190,7 +190,7 @@
 			// The request gave up before the acknowledgement; the record says started, so the job ends here.
 			decider.finish(event.Key, dispatcher.NewFailed("the start record was acknowledged too late, nothing was started", nil))
 		}
-	case keeper.AttemptLost:
+	case keeper.AttemptFailed:
 		decider.hand(event.Key, event.Ticket, event)
 	case keeper.RefusalConfirmed:
 		decider.hand(event.Key, event.Ticket, event)
@@ -198,7 +198,7 @@
 		decider.hand(event.Key, event.Ticket, event)
 	case keeper.CancelConfirmed:
 		decider.hand(event.Key, event.Ticket, event)
-	case keeper.AnswerFound:
+	case keeper.RefusalSuperseded:
 		decider.hand(event.Key, event.Ticket, event)
 	case keeper.OutcomeKnown:
 		decider.handAll(event)
--- a/server/dispatch.go
+++ b/server/dispatch.go
@@ -111,7 +111,7 @@
 	for {
 		result, learned, size := server.startAt(ctx, request, task, granted.place)
 		_, refused := result.(starter.NotStarted)
-		if !refused || ctx.Err() != nil || !server.scheduler.limiter.Retry(time.Now()) {
+		if !refused || ctx.Err() != nil || !server.scheduler.limiter.AllowRetry(time.Now()) {
 			server.scheduler.release(granted, learned, size)
 			server.scheduler.pump(time.Now())
 			return result
@@ -143,7 +143,7 @@
 	switch result := result.(type) {
 	case starter.Success:
 		return router.NewFinished(0)
-	case starter.Rejected:
+	case starter.TaskFailed:
 		return router.Failed{}
 	case starter.NotStarted:
 		return router.NewNotStarted(result.Leaving())
@@ -162,7 +162,7 @@
 			finished = append(finished, dispatcher.TaskResult{Name: job.Tasks()[i].Name(), Result: success.Result()})
 		}
 	}
-	server.meter.fates[dispatcher.Finished].Add(len(finished))
+	server.meter.fates[dispatcher.FateFinished].Add(len(finished))
 	if len(finished) == len(results) {
 		return dispatcher.NewComplete(finished)
 	}
@@ -170,14 +170,14 @@
 	for i, result := range results {
 		switch result := result.(type) {
 		case starter.Success:
-			fates[i].Fate = dispatcher.Finished
+			fates[i].Fate = dispatcher.FateFinished
 			continue
 		case starter.NotStarted:
 			fates[i].Detail = result.Detail()
-		case starter.Rejected:
-			fates[i].Fate, fates[i].Detail = dispatcher.TaskFailed, result.Detail()
+		case starter.TaskFailed:
+			fates[i].Fate, fates[i].Detail = dispatcher.FateFailed, result.Detail()
 		case starter.Lost:
-			fates[i].Fate, fates[i].Detail = dispatcher.OutcomeUnknown, result.Detail()
+			fates[i].Fate, fates[i].Detail = dispatcher.FateUnknown, result.Detail()
 		}
 		server.meter.fates[fates[i].Fate].Inc()
 	}
@@ -187,7 +187,7 @@
 func notStarted(job dispatcher.Job) []dispatcher.TaskFate {
 	fates := make([]dispatcher.TaskFate, len(job.Tasks()))
 	for i, task := range job.Tasks() {
-		fates[i] = dispatcher.TaskFate{Name: task.Name(), Fate: dispatcher.NotStarted}
+		fates[i] = dispatcher.TaskFate{Name: task.Name(), Fate: dispatcher.FateNotStarted}
 	}
 	return fates
 }
--- a/server/filter.go
+++ b/server/filter.go
@@ -63,7 +63,7 @@
 
 // answer writes outcome for the exchange's key.
 func (exchange *exchange) answer(outcome dispatcher.Outcome) {
-	exchange.outcome = dispatcher.ClassOf(outcome)
+	exchange.outcome = dispatcher.OutcomeClass(outcome)
 	encoder.EncodeOutcome(exchange.key, outcome, time.Now()).Write(exchange)
 }
 
--- a/server/forward.go
+++ b/server/forward.go
@@ -104,7 +104,7 @@
 		answer := response.(linker.ForwardAnswer)
 		if outcome, err = linker.DecodeOutcome(answer.Outcome, time.Now()); err == nil {
 			request.grant = reporter.Denied
-			if answer.Counts {
+			if answer.CountGranted {
 				request.grant = reporter.Granted
 			}
 			return outcome
@@ -133,14 +133,14 @@
 		origin:      forward.Origin,
 	}
 	outcome := server.resolve(context.Background(), request)
-	server.meter.forwards[dispatcher.ClassOf(outcome)].Inc()
+	server.meter.forwards[dispatcher.OutcomeClass(outcome)].Inc()
 	answer := linker.ForwardAnswer{
-		ID: forward.ID, Key: forward.Key, Outcome: linker.EncodeOutcome(outcome, time.Now()), Counts: server.grantCount(request),
+		ID: forward.ID, Key: forward.Key, Outcome: linker.EncodeOutcome(outcome, time.Now()), CountGranted: server.grantCount(request),
 	}
 	err := server.linker.Send(from.Incarnation, answer)
 	if _, complete := outcome.(dispatcher.Complete); complete && err != nil {
 		// An answer above the links' bound cannot be sent; the sender learns at least that the tasks finished.
-		answer.Outcome = linker.EncodeOutcome(lostAnswer(request.job, dispatcher.Finished), time.Now())
+		answer.Outcome = linker.EncodeOutcome(lostAnswer(request.job, dispatcher.FateFinished), time.Now())
 		err = server.linker.Send(from.Incarnation, answer)
 	}
 	if err != nil {
--- a/server/inquire.go
+++ b/server/inquire.go
@@ -79,7 +79,7 @@
 		return stateAnswered, decision.Outcome
 	case keeper.AnswerLost:
 		return stateAnswered, dispatcher.NewFailed("the job started and its answer is lost", nil)
-	case keeper.NotYet:
+	case keeper.RetryLater:
 		return stateAnswered, decision.Outcome
 	case keeper.AwaitWitness, keeper.AwaitConfirmation:
 		deadline, _ := ctx.Deadline()
@@ -160,7 +160,7 @@
 		decision, waiter = server.decider.decide(key, func() (keeper.Decision, []keeper.Outgoing) {
 			return server.keeper.Cancel(key, forwarded, time.Now())
 		})
-		if _, early := decision.(keeper.NotYet); early && time.Now().Before(patience) {
+		if _, early := decision.(keeper.RetryLater); early && time.Now().Before(patience) {
 			decision = nil
 			sleeper.For(ctx, notYetDelay)
 		}
@@ -168,9 +168,9 @@
 	switch decision := decision.(type) {
 	case keeper.Answer:
 		return cancelResult(decision.Outcome)
-	case keeper.TooLate, keeper.AnswerLost:
+	case keeper.AlreadyStarted, keeper.AnswerLost:
 		return resultTooLate
-	case keeper.NotYet:
+	case keeper.RetryLater:
 		return resultUnknown
 	case keeper.AwaitWitness, keeper.AwaitConfirmation, keeper.Joined:
 		deadline, _ := ctx.Deadline()
@@ -214,7 +214,7 @@
 		return cancelResult(event.Refusal)
 	case keeper.OutcomeKnown:
 		return cancelResult(event.Outcome)
-	case keeper.AnswerFound:
+	case keeper.RefusalSuperseded:
 		return cancelResult(event.Outcome)
 	default:
 		return resultUnknown
--- a/server/membership.go
+++ b/server/membership.go
@@ -24,7 +24,7 @@
 	listInterval = time.Second
 	// takeoverDelay is how long every member of the view must be gone before an instance outside it proposes
 	// the next view; it lets candidates meet, so that they come into the same view.
-	takeoverDelay = 2 * watcher.SuspicionPeriod
+	takeoverDelay = 2 * watcher.SuspicionTimeout
 	// maxMet bounds the instances whose hellos are remembered.
 	maxMet = 4096
 )
@@ -112,20 +112,20 @@
 	membership.listed, membership.read = instances, true
 	listed := membership.knownOnes()
 	membership.mu.Unlock()
-	membership.watcher.SetList(listed, time.Now())
+	membership.watcher.SetInstanceList(listed, time.Now())
 	membership.linkUp()
 }
 
 // knownOnes returns the listed instances whose incarnation is known from a hello; the list itself does not
 // have it. The caller holds membership.mu.
-func (membership *membership) knownOnes() []watcher.Listed {
-	var known []watcher.Listed
+func (membership *membership) knownOnes() []watcher.ListedInstance {
+	var known []watcher.ListedInstance
 	for _, instance := range membership.listed {
 		leaving := instance.State == lister.Leaving
 		if instance.Address == membership.self.Address {
-			known = append(known, watcher.Listed{Member: membership.self, Leaving: leaving})
+			known = append(known, watcher.ListedInstance{Member: membership.self, Leaving: leaving})
 		} else if hello, ok := membership.met[instance.Address]; ok {
-			known = append(known, watcher.Listed{Member: asMember(hello), Leaving: leaving})
+			known = append(known, watcher.ListedInstance{Member: asMember(hello), Leaving: leaving})
 		}
 	}
 	return known
@@ -148,7 +148,7 @@
 	listed, read := membership.knownOnes(), membership.read
 	membership.mu.Unlock()
 	if read {
-		membership.watcher.SetList(listed, time.Now())
+		membership.watcher.SetInstanceList(listed, time.Now())
 	}
 }
 
@@ -164,11 +164,11 @@
 	}
 	membership.mu.Lock()
 	if len(membership.heard) >= maxMet {
-		maps.DeleteFunc(membership.heard, func(_ string, last heard) bool { return now.Sub(last.at) >= watcher.SuspicionPeriod })
+		maps.DeleteFunc(membership.heard, func(_ string, last heard) bool { return now.Sub(last.at) >= watcher.SuspicionTimeout })
 	}
 	membership.heard[from.Incarnation] = heard{at: now, view: heartbeat.View}
 	membership.mu.Unlock()
-	membership.watcher.Hear(watcher.Heartbeat{From: asMember(from), View: heartbeat.View, Suspects: suspects, Leaving: heartbeat.Leaving}, now)
+	membership.watcher.ReceiveHeartbeat(watcher.Heartbeat{From: asMember(from), View: heartbeat.View, Suspects: suspects, Leaving: heartbeat.Leaving}, now)
 }
 
 // setView passes a view in force on to the watcher and the links.
@@ -224,7 +224,7 @@
 		heartbeat.Suspects = append(heartbeat.Suspects, string(suspect))
 	}
 	membership.status(&heartbeat)
-	membership.linker.Broadcast(membership.linker.Domain(membership.domain), heartbeat)
+	membership.linker.Broadcast(membership.linker.ConnectedIn(membership.domain), heartbeat)
 }
 
 // followSuspicion tells the keeper whom to avoid, and the watcher who owes the answer to a sync request.
@@ -242,11 +242,11 @@
 	for former := range membership.suspected {
 		if !suspects[former] {
 			membership.logger.Info("suspicion is revoked", "incarnation", former)
-			membership.keeper.Restore(former)
+			membership.keeper.ClearSuspicion(former)
 		}
 	}
 	membership.suspected = suspects
-	silent := membership.keeper.Silent(now)
+	silent := membership.keeper.UnresponsiveMembers(now)
 	_, view := membership.keeper.View()
 	for _, member := range view.Members {
 		answered := !slices.Contains(silent, member.Incarnation)
@@ -269,7 +269,7 @@
 	membership.mu.Unlock()
 	if adopted && number > membership.accounted {
 		membership.accounted = number
-		membership.keeper.Accounted(number, now)
+		membership.keeper.SetAdoptedByAll(number, now)
 	}
 }
 
@@ -307,7 +307,7 @@
 	membership.mu.Lock()
 	defer membership.mu.Unlock()
 	for _, last := range membership.heard {
-		if now.Sub(last.at) < watcher.SuspicionPeriod {
+		if now.Sub(last.at) < watcher.SuspicionTimeout {
 			return true
 		}
 	}
@@ -321,7 +321,7 @@
 	turn := slices.IndexFunc(view.Members, func(member keeper.Member) bool {
 		return member.Incarnation == string(membership.self.Incarnation)
 	})
-	return membership.retention + time.Duration(turn)*watcher.SuspicionPeriod, turn >= 0
+	return membership.retention + time.Duration(turn)*watcher.SuspicionTimeout, turn >= 0
 }
 
 // takeover returns the view that replaces one whose members have all gone, or the first view of an instance
@@ -348,7 +348,7 @@
 	}
 	for address, hello := range membership.met {
 		listed := slices.ContainsFunc(membership.listed, func(instance lister.Instance) bool { return instance.Address == address })
-		if listed && now.Sub(membership.heard[hello.Incarnation].at) < watcher.SuspicionPeriod {
+		if listed && now.Sub(membership.heard[hello.Incarnation].at) < watcher.SuspicionTimeout {
 			self = append(self, keeperMembers(asMember(hello))...)
 		}
 	}
@@ -358,7 +358,7 @@
 // anyLeft says that a member of the view is still listed, or was heard lately. The caller holds membership.mu.
 func (membership *membership) anyLeft(view keeper.View, now time.Time) bool {
 	return slices.ContainsFunc(slices.Concat(view.Members, view.Departing), func(member keeper.Member) bool {
-		if last, ok := membership.heard[member.Incarnation]; ok && now.Sub(last.at) < watcher.SuspicionPeriod {
+		if last, ok := membership.heard[member.Incarnation]; ok && now.Sub(last.at) < watcher.SuspicionTimeout {
 			return true
 		}
 		return slices.ContainsFunc(membership.listed, func(instance lister.Instance) bool {
@@ -374,7 +374,7 @@
 	defer membership.mu.Unlock()
 	var lately []string
 	for incarnation, last := range membership.heard {
-		if now.Sub(last.at) < watcher.SuspicionPeriod {
+		if now.Sub(last.at) < watcher.SuspicionTimeout {
 			lately = append(lately, incarnation)
 		}
 	}
--- a/server/meter.go
+++ b/server/meter.go
@@ -38,7 +38,7 @@
 		meter.forwards[name] = set.NewCounter(`hyssoplift_forwards_served_total{outcome="` + name + `"}`)
 		meter.requests[name] = set.NewCounter(`hyssoplift_requests_total{outcome="` + name + `"}`)
 	}
-	for _, fate := range []dispatcher.Fate{dispatcher.NotStarted, dispatcher.OutcomeUnknown, dispatcher.Finished, dispatcher.TaskFailed} {
+	for _, fate := range []dispatcher.Fate{dispatcher.FateNotStarted, dispatcher.FateUnknown, dispatcher.FateFinished, dispatcher.FateFailed} {
 		meter.fates[fate] = set.NewCounter(`hyssoplift_tasks_total{fate="` + string(fate) + `"}`)
 	}
 	set.NewGauge("hyssoplift_jobs_in_flight", inFlight)
@@ -56,7 +56,7 @@
 		"hyssoplift_link_pings_sent":       traffic.PingsSent,
 		"hyssoplift_link_messages_dropped": traffic.Dropped,
 		"hyssoplift_link_stray_answers":    traffic.StrayAnswers,
-		"hyssoplift_start_records":         func() int64 { return int64(server.keeper.Records()) },
+		"hyssoplift_start_records":         func() int64 { return int64(server.keeper.RecordCount()) },
 		"hyssoplift_jobs_waiting":          func() int64 { return int64(server.scheduler.limiter.Waiting()) },
 		"hyssoplift_tasks_in_flight":       func() int64 { return int64(server.scheduler.limiter.InFlight()) },
 		"hyssoplift_view":                  func() int64 { number, _ := server.keeper.View(); return number },
--- a/server/place.go
+++ b/server/place.go
@@ -42,12 +42,12 @@
 func (workerPlace) isPlace() {}
 
 // endPlace gives the place back and tells what became of its task.
-func endPlace(ended place, result router.Result, size placer.Ending, now time.Time) {
+func endPlace(ended place, result router.Result, size placer.Result, now time.Time) {
 	switch ended := ended.(type) {
 	case runnerPlace:
 		ended.router.Done(ended.choice, result, now)
 	case workerPlace:
-		ended.placer.End(ended.placed, size, now)
+		ended.placer.Release(ended.placed, size, now)
 	}
 }
 
@@ -66,7 +66,7 @@
 	next := &workers{placer: fleet.placer, addresses: make(map[string]string, len(targets))}
 	list := make([]placer.Worker, len(targets))
 	for i, target := range targets {
-		list[i] = placer.NewWorker(target.Name(), target.Rack(), target.Size())
+		list[i] = placer.NewWorker(target.Name(), target.Rack(), target.Resources())
 		next.addresses[target.Name()] = target.Address()
 	}
 	fleet.placer.Update(list)
@@ -76,7 +76,7 @@
 // place reserves room for a task of the kind, near the rack where the last one went: a job's tasks are placed one
 // after another, and one whose tasks share a rack is lost to the failure of fewer racks.
 func (fleet *workers) place(kind bundler.Kind, now time.Time) (place, bool) {
-	placed, ok := fleet.placer.Place(kind.Name(), kind.Size(), fleet.placer.LastRack(kind.Name()), now).(placer.Placed)
+	placed, ok := fleet.placer.Place(kind.Name(), kind.Resources(), fleet.placer.LastRack(kind.Name()), now).(placer.Placed)
 	if !ok {
 		return nil, false
 	}
@@ -84,7 +84,7 @@
 }
 
 // startAt runs the task at its place and returns the result, with what the router and the placer learn from it.
-func (server *Server) startAt(ctx context.Context, request *request, task dispatcher.Task, at place) (starter.Result, router.Result, placer.Ending) {
+func (server *Server) startAt(ctx context.Context, request *request, task dispatcher.Task, at place) (starter.Result, router.Result, placer.Result) {
 	if worker, ok := at.(workerPlace); ok {
 		result, size := server.lease(ctx, request, task, worker)
 		return result, nil, size
@@ -95,15 +95,15 @@
 }
 
 // lease runs the task on a worker under a lease.
-func (server *Server) lease(ctx context.Context, request *request, task dispatcher.Task, at workerPlace) (starter.Result, placer.Ending) {
+func (server *Server) lease(ctx context.Context, request *request, task dispatcher.Task, at workerPlace) (starter.Result, placer.Result) {
 	switch ending := server.leaser.Run(ctx, at.address, request.kind.Name(), at.placed.Granted(), task).(type) {
 	case leaser.Completed:
 		return starter.NewSuccess(ending.Result()), ending.Usage()
-	case leaser.Broken:
-		return starter.NewRejected(ending.Detail()), ending.Usage()
+	case leaser.TaskFailed:
+		return starter.NewTaskFailed(ending.Detail()), ending.Usage()
 	case leaser.NotStarted:
 		server.learnRefusal(ctx, at, ending.Leaving())
-		return starter.NewNotStarted(ending.Detail(), ending.Leaving()), placer.Unstarted{}
+		return starter.NewNotStarted(ending.Detail(), ending.Leaving()), placer.NotStarted{}
 	case leaser.Lost:
 		// A worker that answers nothing is as bad as one that fails what it starts.
 		return starter.NewLost(ending.Detail()), placer.Failed{}
@@ -117,15 +117,15 @@
 func (server *Server) learnRefusal(ctx context.Context, at workerPlace, leaving bool) {
 	name, now := at.placed.Worker().Name(), time.Now()
 	if leaving {
-		at.placer.Close(name, now.Add(leavingTime))
+		at.placer.Suspend(name, now.Add(leavingTime))
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, usageTimeout)
 	defer cancel()
 	report, err := server.leaser.Usage(ctx, at.address)
 	if err != nil {
-		at.placer.Close(name, now.Add(usageTime))
+		at.placer.Suspend(name, now.Add(usageTime))
 		return
 	}
-	at.placer.Report(name, report.Used, now.Add(usageTime))
+	at.placer.ReportUsage(name, report.Used, now.Add(usageTime))
 }
--- a/server/place_test.go
+++ b/server/place_test.go
@@ -64,7 +64,7 @@
 			var fleet [2]*emulator.Worker
 			var addresses [2]any
 			for i := range fleet {
-				fleet[i] = emulator.NewWorker(placer.Size{MilliCores: 4000, MemoryMB: 4000})
+				fleet[i] = emulator.NewWorker(placer.Resources{MilliCores: 4000, MemoryMB: 4000})
 				fleet[i].SetFault(test.faults[i])
 				target := httptest.NewServer(fleet[i])
 				defer target.Close()
--- a/server/scheduler.go
+++ b/server/scheduler.go
@@ -130,13 +130,13 @@
 // limits returns the limits of the bundle's kinds and teams.
 func limits(bundle *bundler.Bundle) limiter.Config {
 	config := limiter.Config{
-		Kinds:               make(map[string]limiter.Kind),
+		Kinds:               make(map[string]limiter.KindLimits),
 		TeamQuotas:          make(map[string]int),
 		ResponseTimeWeight:  float64(bundle.Policy().ResponseTimeWeight()),
 		WastedMessageWeight: float64(bundle.Policy().WastedMessageWeight()),
 	}
 	for _, kind := range bundle.Kinds() {
-		config.Kinds[kind.Name()] = limiter.Kind{MaxTasks: kind.MaxTasks(), MaxInFlight: kind.MaxInFlight(), RunTime: kind.RunTime()}
+		config.Kinds[kind.Name()] = limiter.KindLimits{MaxTasks: kind.MaxTasks(), MaxInFlight: kind.MaxInFlight(), RunTime: kind.RunTime()}
 	}
 	for _, team := range bundle.Teams() {
 		config.TeamQuotas[team.Name()] = team.MaxInFlight()
@@ -179,7 +179,7 @@
 // possible reports whether a task of the kind fits on any worker of its service; runners take every task.
 func (scheduler *scheduler) possible(kind bundler.Kind) bool {
 	fleet := scheduler.routers.Load().fleets[kind.Service()]
-	return fleet == nil || fleet.placer.Possible(kind.Size())
+	return fleet == nil || fleet.placer.FitsAnyWorker(kind.Resources())
 }
 
 // admit asks the limiter for the job; the refusal is nil if the job waits for its grants.
@@ -191,7 +191,7 @@
 	case limiter.Refused:
 		scheduler.mu.Unlock()
 		return nil, &verdict
-	case limiter.Run:
+	case limiter.Runnable:
 		admitted.ticket = verdict.Ticket()
 	case limiter.Queued:
 		admitted.ticket = verdict.Ticket()
@@ -261,7 +261,7 @@
 }
 
 // release ends one granted task.
-func (scheduler *scheduler) release(granted granted, result router.Result, size placer.Ending) {
+func (scheduler *scheduler) release(granted granted, result router.Result, size placer.Result) {
 	now := time.Now()
 	endPlace(granted.place, result, size, now)
 	scheduler.limiter.Release(granted.grant, now)
@@ -269,7 +269,7 @@
 
 // giveBack ends a grant whose task was not started.
 func (scheduler *scheduler) giveBack(unused granted) {
-	scheduler.release(unused, router.Unused{}, placer.Unstarted{})
+	scheduler.release(unused, router.Unused{}, placer.NotStarted{})
 }
 
 // leave takes the job out: what was not granted is dropped, and grants that were not used are given back.
--- a/server/server.go
+++ b/server/server.go
@@ -166,7 +166,7 @@
 
 func (server *Server) domain() string { return server.settings.Text("failure-domain") }
 
-func (server *Server) keyPrefix() string { return server.keeper.Prefix(time.Now()) }
+func (server *Server) keyPrefix() string { return server.keeper.KeyPrefix(time.Now()) }
 
 // anonymousKey returns a key for a job that came without one.
 func (server *Server) anonymousKey() string {
--- a/server/status.go
+++ b/server/status.go
@@ -43,7 +43,7 @@
 		Members:       memberNames(view.Members),
 		Departing:     memberNames(view.Departing),
 		Synced:        server.keeper.Synced(),
-		Records:       server.keeper.Records(),
+		Records:       server.keeper.RecordCount(),
 	}
 	if bundle := server.bundle.Load(); bundle != nil {
 		status.BundleVersion = bundle.Version()
--- a/server/submit.go
+++ b/server/submit.go
@@ -210,7 +210,7 @@
 		return answer(decision.Outcome)
 	case keeper.AnswerLost:
 		return answer(lostAnswer(request.job, decision.Fate))
-	case keeper.NotYet:
+	case keeper.RetryLater:
 		return false, func() dispatcher.Outcome { return request.pause(ctx, decision.Outcome) }
 	case keeper.Forward:
 		return false, func() dispatcher.Outcome { return server.forward(ctx, request, decision.To) }
@@ -257,7 +257,7 @@
 		return dispatcher.NewUnknown("no decision was reached by the deadline")
 	}
 	switch event := event.(type) {
-	case keeper.AttemptLost:
+	case keeper.AttemptFailed:
 		if event.Resubmit {
 			return nil
 		}
@@ -268,7 +268,7 @@
 		return event.Outcome
 	case keeper.CancelConfirmed:
 		return cancelled()
-	case keeper.AnswerFound:
+	case keeper.RefusalSuperseded:
 		return event.Outcome
 	case keeper.OutcomeKnown:
 		return event.Outcome
@@ -306,7 +306,7 @@
 // lostAnswer returns the answer to a job that started and whose answer nobody has.
 func lostAnswer(job dispatcher.Job, fate dispatcher.Fate) dispatcher.Outcome {
 	detail := "started, outcome unknown"
-	if fate == dispatcher.Finished {
+	if fate == dispatcher.FateFinished {
 		detail = "answer lost"
 	}
 	fates := make([]dispatcher.TaskFate, len(job.Tasks()))
--- a/server/views.go
+++ b/server/views.go
@@ -60,7 +60,7 @@
 			continue
 		}
 		if !opened || page.Earliest > next {
-			views.decider.keeper.OpenLog(page.Earliest)
+			views.decider.keeper.SetEarliestOffset(page.Earliest)
 			next, opened = max(next, page.Earliest), true
 		}
 		for _, record := range page.Records {
--- a/starter/starter.go
+++ b/starter/starter.go
@@ -39,15 +39,15 @@
 	leaving bool
 }
 
-// Rejected means that the target ran the task and reported an error.
-type Rejected struct{ detail string }
+// TaskFailed means that the target ran the task and reported an error.
+type TaskFailed struct{ detail string }
 
 // Lost means that the task may have started and no result arrived.
 type Lost struct{ detail string }
 
 func (Success) isResult()    {}
 func (NotStarted) isResult() {}
-func (Rejected) isResult()   {}
+func (TaskFailed) isResult() {}
 func (Lost) isResult()       {}
 
 // NewSuccess returns a success with result, a JSON value.
@@ -58,8 +58,8 @@
 	return NotStarted{detail: detail, leaving: leaving}
 }
 
-// NewRejected returns an error that the target reported.
-func NewRejected(detail string) Rejected { return Rejected{detail: detail} }
+// NewTaskFailed returns an error that the target reported.
+func NewTaskFailed(detail string) TaskFailed { return TaskFailed{detail: detail} }
 
 // NewLost returns a start without a known result.
 func NewLost(detail string) Lost { return Lost{detail: detail} }
@@ -74,7 +74,7 @@
 func (notStarted NotStarted) Leaving() bool { return notStarted.leaving }
 
 // Detail returns the target's error.
-func (rejected Rejected) Detail() string { return rejected.detail }
+func (taskFailed TaskFailed) Detail() string { return taskFailed.detail }
 
 // Detail returns how the connection failed.
 func (lost Lost) Detail() string { return lost.detail }
@@ -176,13 +176,13 @@
 	case response.StatusCode == http.StatusTooManyRequests:
 		return NotStarted{detail: response.Status}, whole
 	case response.StatusCode != http.StatusOK:
-		return Rejected{detail: response.Status}, whole
+		return TaskFailed{detail: response.Status}, whole
 	case err != nil:
 		return Lost{detail: err.Error()}, false
 	case !whole:
-		return Rejected{detail: fmt.Sprintf("result has more than %d bytes", maxResultBytes)}, false
+		return TaskFailed{detail: fmt.Sprintf("result has more than %d bytes", maxResultBytes)}, false
 	case !json.Valid(body):
-		return Rejected{detail: "result is not valid JSON"}, true
+		return TaskFailed{detail: "result is not valid JSON"}, true
 	}
 	return Success{result: body}, true
 }
--- a/supervisor/supervisor.go
+++ b/supervisor/supervisor.go
@@ -111,9 +111,9 @@
 	hello := linker.Hello{Domain: settings.Domain, Name: settings.Name, Incarnation: uuid.NewString(), Address: settings.PeerAddress, Weight: settings.ProcessorShare}
 	jobExecutor := executor.New(hello, platform.NewTargetClient(clocker.Now), clocker.Now, logger)
 	limits := linker.DefaultLimits()
-	limits.RemoteLinks, limits.IdleLimit, limits.SilenceLimit = maxRemoteLinks, 0, linkTimeout
+	limits.MaxRemoteLinks, limits.IdleTimeout, limits.IOTimeout = maxRemoteLinks, 0, linkTimeout
 	links := linker.New(hello, limits, logger, jobExecutor.Peers().Receive)
-	jobExecutor.Peers().Use(links)
+	jobExecutor.Peers().SetLinks(links)
 	supervisor := &Supervisor{
 		settings:    settings,
 		logWriter:   logWriter,
--- a/watcher/bench_test.go
+++ b/watcher/bench_test.go
@@ -41,7 +41,7 @@
 					}
 					bytes = len(data)
 					for _, peer := range members[1:] {
-						watcher.Hear(Heartbeat{From: peer, View: 1, Suspects: incarnations}, now)
+						watcher.ReceiveHeartbeat(Heartbeat{From: peer, View: 1, Suspects: incarnations}, now)
 					}
 					watcher.Propose(now)
 				}
--- a/watcher/member.go
+++ b/watcher/member.go
@@ -12,8 +12,8 @@
 	Address     string      `json:"address"`
 }
 
-// Listed is one entry of the platform's instance list.
-type Listed struct {
+// ListedInstance is one entry of the platform's instance list.
+type ListedInstance struct {
 	Member
 	// Leaving is set if the platform has begun to stop the instance.
 	Leaving bool
@@ -60,8 +60,8 @@
 const (
 	// HeartbeatInterval is the time between two heartbeats of one sender.
 	HeartbeatInterval = time.Second
-	// SuspicionPeriod is the silence after which a peer is suspected: two heartbeats may be lost.
-	SuspicionPeriod = 3 * HeartbeatInterval
+	// SuspicionTimeout is the silence after which a peer is suspected: two heartbeats may be lost.
+	SuspicionTimeout = 3 * HeartbeatInterval
 	// aloneSuspicionPeriods is how much longer an instance waits that hears nobody: more often than not it is the one
 	// that is cut off.
 	aloneSuspicionPeriods = 3
--- a/watcher/propose.go
+++ b/watcher/propose.go
@@ -95,7 +95,7 @@
 
 // planFirst waits for the list and one suspicion period, so that the first view holds everybody who is there.
 func (watcher *Watcher) planFirst(now time.Time) Proposal {
-	if !watcher.listRead || watcher.leaving || now.Sub(watcher.started) < SuspicionPeriod {
+	if !watcher.listRead || watcher.leaving || now.Sub(watcher.started) < SuspicionTimeout {
 		return Proposal{}
 	}
 	return Proposal{Previous: NoView, Add: sorted(append(watcher.additions(now), watcher.self))}
@@ -118,7 +118,7 @@
 		if member || !peer.listed || peer.leaving || peer.excluded || peer.heard.IsZero() || peer.suspected(now) {
 			continue
 		}
-		if now.Sub(peer.since) < SuspicionPeriod {
+		if now.Sub(peer.since) < SuspicionTimeout {
 			// The other members need this long to notice that they cannot hear it.
 			continue
 		}
@@ -169,7 +169,7 @@
 func (watcher *Watcher) confirmed(suspect *peer, now time.Time) bool {
 	votes, voters := watcher.votes(suspect.member.Incarnation, now)
 	if voters == 0 {
-		alone := aloneSuspicionPeriods * SuspicionPeriod
+		alone := aloneSuspicionPeriods * SuspicionTimeout
 		return suspect.silentFor(now) >= alone || !suspect.syncSilent.IsZero() && now.Sub(suspect.syncSilent) >= alone
 	}
 	return 2*votes > voters
--- a/watcher/watcher.go
+++ b/watcher/watcher.go
@@ -32,7 +32,7 @@
 }
 
 func (peer *peer) suspected(now time.Time) bool {
-	return !peer.syncSilent.IsZero() || peer.silentFor(now) >= SuspicionPeriod
+	return !peer.syncSilent.IsZero() || peer.silentFor(now) >= SuspicionTimeout
 }
 
 // Watcher follows one failure domain from the point of view of one instance.
@@ -65,9 +65,9 @@
 	watcher.leaving = true
 }
 
-// SetList takes the platform's list of the failure domain. The list lags, so that it neither clears nor raises a
+// SetInstanceList takes the platform's list of the failure domain. The list lags, so that it neither clears nor raises a
 // suspicion.
-func (watcher *Watcher) SetList(list []Listed, now time.Time) {
+func (watcher *Watcher) SetInstanceList(list []ListedInstance, now time.Time) {
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
 	watcher.listRead = true
@@ -111,8 +111,8 @@
 	watcher.wantedSince, watcher.proposedAt = time.Time{}, time.Time{}
 }
 
-// Hear takes a heartbeat that arrived at now.
-func (watcher *Watcher) Hear(heartbeat Heartbeat, now time.Time) {
+// ReceiveHeartbeat takes a heartbeat that arrived at now.
+func (watcher *Watcher) ReceiveHeartbeat(heartbeat Heartbeat, now time.Time) {
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
 	if heartbeat.From.Incarnation == watcher.self.Incarnation {
@@ -208,7 +208,7 @@
 // forget drops the incarnations that are gone: neither member, nor listed, nor heard.
 func (watcher *Watcher) forget(now time.Time) {
 	maps.DeleteFunc(watcher.peers, func(incarnation Incarnation, peer *peer) bool {
-		memory := SuspicionPeriod
+		memory := SuspicionTimeout
 		if peer.excluded {
 			memory = excludedMemory
 		}
--- a/watcher/watcher_test.go
+++ b/watcher/watcher_test.go
@@ -153,23 +153,23 @@
 	a, b, c := Member{Name: "a", Incarnation: "a-0"}, Member{Name: "b", Incarnation: "b-0"}, Member{Name: "c", Incarnation: "c-0"}
 	watcher := New(a, now)
 	watcher.SetView(View{Number: 7, Members: []Member{a, b, c}}, now)
-	is.Equal(watcher.Suspects(now.Add(SuspicionPeriod-1)), nil)
-	now = now.Add(SuspicionPeriod)
+	is.Equal(watcher.Suspects(now.Add(SuspicionTimeout-1)), nil)
+	now = now.Add(SuspicionTimeout)
 	is.Equal(watcher.Suspects(now), []Incarnation{"b-0", "c-0"})
-	watcher.Hear(Heartbeat{From: b, Suspects: []Incarnation{"c-0"}}, now)
+	watcher.ReceiveHeartbeat(Heartbeat{From: b, Suspects: []Incarnation{"c-0"}}, now)
 	is.Equal(watcher.Suspects(now), []Incarnation{"c-0"}) // the next heartbeat revokes a suspicion
 	watcher.SetSyncAnswered("b-0", false, now)
-	watcher.Hear(Heartbeat{From: b}, now)
+	watcher.ReceiveHeartbeat(Heartbeat{From: b}, now)
 	is.Equal(watcher.Suspects(now), []Incarnation{"b-0", "c-0"}) // a heartbeat does not stand for an answer
 	watcher.SetSyncAnswered("b-0", true, now)
 	is.Equal(watcher.Suspects(now), []Incarnation{"c-0"})
 	watcher.SetView(View{Number: 9, Members: []Member{a, b}}, now)
 	watcher.SetView(View{Number: 8, Members: []Member{a, b, c}}, now) // an older view changes nothing
-	watcher.SetList([]Listed{{Member: a}, {Member: b}, {Member: c}}, now)
+	watcher.SetInstanceList([]ListedInstance{{Member: a}, {Member: b}, {Member: c}}, now)
 	for range 30 {
 		now = now.Add(HeartbeatInterval)
-		watcher.Hear(Heartbeat{From: b}, now)
-		watcher.Hear(Heartbeat{From: c}, now)
+		watcher.ReceiveHeartbeat(Heartbeat{From: b}, now)
+		watcher.ReceiveHeartbeat(Heartbeat{From: c}, now)
 		_, ok := watcher.Propose(now)
 		is.True(!ok) // an excluded incarnation does not come back
 	}
@@ -184,9 +184,9 @@
 	now := time.Unix(1_800_000_000, 0)
 	watcher := New(Member{Name: "a", Incarnation: "a-0"}, now)
 	for i := range 2 * maxPeers {
-		watcher.Hear(Heartbeat{From: Member{Incarnation: Incarnation(fmt.Sprint(i))}}, now)
+		watcher.ReceiveHeartbeat(Heartbeat{From: Member{Incarnation: Incarnation(fmt.Sprint(i))}}, now)
 	}
 	is.Equal(len(watcher.peers), maxPeers)
-	watcher.SetList(nil, now.Add(SuspicionPeriod))
+	watcher.SetInstanceList(nil, now.Add(SuspicionTimeout))
 	is.Equal(len(watcher.peers), 0)
 }
--- a/watcher/world_test.go
+++ b/watcher/world_test.go
@@ -11,9 +11,9 @@
 
 // proposer is what the cases run: the watcher, or the naive version that they must expose.
 type proposer interface {
-	SetList([]Listed, time.Time)
+	SetInstanceList([]ListedInstance, time.Time)
 	SetView(View, time.Time)
-	Hear(Heartbeat, time.Time)
+	ReceiveHeartbeat(Heartbeat, time.Time)
 	Heartbeat(time.Time) Heartbeat
 	Propose(time.Time) (Proposal, bool)
 	SetLeaving()
@@ -73,7 +73,7 @@
 	appends   int
 	// wrongful counts the members that a view excluded although they were alive.
 	wrongful int
-	lists    [][]Listed
+	lists    [][]ListedInstance
 	listLag  time.Duration
 	// readDelay is the time from an append to its reading.
 	readDelay time.Duration
@@ -120,11 +120,11 @@
 	world.cut[[2]string{a, b}], world.cut[[2]string{b, a}] = !up, !up
 }
 
-func (world *world) list() []Listed {
-	var list []Listed
+func (world *world) list() []ListedInstance {
+	var list []ListedInstance
 	for _, instance := range world.instances {
 		if instance.alive {
-			list = append(list, Listed{Member: instance.member, Leaving: instance.leaving})
+			list = append(list, ListedInstance{Member: instance.member, Leaving: instance.leaving})
 		}
 	}
 	return list
@@ -155,9 +155,9 @@
 	}
 }
 
-func (world *world) step(instance *instance, list []Listed) {
+func (world *world) step(instance *instance, list []ListedInstance) {
 	if !instance.logCut {
-		instance.watcher.SetList(list, world.now)
+		instance.watcher.SetInstanceList(list, world.now)
 		for instance.read < len(world.views) && !world.now.Before(world.views[instance.read].at.Add(world.readDelay)) {
 			instance.watcher.SetView(world.views[instance.read].view, world.now)
 			instance.read++
@@ -168,7 +168,7 @@
 		heartbeat := instance.watcher.Heartbeat(world.now)
 		for _, peer := range world.instances {
 			if peer.alive && peer != instance && !world.cut[[2]string{instance.member.Name, peer.member.Name}] {
-				peer.watcher.Hear(heartbeat, world.now)
+				peer.watcher.ReceiveHeartbeat(heartbeat, world.now)
 			}
 		}
 	}
