--- a/executor/delegation.go
+++ b/executor/delegation.go
@@ -109,7 +109,7 @@
 		outcome, err := linker.DecodeOutcome(response.(linker.DelegationAnswer).Outcome, executor.now())
 		if err != nil {
 			executor.logger.Error("cannot decode the delegate's answer", "job", job.ID, "delegate", to, "error", eris.ToString(err, false))
-			outcome = dispatcher.NewUnknown("the answer of the instance that ran the job cannot be decoded")
+			outcome = dispatcher.NewUnknown("the answer of the instance that ran the job cannot be read")
 		}
 		executor.answerDelegated(entry, outcome)
 	})
@@ -133,7 +133,7 @@
 	for id, entry := range executor.delegated {
 		if entry.delegate == delegate {
 			executor.abandonDelegated(id, "the delegate cannot be reached")
-			executor.answerDelegated(entry, dispatcher.NewUnknown("the instance that ran the job cannot be reached"))
+			executor.answerDelegated(entry, dispatcher.NewUnknown("the instance that ran the job is not heard of"))
 		}
 	}
 }
@@ -196,7 +196,7 @@
 		outcome := executor.await(ctx, job.ID, answer)
 		if outcome == nil {
 			// If the origin was only paused, its caller still waits.
-			outcome = dispatcher.NewUnknown("the job was abandoned because its instance could not be reached")
+			outcome = dispatcher.NewUnknown("the job was given up since its instance was not heard of")
 		}
 		executor.mu.Lock()
 		if ctx.Err() == nil {
--- a/scheduler/admit.go
+++ b/scheduler/admit.go
@@ -22,20 +22,20 @@
 	}
 	for number := range job.Steps {
 		if !scheduler.feasible(job.Service, &job.Steps[number]) {
-			refused := dispatcher.NewRefused(dispatcher.ReasonImpossible, "no target has the capacity or the label that a task requires", "", time.Time{})
+			refused := dispatcher.NewRefused(dispatcher.ReasonImpossible, "no target is large enough for a task or has its label", "", time.Time{})
 			return refused, false
 		}
 	}
 	rate := scheduler.releaseRateOf(job.Service, now)
 	needed := time.Duration(float64(job.remainingCriticalPath()) / rate.bestSpeed)
 	if now.Add(needed).After(job.Deadline) {
-		return scheduler.refusal(job, dispatcher.ReasonDeadline, "the job cannot finish before its deadline", now), false
+		return scheduler.refusal(job, dispatcher.ReasonDeadline, "the job takes longer than its caller waits", now), false
 	}
 	job.load = scheduler.load(job, rate, now)
 	job.load.MaxWait = scheduler.maxWait(job, rate)
 	job.startDeadline = now.Add(job.load.MaxWait)
 	if job.load.ExpectedWait > job.load.MaxWait {
-		return scheduler.refusal(job, dispatcher.ReasonOverload, "the job would wait too long for its objective", now), false
+		return scheduler.refusal(job, dispatcher.ReasonOverload, "the job would wait longer than it has time", now), false
 	}
 	return dispatcher.Refused{}, true
 }
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -97,7 +97,7 @@
 	case StartImpossible:
 		task.avoid(task.runTarget)
 		if len(task.avoided) >= task.job.MaxFailures {
-			scheduler.finish(task.job, dispatcher.NewFailed("targets rejected the task as invalid", nil), "task is invalid", now)
+			scheduler.finish(task.job, dispatcher.NewFailed("targets hold the task to be wrong", nil), "task is invalid", now)
 			return
 		}
 	case StartStale, StartRefused, StartUnsent:
@@ -113,7 +113,7 @@
 	if now.Before(job.startDeadline) || !job.neverStarted() {
 		return false
 	}
-	scheduler.abort(job, dispatcher.ReasonOverload, "no capacity became free in time", now)
+	scheduler.abort(job, dispatcher.ReasonOverload, "no room in time", now)
 	return true
 }
 
@@ -146,7 +146,7 @@
 func (scheduler *Scheduler) requeueLost(task *task, now time.Time) {
 	task.restarts++
 	if task.restarts > maxRestarts {
-		scheduler.finish(task.job, dispatcher.NewUnknown("the runs of a task were lost or stopped too often"), "runs of a task were lost or stopped too often", now)
+		scheduler.finish(task.job, dispatcher.NewUnknown("a task was lost too often"), "runs of a task were lost or stopped too often", now)
 		return
 	}
 	scheduler.enqueue(task)
@@ -231,7 +231,7 @@
 	task.failures++
 	task.avoid(task.runTarget)
 	if task.failures >= task.job.MaxFailures {
-		scheduler.finish(task.job, dispatcher.NewFailed("a task reached the failure limit of its route", nil), "a task failed too often", now)
+		scheduler.finish(task.job, dispatcher.NewFailed("a task has failed as often as its route allows", nil), "a task failed too often", now)
 		return
 	}
 	scheduler.enqueue(task)
--- a/scheduler/tick.go
+++ b/scheduler/tick.go
@@ -86,7 +86,7 @@
 		case waiting, uncertain:
 			minRunTime := time.Duration(float64(task.spec().Estimate) / rate.bestSpeed)
 			if now.Add(minRunTime).After(job.Deadline) {
-				scheduler.abort(job, dispatcher.ReasonDeadline, "too little time is left to run a task", now)
+				scheduler.abort(job, dispatcher.ReasonDeadline, "too little time is left for a task", now)
 				return
 			}
 			if task.state == uncertain && !now.Before(task.notBefore) && !now.Before(task.runTarget.leaseEnd) && !now.Before(scheduler.lossDetectionFrom) {
