--- a/commander/serve.go
+++ b/commander/serve.go
@@ -23,11 +23,12 @@
 	return hclog.New(&hclog.LoggerOptions{Name: "hyssoplift", JSONFormat: true, Output: writer, Level: hclog.Info})
 }
 
-// newServe describes the subcommand in the usage; Run calls serve itself.
+// newServe returns the entry of the subcommand in the usage text. Run calls serve directly.
 func newServe() *ffcli.Command {
 	return &ffcli.Command{Name: "serve", ShortHelp: "run an entry instance (serve --help lists the settings)"}
 }
 
+// serve runs an entry instance until ctx is done, its peers exclude it or its listener fails.
 func serve(ctx context.Context, args []string, stderr io.Writer) error {
 	settings, err := configurer.Read(args, stderr)
 	if errors.Is(err, flag.ErrHelp) {
@@ -47,8 +48,8 @@
 	select {
 	case <-ctx.Done():
 	case <-server.Excluded():
-		cause = eris.New("a view has left this instance out")
-		logger.Error("a view has left this instance out; it stops, and the platform starts another")
+		cause = eris.New("excluded from the view by the other instances")
+		logger.Error("excluded from the view by the other instances; stopping, the platform starts a new instance")
 	case <-server.Failed():
 		cause = eris.New("the listener failed")
 	}
@@ -56,7 +57,7 @@
 	logger.Info("instance stopping")
 	stopCtx, cancel := context.WithDeadline(context.Background(), settings.Deadline("stop-timeout", now))
 	defer cancel()
-	// A second signal ends the wait for what is in flight.
+	// A second signal ends the wait for the jobs in flight.
 	stopCtx, release := signal.NotifyContext(stopCtx, os.Interrupt, syscall.SIGTERM)
 	defer release()
 	if err := server.Shutdown(stopCtx, settings.Deadline("balancer-wait", now)); err != nil {
