--- a/commander/batch.go
+++ b/commander/batch.go
@@ -19,67 +19,68 @@
 )
 
 const (
-	// maxLineBytes bounds one job of a file.
+	// maxLineBytes is the maximum size of a line in a file of jobs, which holds one job.
 	maxLineBytes = 64 << 20
 	maxParallel  = 1024
-	// progressInterval spaces the updates of the progress line.
+	// progressInterval is the time between updates of the progress line.
 	progressInterval = 200 * time.Millisecond
 )
 
-// batch is a file of jobs to submit.
-type batch struct {
+// batchOptions are the flags of a submission of all jobs in a file.
+type batchOptions struct {
 	address  string
 	file     string
-	parallel int
+	parallel int // concurrent submissions
 	asJSON   bool
 }
 
-// numberedLine is one line of the file.
+// numberedLine is one line of the file with its line number.
 type numberedLine struct {
 	number int
 	text   []byte
 }
 
-// lineAnswer is the printed answer to one line of the file.
+// lineAnswer is the answer to the job on one line of the file, as printed with --json.
 type lineAnswer struct {
 	Line int `json:"line"`
 	encoder.Answer
 }
 
-// tally counts answers and prints them.
+// tally counts and prints the answers to the jobs of a file.
 type tally struct {
 	stdout io.Writer
 	asJSON bool
 	start  time.Time
 
 	mu       sync.Mutex
-	read     int
+	answered int
 	complete int
 	failed   int
 	refused  int
 	unknown  int
-	lost     int
+	// unanswered counts the submissions that returned an error; they are included in unknown.
+	unanswered int
 }
 
-// submitFile submits every job of the file and returns an error unless all are complete.
-func submitFile(ctx context.Context, batch batch, stdin io.Reader, stdout, stderr io.Writer) error {
-	if batch.parallel < 1 || batch.parallel > maxParallel {
-		return eris.Errorf("--parallel: got %d, allowed are 1 to %d", batch.parallel, maxParallel)
+// submitFile submits every job of the file and returns an error unless all of them complete.
+func submitFile(ctx context.Context, options batchOptions, stdin io.Reader, stdout, stderr io.Writer) error {
+	if options.parallel < 1 || options.parallel > maxParallel {
+		return eris.Errorf("--parallel: got %d, want 1 to %d", options.parallel, maxParallel)
 	}
 	source := stdin
-	if batch.file != "-" {
-		file, err := os.Open(batch.file)
+	if options.file != "-" {
+		file, err := os.Open(options.file)
 		if err != nil {
 			return eris.Wrap(err, "opening the file of jobs")
 		}
 		defer file.Close()
 		source = file
 	}
-	tally := &tally{stdout: stdout, asJSON: batch.asJSON, start: time.Now()}
-	client := submitter.New(batch.address)
+	tally := &tally{stdout: stdout, asJSON: options.asJSON, start: time.Now()}
+	client := submitter.New(options.address)
 	lines := make(chan numberedLine)
 	var group sync.WaitGroup
-	for range batch.parallel {
+	for range options.parallel {
 		group.Go(func() {
 			for line := range lines {
 				tally.submit(ctx, client, line)
@@ -95,12 +96,13 @@
 	if err != nil {
 		return err
 	}
-	if tally.complete != tally.read {
-		return eris.Errorf("%d of %d jobs are not complete", tally.read-tally.complete, tally.read)
+	if tally.complete != tally.answered {
+		return eris.Errorf("%d of %d jobs are not complete", tally.answered-tally.complete, tally.answered)
 	}
 	return nil
 }
 
+// readLines sends the non-empty lines of source to lines until its end or until ctx is done.
 func readLines(ctx context.Context, source io.Reader, lines chan<- numberedLine) error {
 	scanner := bufio.NewScanner(source)
 	scanner.Buffer(make([]byte, 64<<10), maxLineBytes)
@@ -118,10 +120,11 @@
 	return eris.Wrap(scanner.Err(), "reading the file of jobs")
 }
 
+// submit submits the job on one line and records its answer; a line that cannot be decoded counts as refused.
 func (tally *tally) submit(ctx context.Context, client *submitter.Submitter, line numberedLine) {
-	job, fault := encoder.DecodeJobLine(line.text, time.Now())
-	if fault != nil {
-		refused := dispatcher.NewRefused(dispatcher.ReasonInvalid, fault.Error(), fault.Field(), time.Time{})
+	job, fieldError := encoder.DecodeJobLine(line.text, time.Now())
+	if fieldError != nil {
+		refused := dispatcher.NewRefused(dispatcher.ReasonInvalid, fieldError.Error(), fieldError.Field(), time.Time{})
 		tally.add(line.number, "", refused, nil)
 		return
 	}
@@ -129,7 +132,8 @@
 	tally.add(line.number, key, outcome, err)
 }
 
-// add counts and prints one answer; in the plain form complete ones are only counted.
+// add counts one answer and prints it. Without --json, complete answers are counted but not printed. An err means that
+// the outcome is unknown.
 func (tally *tally) add(line int, key string, outcome dispatcher.Outcome, err error) {
 	if err != nil {
 		outcome = dispatcher.NewUnknown(err.Error())
@@ -137,7 +141,7 @@
 	answer := encoder.NewAnswer(key, outcome)
 	tally.mu.Lock()
 	defer tally.mu.Unlock()
-	tally.read++
+	tally.answered++
 	switch outcome.(type) {
 	case dispatcher.Complete:
 		tally.complete++
@@ -149,11 +153,12 @@
 		tally.unknown++
 	}
 	if err != nil {
-		tally.lost++
+		tally.unanswered++
 	}
 	switch {
 	case tally.asJSON:
-		// The answer was decoded from JSON, so encoding it cannot fail; a failed write ends with the process.
+		// Encoding cannot fail, because the answer was decoded from JSON. A write error is ignored: writing to a closed
+		// pipe on standard output ends the process.
 		_ = json.NewEncoder(tally.stdout).Encode(lineAnswer{Line: line, Answer: answer})
 	case answer.Outcome != "complete" && key == "":
 		fmt.Fprintf(tally.stdout, "line %d: %s: %s\n", line, answer.Outcome, answer.Detail)
@@ -162,15 +167,16 @@
 	}
 }
 
-// String returns the counts so far on one line.
+// String formats the current counts as one line.
 func (tally *tally) String() string {
 	tally.mu.Lock()
 	defer tally.mu.Unlock()
 	return fmt.Sprintf("%d jobs answered in %.1f s: %d complete, %d failed, %d refused, %d unknown (%d without an answer)",
-		tally.read, time.Since(tally.start).Seconds(), tally.complete, tally.failed, tally.refused, tally.unknown, tally.lost)
+		tally.answered, time.Since(tally.start).Seconds(), tally.complete, tally.failed, tally.refused, tally.unknown, tally.unanswered)
 }
 
-// showProgress rewrites one line on a terminal until the returned function is called.
+// showProgress keeps a progress line up to date, if stderr is a terminal, until the returned function is called. That
+// function clears the line.
 func (tally *tally) showProgress(stderr io.Writer) func() {
 	if !isTerminal(stderr) {
 		return func() {}
--- a/commander/bundle.go
+++ b/commander/bundle.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	// signatureSuffix is added to the name of a bundle file for the file with its signatures.
+	// signatureSuffix is appended to the name of a bundle file to name the file with its signatures.
 	signatureSuffix = ".sig"
 	pemPrivateKey   = "PRIVATE KEY"
 	publishTimeout  = 30 * time.Second
 )
 
-// bundleFlags are the flags that the bundle subcommands share; each uses some of them.
+// bundleFlags holds the flags of all bundle subcommands; each subcommand defines only those that it uses.
 type bundleFlags struct {
 	set     *flag.FlagSet
 	stdout  io.Writer
@@ -39,24 +39,24 @@
 	timeout time.Duration
 }
 
-// bundleVerb is one subcommand of hyssoplift bundle.
-type bundleVerb struct {
+// bundleSubcommand describes one subcommand of hyssoplift bundle.
+type bundleSubcommand struct {
 	name, arguments, help string
-	flags                 []string
-	count                 int
+	flags                 []string // names of the flags that it takes
+	fileCount             int
 	exec                  func(flags *bundleFlags, ctx context.Context, files []string) error
 }
 
 func newBundle(stdout, stderr io.Writer) *ffcli.Command {
-	verbs := []bundleVerb{
-		{"lint", "FILE", "find what would break; with --log, against the bundle in force", []string{"log", "bundle-keys"}, 1, (*bundleFlags).lint},
+	subcommands := []bundleSubcommand{
+		{"lint", "FILE", "check FILE for errors and warnings; with --log, also against the bundle in force", []string{"log", "bundle-keys"}, 1, (*bundleFlags).lint},
 		{"diff", "OLD NEW", "print the changes between two bundle files", nil, 2, (*bundleFlags).diff},
 		{"keygen", "FILE", "write a private key to FILE and print its public key", []string{"name"}, 1, (*bundleFlags).keygen},
 		{"sign", "FILE", "sign FILE as its author", []string{"name", "key"}, 1, (*bundleFlags).sign},
 		{"approve", "FILE", "sign FILE as its approver", []string{"name", "key", "bundle-keys"}, 1, (*bundleFlags).approve},
-		{"publish", "FILE", "put FILE in force", []string{"log", "bundle-keys", "timeout"}, 1, (*bundleFlags).publish},
+		{"publish", "FILE", "publish FILE and wait until it or another bundle is in force", []string{"log", "bundle-keys", "timeout"}, 1, (*bundleFlags).publish},
 		{"status", "", "print the bundle in force", []string{"log", "bundle-keys", "part"}, 0, (*bundleFlags).status},
-		{"history", "", "print every bundle record that the log holds", []string{"log", "bundle-keys", "part"}, 0, (*bundleFlags).history},
+		{"history", "", "print every bundle record in the log", []string{"log", "bundle-keys", "part"}, 0, (*bundleFlags).history},
 	}
 	command := &ffcli.Command{
 		Name:       "bundle",
@@ -66,47 +66,47 @@
 		Exec:       func(context.Context, []string) error { return flag.ErrHelp },
 	}
 	command.FlagSet.SetOutput(stderr)
-	for _, verb := range verbs {
-		command.Subcommands = append(command.Subcommands, verb.command(stdout, stderr))
+	for _, subcommand := range subcommands {
+		command.Subcommands = append(command.Subcommands, subcommand.command(stdout, stderr))
 	}
 	return command
 }
 
-func (verb bundleVerb) command(stdout, stderr io.Writer) *ffcli.Command {
-	flags := &bundleFlags{set: flag.NewFlagSet(verb.name, flag.ContinueOnError), stdout: stdout}
+func (subcommand bundleSubcommand) command(stdout, stderr io.Writer) *ffcli.Command {
+	flags := &bundleFlags{set: flag.NewFlagSet(subcommand.name, flag.ContinueOnError), stdout: stdout}
 	flags.set.SetOutput(stderr)
-	for _, name := range verb.flags {
-		flags.define(name)
+	for _, name := range subcommand.flags {
+		flags.defineFlag(name)
 	}
 	return &ffcli.Command{
-		Name:       verb.name,
-		ShortUsage: "hyssoplift bundle " + verb.name + " [flags] " + verb.arguments,
-		ShortHelp:  verb.help,
+		Name:       subcommand.name,
+		ShortUsage: "hyssoplift bundle " + subcommand.name + " [flags] " + subcommand.arguments,
+		ShortHelp:  subcommand.help,
 		FlagSet:    flags.set,
 		Options:    []ff.Option{ff.WithEnvVarPrefix("HYSSOPLIFT")},
 		Exec: func(ctx context.Context, files []string) error {
-			if len(files) != verb.count {
-				return eris.Errorf("bundle %s: got %d files, expected %d: %s", verb.name, len(files), verb.count, verb.arguments)
+			if len(files) != subcommand.fileCount {
+				return eris.Errorf("bundle %s: got %d files, want %d: %s", subcommand.name, len(files), subcommand.fileCount, subcommand.arguments)
 			}
-			return verb.exec(flags, ctx, files)
+			return subcommand.exec(flags, ctx, files)
 		},
 	}
 }
 
-func (flags *bundleFlags) define(name string) {
+func (flags *bundleFlags) defineFlag(name string) {
 	switch name {
 	case "log":
 		flags.set.StringVar(&flags.log, name, "", "address of the platform's log service, host:port")
 	case "bundle-keys":
-		flags.set.StringVar(&flags.keys, name, "", "the instances' setting bundle-keys, NAME:KEY,NAME:KEY")
+		flags.set.StringVar(&flags.keys, name, "", "value of the instances' setting bundle-keys, NAME:KEY,NAME:KEY")
 	case "name":
-		flags.set.StringVar(&flags.name, name, "", "name of the operator in bundle-keys")
+		flags.set.StringVar(&flags.name, name, "", "operator's name in bundle-keys")
 	case "key":
 		flags.set.StringVar(&flags.key, name, "", "file with the operator's private key")
 	case "part":
-		flags.set.StringVar(&flags.part, name, "", "split failure domain whose part is meant; the common part if not given")
+		flags.set.StringVar(&flags.part, name, "", "split failure domain whose part to read; empty means the common part")
 	case "timeout":
-		flags.set.DurationVar(&flags.timeout, name, publishTimeout, "time within which the outcome is due")
+		flags.set.DurationVar(&flags.timeout, name, publishTimeout, "time limit for the outcome")
 	}
 }
 
@@ -123,13 +123,13 @@
 	if err != nil {
 		return err
 	}
-	broken := false
+	hasErrors := false
 	for _, finding := range findings {
 		fmt.Fprintln(flags.stdout, finding)
-		broken = broken || finding.Severity() == bundler.SeverityError
+		hasErrors = hasErrors || finding.Severity() == bundler.SeverityError
 	}
-	if broken {
-		return eris.New("the bundle would break")
+	if hasErrors {
+		return eris.New("lint found errors in the bundle")
 	}
 	return nil
 }
@@ -153,7 +153,7 @@
 
 func (flags *bundleFlags) keygen(_ context.Context, files []string) error {
 	if flags.name == "" {
-		return eris.New("--name is missing")
+		return eris.New("--name is required")
 	}
 	public, private, err := ed25519.GenerateKey(nil)
 	if err != nil {
@@ -163,7 +163,7 @@
 	if err != nil {
 		return eris.Wrap(err, "encoding the key")
 	}
-	// An existing key is never overwritten: it may be the only copy.
+	// An existing key file is never overwritten, because it may be the only copy of the key.
 	file, err := os.OpenFile(files[0], os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return eris.Wrap(err, "creating the key file")
@@ -178,9 +178,10 @@
 	return nil
 }
 
+// signer returns a signer with the name and the private key that the flags give.
 func (flags *bundleFlags) signer() (bundler.Signer, error) {
 	if flags.name == "" || flags.key == "" {
-		return bundler.Signer{}, eris.New("--name and --key are needed")
+		return bundler.Signer{}, eris.New("--name and --key are required")
 	}
 	text, err := os.ReadFile(flags.key)
 	if err != nil {
@@ -188,7 +189,7 @@
 	}
 	block, _ := pem.Decode(text)
 	if block == nil || block.Type != pemPrivateKey {
-		return bundler.Signer{}, eris.Errorf("%s holds no private key", flags.key)
+		return bundler.Signer{}, eris.Errorf("%s is not a PEM file with a PKCS #8 private key", flags.key)
 	}
 	decoded, err := x509.ParsePKCS8PrivateKey(block.Bytes)
 	if err != nil {
@@ -196,14 +197,14 @@
 	}
 	key, ok := decoded.(ed25519.PrivateKey)
 	if !ok {
-		return bundler.Signer{}, eris.Errorf("%s holds no ed25519 key", flags.key)
+		return bundler.Signer{}, eris.Errorf("the key in %s is not an Ed25519 key", flags.key)
 	}
 	return bundler.NewSigner(flags.name, key), nil
 }
 
 func (flags *bundleFlags) parseKeys() (bundler.Keys, error) {
 	if flags.keys == "" {
-		return bundler.Keys{}, eris.New("--bundle-keys is missing")
+		return bundler.Keys{}, eris.New("--bundle-keys is required")
 	}
 	keys, err := bundler.ParseKeys(flags.keys)
 	return keys, eris.Wrap(err, "--bundle-keys")
@@ -244,7 +245,7 @@
 	return writeSignatures(files[0], record)
 }
 
-// writeSignatures writes the record without its text, which stays in the bundle file.
+// writeSignatures writes the record beside the bundle file, without the text of the bundle.
 func writeSignatures(file string, record bundler.Record) error {
 	record.Text = ""
 	data, err := record.Encode()
@@ -254,7 +255,7 @@
 	return eris.Wrap(os.WriteFile(file+signatureSuffix, append(data, '\n'), 0o644), "writing the signatures")
 }
 
-// readRecord returns the bundle in file with the signatures beside it.
+// readRecord returns a record with the text of the bundle file and the signatures written beside it.
 func readRecord(file string) (bundler.Record, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -262,14 +263,15 @@
 	}
 	data, err := os.ReadFile(file + signatureSuffix)
 	if err != nil {
-		return bundler.Record{}, eris.Wrap(err, "reading the signatures; sign the bundle first")
+		return bundler.Record{}, eris.Wrap(err, "reading the signatures (sign the bundle first)")
 	}
 	record, err := bundler.DecodeRecord(bytes.TrimSuffix(data, []byte("\n")))
 	record.Text = string(text)
 	return record, err
 }
 
-// findings returns what lint finds, under the bundles in force if a log is given.
+// findings returns the lint findings for bundle. With --log, they include conflicts with the bundles in force: a split
+// failure domain's part is checked against the common part, and the common part against all parts.
 func (flags *bundleFlags) findings(ctx context.Context, bundle *bundler.Bundle) ([]bundler.Finding, error) {
 	if flags.log == "" {
 		return bundler.Lint(bundle, nil), nil
@@ -298,7 +300,7 @@
 	return bundler.LintParts(bundle, inForce, parts), nil
 }
 
-// bundleInForce returns the part that the log proves to be in force, or nil.
+// bundleInForce returns the bundle of part that is in force according to the log, or nil if the log proves none.
 func (flags *bundleFlags) bundleInForce(ctx context.Context, part string) (*bundler.Bundle, error) {
 	bundles, _, err := flags.readLog(ctx, part)
 	if err != nil || bundles.Snapshot() == nil {
@@ -307,10 +309,10 @@
 	return bundles.Snapshot().Bundle(), nil
 }
 
-// readLog returns a bundler that has read to the end of the log, and what became of each record.
+// readLog returns a bundler that has read the stream of part to its end, and an event for each record.
 func (flags *bundleFlags) readLog(ctx context.Context, part string) (*bundler.Bundler, []bundler.Event, error) {
 	if flags.log == "" {
-		return nil, nil, eris.New("--log is missing")
+		return nil, nil, eris.New("--log is required")
 	}
 	keys, err := flags.parseKeys()
 	if err != nil {
--- a/commander/commander.go
+++ b/commander/commander.go
@@ -10,12 +10,12 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// Version is the version of this build.
+// Version is the release version that "hyssoplift version" prints.
 const Version = "0.1.0"
 
-// Run executes the subcommand in args and returns its error as one line.
+// Run executes the subcommand that args name. The text of its error is a single line.
 func Run(ctx context.Context, args []string, stdin io.Reader, stdout, stderr io.Writer) error {
-	// The settings of serve have their own parser, which checks them against the table of settings.
+	// serve parses its own flags: package configurer checks them against its table of settings.
 	if len(args) > 0 && args[0] == "serve" {
 		return serve(ctx, args[1:], stderr)
 	}
--- a/commander/explain.go
+++ b/commander/explain.go
@@ -16,82 +16,83 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxLogLine bounds a line of a log.
-const maxLogLine = 1 << 20
+// maxLogLineBytes is the maximum length of a log line.
+const maxLogLineBytes = 1 << 20
 
-// newExplain returns the subcommand that gathers what the logs tell of one job.
+// newExplain returns the subcommand that prints the log lines of one job.
 func newExplain(stdin io.Reader, stdout io.Writer) *ffcli.Command {
 	return &ffcli.Command{
 		Name:       "explain",
 		ShortUsage: "hyssoplift explain JOB < LOGS",
-		ShortHelp:  "print the log lines of one job, of any number of instances, in the order of time",
+		ShortHelp:  "print the log lines of one job, from any number of instances, in chronological order",
 		FlagSet:    flag.NewFlagSet("hyssoplift explain", flag.ContinueOnError),
 		Exec: func(_ context.Context, args []string) error {
 			if len(args) != 1 || args[0] == "" {
-				return eris.New("name one job")
+				return eris.New("expected one job ID or key")
 			}
 			return explain(args[0], stdin, stdout)
 		},
 	}
 }
 
-// story is a line of the log about a job.
-type story struct {
+// logEntry is a log line about a job.
+type logEntry struct {
 	time   string
-	source string
+	source string // text before the JSON object, such as the name of the instance
 	fields map[string]any
 }
 
-// explain prints the lines of a job: those that name it or one of its tasks. Lines may have a prefix, such as the
-// name of the instance that wrote them.
+// explain prints the log lines whose job or task field names the job or one of its tasks. Text before the JSON object of
+// a line, such as the name of the instance that wrote it, is printed too.
 func explain(job string, logs io.Reader, output io.Writer) error {
-	var stories []story
+	var entries []logEntry
 	scanner := bufio.NewScanner(logs)
-	scanner.Buffer(nil, maxLogLine)
+	scanner.Buffer(nil, maxLogLineBytes)
 	for scanner.Scan() {
-		if told, ok := parseStory(job, scanner.Bytes()); ok {
-			stories = append(stories, told)
+		if entry, ok := parseLogEntry(job, scanner.Bytes()); ok {
+			entries = append(entries, entry)
 		}
 	}
 	if err := scanner.Err(); err != nil {
 		return eris.Wrap(err, "reading the logs")
 	}
-	if len(stories) == 0 {
-		return eris.Errorf("no log line names job %q", job)
+	if len(entries) == 0 {
+		return eris.Errorf("no log lines of job %q found", job)
 	}
-	slices.SortStableFunc(stories, func(a, b story) int { return strings.Compare(a.time, b.time) })
-	for _, told := range stories {
-		if _, err := fmt.Fprintln(output, told.String()); err != nil {
-			return eris.Wrap(err, "writing")
+	slices.SortStableFunc(entries, func(a, b logEntry) int { return strings.Compare(a.time, b.time) })
+	for _, entry := range entries {
+		if _, err := fmt.Fprintln(output, entry.String()); err != nil {
+			return eris.Wrap(err, "writing the log lines")
 		}
 	}
 	return nil
 }
 
-func parseStory(job string, line []byte) (story, bool) {
+// parseLogEntry decodes a line and reports whether it is about the job.
+func parseLogEntry(job string, line []byte) (logEntry, bool) {
 	start := bytes.IndexByte(line, '{')
 	if start < 0 || !bytes.Contains(line, []byte(job)) {
-		return story{}, false
+		return logEntry{}, false
 	}
-	told := story{source: strings.TrimSpace(string(line[:start]))}
-	if json.Unmarshal(line[start:], &told.fields) != nil {
-		return story{}, false
+	entry := logEntry{source: strings.TrimSpace(string(line[:start]))}
+	if json.Unmarshal(line[start:], &entry.fields) != nil {
+		return logEntry{}, false
 	}
-	task, _ := told.fields["task"].(string)
-	if told.fields["job"] != job && !strings.HasPrefix(task, job+".") {
-		return story{}, false
+	task, _ := entry.fields["task"].(string)
+	if entry.fields["job"] != job && !strings.HasPrefix(task, job+".") {
+		return logEntry{}, false
 	}
-	told.time, _ = told.fields["@timestamp"].(string)
-	return told, true
+	entry.time, _ = entry.fields["@timestamp"].(string)
+	return entry, true
 }
 
-// String returns the line as text: time, source, message, then the other fields by name.
-func (told story) String() string {
+// String formats the entry as text: time, source, message, then the other fields sorted by name.
+func (entry logEntry) String() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "%s %s %v", told.time, told.source, told.fields["@message"])
-	for _, name := range slices.Sorted(maps.Keys(told.fields)) {
+	fmt.Fprintf(&text, "%s %s %v", entry.time, entry.source, entry.fields["@message"])
+	for _, name := range slices.Sorted(maps.Keys(entry.fields)) {
 		if !strings.HasPrefix(name, "@") {
-			fmt.Fprintf(&text, " %s=%v", name, told.fields[name])
+			fmt.Fprintf(&text, " %s=%v", name, entry.fields[name])
 		}
 	}
 	return text.String()
--- a/commander/explain_test.go
+++ b/commander/explain_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a story that lacks lines of other instances, is out of order, or takes in lines of other jobs.
+// Guards against output that omits lines of other instances, is out of order, or includes lines of other jobs.
 func TestExplainGathersTheLinesOfAJob(t *testing.T) {
 	is := is.New(t)
 	logs := strings.Join([]string{
@@ -30,7 +30,7 @@
 	is.True(Run(t.Context(), []string{"explain", "j2"}, strings.NewReader(logs), &output, &output) != nil)
 }
 
-// Guards against settings that are found to be wrong only when an instance starts.
+// Guards against invalid settings that settings check accepts, so that only the start of an instance reports them.
 func TestSettingsAreCheckedWithoutAStart(t *testing.T) {
 	const good = `nodeId = "n"
 ip = "127.0.0.1"
@@ -45,20 +45,20 @@
 addr = "127.0.0.1:3"
 `
 	tests := []struct {
-		name  string
-		file  string
-		text  string
-		wrong string
+		name    string
+		file    string
+		text    string
+		wantErr string
 	}{
 		{"good", "a.toml", good, ""},
 		{"unknown fields are ignored", "a.toml", good + "[other]\nfield = 1\n", ""},
 		{"not TOML", "a.toml", "nodeId =", "TOML"},
 		{"missing field", "a.toml", strings.Replace(good, `zone = "a"`, "", 1), "zone is missing"},
 		{"ports in the wrong order", "a.toml", strings.Replace(good, "7000", "7002", 1), "portRange"},
-		{"no grace time", "a.toml", strings.Replace(good, "graceS = 6", "", 1), "graceS"},
+		{"no grace period", "a.toml", strings.Replace(good, "graceS = 6", "", 1), "graceS"},
 		{"another form of store", "a.toml", good + "form = \"tables\"\n", "only log"},
 		{"unknown setting", "a.ini", "no-such-setting = 1\n", "no-such-setting"},
-		{"unknown ending", "a.txt", "", "neither"},
+		{"unknown extension", "a.txt", "", "neither"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -67,12 +67,12 @@
 			is.NoErr(os.WriteFile(path, []byte(test.text), 0o600))
 			var output bytes.Buffer
 			err := Run(t.Context(), []string{"settings", "check", path}, nil, &output, &output)
-			if test.wrong == "" {
+			if test.wantErr == "" {
 				is.NoErr(err)
 				return
 			}
 			is.True(err != nil)
-			is.True(strings.Contains(err.Error(), test.wrong))
+			is.True(strings.Contains(err.Error(), test.wantErr))
 		})
 	}
 }
--- a/commander/platform.go
+++ b/commander/platform.go
@@ -20,7 +20,7 @@
 // newPlatform returns the subcommand that runs an instance on the users' platform.
 func newPlatform(stdout io.Writer) *ffcli.Command {
 	flags := flag.NewFlagSet("hyssoplift platform", flag.ContinueOnError)
-	level := flags.String("log-level", "info", "least level of log lines: debug, info, warn or error")
+	level := flags.String("log-level", "info", "minimum level of log lines: debug, info, warn or error")
 	return &ffcli.Command{
 		Name:       "platform",
 		ShortUsage: "hyssoplift platform [flags]",
@@ -37,13 +37,13 @@
 			if err != nil {
 				return err
 			}
-			lines := recorder.New(stdout)
-			defer lines.Close()
-			logger := hclog.New(&hclog.LoggerOptions{JSONFormat: true, Output: lines, Level: hclog.LevelFromString(*level)})
+			logWriter := recorder.New(stdout)
+			defer logWriter.Close()
+			logger := hclog.New(&hclog.LoggerOptions{JSONFormat: true, Output: logWriter, Level: hclog.LevelFromString(*level)})
 			reload := make(chan os.Signal, 1)
 			signal.Notify(reload, syscall.SIGHUP)
 			defer signal.Stop(reload)
-			return supervisor.Run(ctx, path, reload, lines, logger)
+			return supervisor.Run(ctx, path, reload, logWriter, logger)
 		},
 	}
 }
--- a/commander/publish.go
+++ b/commander/publish.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// publishWait is how long one read waits for the next record.
-	publishWait = time.Second
-	// callTimeout ends a call on a connection that went silent.
+	// readWait is how long the log waits for a new record before it answers a read.
+	readWait = time.Second
+	// callTimeout limits a call to the log beyond any wait, so that a hung connection does not block the publication.
 	callTimeout = 3 * time.Second
-	// publishRetryDelay spaces attempts while the log is down.
-	publishRetryDelay = 200 * time.Millisecond
-	// lateReads is the number of reads, each of publishWait, after which an append without an answer counts as not
-	// taken. If it does arrive later, the second append is ignored, because the first one replaced the bundle.
-	lateReads = 3
+	// readRetryDelay is the pause after a failed read, for example while the log is down.
+	readRetryDelay = 200 * time.Millisecond
+	// readsBeforeReappend is the number of reads without an outcome after which an append that returned an error is
+	// repeated. If both records reach the log after all, the second one is ignored, because the first one has already
+	// replaced the bundle.
+	readsBeforeReappend = 3
 )
 
 func (flags *bundleFlags) publish(ctx context.Context, files []string) error {
@@ -40,9 +41,9 @@
 		return err
 	}
 	if snapshot := bundles.Snapshot(); snapshot != nil && snapshot.Text() == record.Text {
-		return flags.printWon(record, snapshot.Offset())
+		return flags.printInForce(record, snapshot.Offset())
 	}
-	if err := flags.refuseBroken(ctx, bundle); err != nil {
+	if err := flags.checkLint(ctx, bundle); err != nil {
 		return err
 	}
 	publication, err := bundles.Publish(record)
@@ -55,40 +56,42 @@
 	}
 	switch outcome := outcome.(type) {
 	case bundler.Won:
-		return flags.printWon(record, outcome.Offset())
+		return flags.printInForce(record, outcome.Offset())
 	case bundler.Beaten:
-		return eris.Errorf("not published: %s; put your change on top of it and raise the version", outcome)
+		return eris.Errorf("not published: %s; base your change on that bundle and raise the version", outcome)
 	}
 	return nil
 }
 
-// refuseBroken returns an error if lint finds one, also between the common part and the others.
-func (flags *bundleFlags) refuseBroken(ctx context.Context, bundle *bundler.Bundle) error {
+// checkLint returns the first lint finding that is an error, including conflicts between the common part and the parts of
+// split failure domains.
+func (flags *bundleFlags) checkLint(ctx context.Context, bundle *bundler.Bundle) error {
 	findings, err := flags.findings(ctx, bundle)
 	if err != nil {
 		return err
 	}
 	for _, finding := range findings {
 		if finding.Severity() == bundler.SeverityError {
-			return eris.Errorf("the bundle would break: %s", finding)
+			return eris.Errorf("lint found an error in the bundle: %s", finding)
 		}
 	}
 	return nil
 }
 
-func (flags *bundleFlags) printWon(record bundler.Record, offset int64) error {
+func (flags *bundleFlags) printInForce(record bundler.Record, offset int64) error {
 	_, err := fmt.Fprintf(flags.stdout, "version %d is in force, at offset %d\n", record.Version, offset)
 	return eris.Wrap(err, "writing the outcome")
 }
 
-// appendAndWait appends the publication and reads on until it or another record replaced the bundle in force.
+// appendAndWait appends the publication and reads the log until that record or another one has replaced the bundle in
+// force. An append that failed may still have reached the log; it is repeated only if reads do not show the record.
 func appendAndWait(ctx context.Context, log *appender.Appender, bundles *bundler.Bundler, publication *bundler.Publication) (bundler.Outcome, error) {
 	for ctx.Err() == nil {
 		appendErr := appendOnce(ctx, log, bundles, publication)
-		for reads := 0; ctx.Err() == nil && (appendErr == nil || reads < lateReads); {
-			events, _, err := readOnce(ctx, log, bundles, publishWait)
+		for reads := 0; ctx.Err() == nil && (appendErr == nil || reads < readsBeforeReappend); {
+			events, _, err := readOnce(ctx, log, bundles, readWait)
 			if err != nil {
-				sleeper.For(ctx, publishRetryDelay)
+				sleeper.For(ctx, readRetryDelay)
 				continue
 			}
 			if outcome, ok := publication.Observe(events); ok {
@@ -107,7 +110,8 @@
 	return err
 }
 
-// readOnce folds one page and reports whether it was the last one.
+// readOnce reads one page of the log into bundles. It returns the events of the page and whether the page reached the
+// end of the log.
 func readOnce(ctx context.Context, log *appender.Appender, bundles *bundler.Bundler, wait time.Duration) ([]bundler.Event, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
@@ -123,6 +127,7 @@
 	return events, bundles.Next() >= page.Next, nil
 }
 
+// readToEnd reads the log into bundles up to its end and returns all events; with an error, those up to the failure.
 func readToEnd(ctx context.Context, log *appender.Appender, bundles *bundler.Bundler) ([]bundler.Event, error) {
 	var all []bundler.Event
 	for {
--- a/commander/quickstart.go
+++ b/commander/quickstart.go
@@ -60,6 +60,7 @@
 	}
 }
 
+// quickstart runs a log, two runners and an entry instance on loopback and submits one job.
 func quickstart(ctx context.Context, stdout io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, quickstartTimeout)
 	defer cancel()
@@ -96,7 +97,7 @@
 	return instance.Shutdown(ctx, time.Now())
 }
 
-// signDemo returns the signed record of text and the public keys of two operators made up for the occasion.
+// signDemo signs text with two new keys. It returns the encoded record and the value of bundle-keys with both public keys.
 func signDemo(text string) ([]byte, string, error) {
 	authorPublic, authorKey, err := ed25519.GenerateKey(nil)
 	if err != nil {
@@ -123,6 +124,7 @@
 	return data, setting, err
 }
 
+// submitDemo submits one job and prints its answer and the time it took.
 func submitDemo(ctx context.Context, address string, stdout io.Writer) error {
 	start := time.Now()
 	payload := fmt.Appendf(nil, `{"run-ms": %d}`, quickstartRunMS)
@@ -139,6 +141,7 @@
 	return nil
 }
 
+// serveLoopback serves handler on a free loopback port. It returns the address and a function that stops the server.
 func serveLoopback(handler http.Handler) (string, func(), error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -149,6 +152,7 @@
 	return listener.Addr().String(), func() { _ = server.Close() }, nil
 }
 
+// waitReady polls the instance at address until it is ready or ctx is done.
 func waitReady(ctx context.Context, address string) error {
 	for {
 		response, err := http.Get("http://" + address + "/readyz")
--- a/commander/report.go
+++ b/commander/report.go
@@ -27,22 +27,22 @@
 	}
 }
 
-// objectives collects the values of the flag --objective.
-type objectives map[string]reporter.Objective
+// objectiveFlag is the value of the repeatable flag --objective: the objectives by kind.
+type objectiveFlag map[string]reporter.Objective
 
-func (objectives objectives) String() string { return "" }
+func (objectiveFlag objectiveFlag) String() string { return "" }
 
-// Set reads KIND=MS:PERCENT.
-func (objectives objectives) Set(text string) error {
-	kind, value, found := strings.Cut(text, "=")
-	milliseconds, percent, both := strings.Cut(value, ":")
+// Set adds an objective given as KIND=MS:PERCENT.
+func (objectiveFlag objectiveFlag) Set(text string) error {
+	kind, value, hasValue := strings.Cut(text, "=")
+	milliseconds, percent, hasPercent := strings.Cut(value, ":")
 	within, err := strconv.ParseInt(milliseconds, 10, 32)
 	share, shareErr := strconv.ParseFloat(percent, 64)
-	if kind == "" || !found || !both || err != nil || shareErr != nil {
-		return eris.Errorf("got %q, expected KIND=MS:PERCENT, such as loop-check=500:99.9", text)
+	if kind == "" || !hasValue || !hasPercent || err != nil || shareErr != nil {
+		return eris.Errorf("got %q, want KIND=MS:PERCENT, such as loop-check=500:99.9", text)
 	}
 	objective, err := reporter.NewObjective(time.Duration(within)*time.Millisecond, share)
-	objectives[kind] = objective
+	objectiveFlag[kind] = objective
 	return err
 }
 
@@ -51,9 +51,9 @@
 	set.SetOutput(stderr)
 	log := set.String("log", "", "address of the platform's log service, host:port")
 	asJSON := set.Bool("json", false, "print JSON")
-	asHTML := set.Bool("html", false, "print one self-contained HTML page")
-	given := make(objectives)
-	set.Var(given, "objective", "KIND=MS:PERCENT, for kinds whose records carry no objective; may be repeated")
+	asHTML := set.Bool("html", false, "print a self-contained HTML page")
+	objectives := make(objectiveFlag)
+	set.Var(objectives, "objective", "KIND=MS:PERCENT, for kinds whose records have no objective; may be repeated")
 	return &ffcli.Command{
 		Name:       "burn",
 		ShortUsage: "hyssoplift report burn --log HOST:PORT [flags]",
@@ -61,10 +61,10 @@
 		FlagSet:    set,
 		Exec: func(ctx context.Context, _ []string) error {
 			if *log == "" || (*asJSON && *asHTML) {
-				return eris.New("give --log, and at most one of --json and --html")
+				return eris.New("--log is required, and --json and --html are mutually exclusive")
 			}
 			reader := accountant.NewReader(appender.New(*log))
-			for kind, objective := range given {
+			for kind, objective := range objectives {
 				reader.SetObjective(kind, objective)
 			}
 			report, err := reader.Report(ctx, time.Now())
--- a/commander/settings.go
+++ b/commander/settings.go
@@ -19,11 +19,11 @@
 	check := &ffcli.Command{
 		Name:       "check",
 		ShortUsage: "hyssoplift settings check FILE",
-		ShortHelp:  "check a settings file of the platform (.toml) or of hyssoplift (.ini) without starting anything",
+		ShortHelp:  "check a settings file of the platform (.toml) or of hyssoplift (.ini) without starting an instance",
 		FlagSet:    flag.NewFlagSet("hyssoplift settings check", flag.ContinueOnError),
 		Exec: func(_ context.Context, args []string) error {
 			if len(args) != 1 {
-				return eris.New("name one settings file")
+				return eris.New("expected the path of one settings file")
 			}
 			return checkSettings(args[0], stdout, stderr)
 		},
@@ -38,6 +38,7 @@
 	}
 }
 
+// checkSettings validates the settings file at path; its extension determines the format.
 func checkSettings(path string, stdout, stderr io.Writer) error {
 	var err error
 	switch filepath.Ext(path) {
@@ -46,7 +47,7 @@
 	case ".ini":
 		_, err = configurer.Read([]string{"--config", path}, stderr)
 	default:
-		return eris.Errorf("%s is neither a .toml file of the platform nor an .ini file", path)
+		return eris.Errorf("%s is neither a .toml file of the platform nor an .ini file of hyssoplift", path)
 	}
 	if err != nil {
 		return err
--- a/commander/submit.go
+++ b/commander/submit.go
@@ -21,14 +21,14 @@
 	set.SetOutput(stderr)
 	address := set.String("address", "127.0.0.1:8480", "balancer or instance, host:port")
 	kind := set.String("kind", "", "kind of task")
-	team := set.String("team", "", "team that the job counts against")
+	team := set.String("team", "", "team that the job belongs to")
 	key := set.String("key", "", "idempotency key; resubmit under the same key")
 	tasks := set.Int("tasks", 1, "number of tasks")
 	payload := set.String("payload", "null", "JSON payload of each task")
-	timeout := set.Duration("timeout", encoder.DefaultTimeout, "time within which the answer is due")
+	timeout := set.Duration("timeout", encoder.DefaultTimeout, "timeout of the job")
 	file := set.String("file", "", "file of jobs, one JSON object a line; - means standard input")
-	parallel := set.Int("parallel", 16, "jobs of the file that are submitted at a time, 1 to 1024")
-	asJSON := set.Bool("json", false, "print each answer to a job of the file as one JSON line")
+	parallel := set.Int("parallel", 16, "jobs of the file that are submitted concurrently, 1 to 1024")
+	asJSON := set.Bool("json", false, "print the answer to each job of the file as one line of JSON")
 	return &ffcli.Command{
 		Name:       "submit",
 		ShortUsage: "hyssoplift submit (--kind KIND --team TEAM | --file FILE) [flags]",
@@ -36,7 +36,7 @@
 		FlagSet:    set,
 		Exec: func(ctx context.Context, _ []string) error {
 			if *file != "" {
-				return submitFile(ctx, batch{address: *address, file: *file, parallel: *parallel, asJSON: *asJSON}, stdin, stdout, stderr)
+				return submitFile(ctx, batchOptions{address: *address, file: *file, parallel: *parallel, asJSON: *asJSON}, stdin, stdout, stderr)
 			}
 			if !json.Valid([]byte(*payload)) {
 				return eris.New("--payload is not valid JSON")
@@ -51,6 +51,7 @@
 	}
 }
 
+// newJob returns a job of count tasks with the same payload.
 func newJob(key, kind, team string, deadline time.Time, count int, payload json.RawMessage) dispatcher.Job {
 	tasks := make([]dispatcher.Task, count)
 	for i := range tasks {
@@ -59,7 +60,7 @@
 	return dispatcher.NewJob(key, kind, team, deadline, tasks)
 }
 
-// printOutcome writes the answer and returns an error unless it is complete.
+// printOutcome prints the answer as JSON and returns an error unless the job is complete.
 func printOutcome(stdout io.Writer, key string, outcome dispatcher.Outcome) error {
 	response := encoder.EncodeOutcome(key, outcome, time.Now())
 	if _, err := stdout.Write(response.Body()); err != nil {
