--- a/cmd/hyssoplift-capacity/main.go
+++ b/cmd/hyssoplift-capacity/main.go
@@ -1,4 +1,4 @@
-// Command hyssoplift-capacity turns benchmark output into the capacity page.
+// Command hyssoplift-capacity generates the capacity page from the output of go test -bench.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	}
 }
 
-// run reads benchmark output from the file that args names, or else from stdin, and writes the page to stdout.
+// run reads benchmark output from the file named in args, or from stdin if there is none, and writes the page to stdout.
 func run(args []string, stdin io.Reader, stdout io.Writer) error {
 	set := flag.NewFlagSet("hyssoplift-capacity", flag.ContinueOnError)
 	if err := set.Parse(args); err != nil {
--- a/cmd/hyssoplift-standin/main.go
+++ b/cmd/hyssoplift-standin/main.go
@@ -1,4 +1,5 @@
-// Command hyssoplift-standin runs one stand-in of the platform on loopback, for tests.
+// Command hyssoplift-standin runs one stand-in of the platform for tests: the log service, the instance list, a runner or
+// a worker.
 package main
 
 import (
@@ -28,11 +29,11 @@
 	}
 	set := flag.NewFlagSet(args[0], flag.ContinueOnError)
 	listen := set.String("listen", "127.0.0.1:0", "address to serve on")
-	slots := set.Int("slots", 8, "tasks that a runner runs at once")
+	slots := set.Int("slots", 8, "number of tasks that a runner runs concurrently")
 	cores := set.Int64("cores", 32, "cores of a worker")
 	memory := set.Int64("memory-mb", 131_072, "memory of a worker, in megabytes")
-	lag := set.Duration("lag", 2*time.Second, "time after which the list shows a change")
-	speed := set.Float64("speed", 1, "speed factor of a runner")
+	lag := set.Duration("lag", 2*time.Second, "delay until the list shows a change")
+	speed := set.Float64("speed", 1, "speed factor of a runner, 1 is nominal")
 	if err := set.Parse(args[1:]); err != nil {
 		return err
 	}
@@ -53,7 +54,7 @@
 	if err != nil {
 		return eris.Wrapf(err, "listening on %s", *listen)
 	}
-	// The first line tells a test which port was chosen.
+	// Tests read the address, with the chosen port, from the first line.
 	fmt.Println(listener.Addr())
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Second}
 	return server.Serve(listener)
--- a/cmd/hyssoplift/cluster_test.go
+++ b/cmd/hyssoplift/cluster_test.go
@@ -14,14 +14,14 @@
 	"github.com/hyssoplift/hyssoplift/server"
 )
 
-// cluster is one failure domain of real processes.
+// cluster is a failure domain whose instances and stand-ins run as separate processes.
 type cluster struct {
 	t      *testing.T
 	folder string
 	log    string
 	list   string
 	runner string
-	keys   string
+	keys   string // value of the setting bundle-keys
 }
 
 // member is one instance of a cluster.
@@ -33,27 +33,27 @@
 
 func newCluster(t *testing.T) *cluster {
 	t.Helper()
-	folder := binaries(t)
+	folder := buildCommands(t)
 	cluster := &cluster{
-		t: t, folder: folder, log: standin(t, folder, "log"),
-		list: standin(t, folder, "list", "--lag", "200ms"), runner: standin(t, folder, "runner", "--slots", "256"),
+		t: t, folder: folder, log: startStandin(t, folder, "log"),
+		list: startStandin(t, folder, "list", "--lag", "200ms"), runner: startStandin(t, folder, "runner", "--slots", "256"),
 	}
 	cluster.keys = publish(t, folder, cluster.log, fmt.Sprintf(testBundle, cluster.runner))
 	return cluster
 }
 
-// start starts an instance and enters it in the list.
-func (cluster *cluster) start(name string, settings ...string) *member {
+// startInstance starts an instance and adds it to the instance list.
+func (cluster *cluster) startInstance(name string, settings ...string) *member {
 	cluster.t.Helper()
 	settings = append([]string{"--failure-domain", "local", "--instance", name, "--log", cluster.log, "--list", cluster.list, "--bundle-keys", cluster.keys}, settings...)
 	member := &member{name: name}
-	member.address, member.command = instanceProcess(cluster.t, cluster.folder, settings...)
-	cluster.enlist(http.MethodPut, member)
+	member.address, member.command = startInstanceProcess(cluster.t, cluster.folder, settings...)
+	cluster.updateList(http.MethodPut, member)
 	return member
 }
 
-// enlist changes the member's entry in the list.
-func (cluster *cluster) enlist(method string, member *member) {
+// updateList sends a request for the member's entry in the instance list: PUT adds it, DELETE removes it.
+func (cluster *cluster) updateList(method string, member *member) {
 	cluster.t.Helper()
 	body := strings.NewReader(fmt.Sprintf(`{"failure-domain":"local","address":%q}`, member.address))
 	request, err := http.NewRequest(method, "http://"+cluster.list+"/instances/"+member.name, body)
@@ -67,28 +67,29 @@
 	response.Body.Close()
 }
 
-// await waits until each member is synced in a view of exactly the given members.
-func (cluster *cluster) await(members ...*member) {
+// waitForView waits until each of the members is synced in a view of exactly these members.
+func (cluster *cluster) waitForView(members ...*member) {
 	cluster.t.Helper()
 	var last string
 	for deadline := time.Now().Add(60 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
-		settled := 0
+		synced := 0
 		for _, member := range members {
 			var status server.Status
-			last = fetch("http://"+member.address+"/v1/status", &status)
+			last = fetchJSON("http://"+member.address+"/v1/status", &status)
 			if status.Synced && len(status.Members) == len(members) && len(status.Departing) == 0 {
-				settled++
+				synced++
 			}
 		}
-		if settled == len(members) {
+		if synced == len(members) {
 			return
 		}
 	}
-	cluster.t.Fatalf("the members did not settle in one view; last status: %s", last)
+	cluster.t.Fatalf("the members did not agree on one view; last status: %s", last)
 }
 
-// fetch decodes a JSON document and returns its text; the value stays empty after an error.
-func fetch(url string, into any) string {
+// fetchJSON decodes the JSON document at url into the value and returns its text. After an error it returns the text of
+// the error, and the value may be unchanged.
+func fetchJSON(url string, into any) string {
 	client := http.Client{Timeout: 2 * time.Second}
 	response, err := client.Get(url)
 	if err != nil {
@@ -100,10 +101,10 @@
 	return string(text)
 }
 
-// starts returns how often the runner has started each echo.
-func (cluster *cluster) starts() map[string]int {
+// startCounts returns how often the runner has started each task, by the echo field of its payload.
+func (cluster *cluster) startCounts() map[string]int {
 	var starts []emulator.Start
-	fetch("http://"+cluster.runner+"/starts", &starts)
+	fetchJSON("http://"+cluster.runner+"/starts", &starts)
 	counts := make(map[string]int)
 	for _, start := range starts {
 		counts[string(start.Echo)]++
--- a/cmd/hyssoplift/main_test.go
+++ b/cmd/hyssoplift/main_test.go
@@ -34,14 +34,15 @@
 max-in-flight = 100
 `
 
-// linked and the source that binaries reads make the test cache see a change of the commands: it knows only
-// what the test binary links and which files of the module it opens, and would keep an earlier result in force.
-var linked = []any{commander.Run, emulator.NewList}
+// linkedPackages makes the test binary depend on the packages of the commands. Together with the source file that
+// buildCommands reads, it invalidates the test cache when the commands change: go test caches by the packages that the
+// test binary links and the files of the module that it opens, and would report a result of earlier commands.
+var linkedPackages = []any{commander.Run, emulator.NewList}
 
-// binaries builds the two commands and returns the folder that holds them.
-func binaries(t *testing.T) string {
+// buildCommands builds hyssoplift and hyssoplift-standin and returns the folder with the binaries.
+func buildCommands(t *testing.T) string {
 	t.Helper()
-	if _, err := os.ReadFile("../hyssoplift-standin/main.go"); err != nil || slices.Contains(linked, nil) {
+	if _, err := os.ReadFile("../hyssoplift-standin/main.go"); err != nil || slices.Contains(linkedPackages, nil) {
 		t.Fatalf("reading the source of the stand-ins: %v", err)
 	}
 	folder := t.TempDir()
@@ -53,8 +54,8 @@
 	return folder
 }
 
-// launch starts a process that is killed at the end of the test.
-func launch(t *testing.T, path string, args ...string) *exec.Cmd {
+// newCommand returns a command that the caller starts and whose process is killed at the end of the test.
+func newCommand(t *testing.T, path string, args ...string) *exec.Cmd {
 	t.Helper()
 	command := exec.Command(path, args...)
 	command.Stderr = os.Stderr
@@ -65,10 +66,10 @@
 	return command
 }
 
-// standin starts a stand-in and returns the address that it prints.
-func standin(t *testing.T, folder string, args ...string) string {
+// startStandin starts a stand-in of the platform and returns the address that it prints.
+func startStandin(t *testing.T, folder string, args ...string) string {
 	t.Helper()
-	command := launch(t, filepath.Join(folder, "hyssoplift-standin"), args...)
+	command := newCommand(t, filepath.Join(folder, "hyssoplift-standin"), args...)
 	output, err := command.StdoutPipe()
 	if err == nil {
 		err = command.Start()
@@ -83,17 +84,18 @@
 	return strings.TrimSpace(line)
 }
 
-// instance starts an entry instance on a free port and returns the address in its first log line.
-func instance(t *testing.T, folder string, settings ...string) string {
+// startInstance starts an entry instance on a free port and returns its address.
+func startInstance(t *testing.T, folder string, settings ...string) string {
 	t.Helper()
-	address, _ := instanceProcess(t, folder, settings...)
+	address, _ := startInstanceProcess(t, folder, settings...)
 	return address
 }
 
-// instanceProcess is instance that also returns the process.
-func instanceProcess(t *testing.T, folder string, settings ...string) (string, *exec.Cmd) {
+// startInstanceProcess is like startInstance and also returns the process. It takes the address from the first log line
+// with a listen field and copies later lines to standard error.
+func startInstanceProcess(t *testing.T, folder string, settings ...string) (string, *exec.Cmd) {
 	t.Helper()
-	command := launch(t, filepath.Join(folder, "hyssoplift"), append([]string{"serve", "--listen", "127.0.0.1:0"}, settings...)...)
+	command := newCommand(t, filepath.Join(folder, "hyssoplift"), append([]string{"serve", "--listen", "127.0.0.1:0"}, settings...)...)
 	command.Stderr = nil
 	output, err := command.StderrPipe()
 	if err == nil {
@@ -117,6 +119,7 @@
 	return line.Listen, command
 }
 
+// waitReady polls the instance at address until it is ready.
 func waitReady(t *testing.T, address string) {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
@@ -132,8 +135,8 @@
 	t.Fatal("the instance did not become ready")
 }
 
-// operate runs a subcommand of hyssoplift bundle and returns what it prints.
-func operate(t *testing.T, folder string, args ...string) string {
+// runBundleCommand runs a subcommand of hyssoplift bundle and returns its standard output.
+func runBundleCommand(t *testing.T, folder string, args ...string) string {
 	t.Helper()
 	command := exec.Command(filepath.Join(folder, "hyssoplift"), append([]string{"bundle"}, args...)...)
 	command.Stderr = os.Stderr
@@ -144,7 +147,8 @@
 	return strings.TrimSpace(string(output))
 }
 
-// publish signs text with two new keys, publishes it with the commands that operators use, and returns the public keys.
+// publish signs a bundle with two new keys and publishes it, with the subcommands that operators use. It returns the value
+// of bundle-keys with the public keys.
 func publish(t *testing.T, folder, log, text string) string {
 	t.Helper()
 	work := t.TempDir()
@@ -152,23 +156,23 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatalf("writing the bundle: %v", err)
 	}
-	keys := operate(t, folder, "keygen", "--name", "linh", author) + "," + operate(t, folder, "keygen", "--name", "asha", approver)
-	operate(t, folder, "lint", "--log", log, "--bundle-keys", keys, file)
-	operate(t, folder, "sign", "--name", "linh", "--key", author, file)
-	operate(t, folder, "approve", "--name", "asha", "--key", approver, "--bundle-keys", keys, file)
-	operate(t, folder, "publish", "--log", log, "--bundle-keys", keys, file)
+	keys := runBundleCommand(t, folder, "keygen", "--name", "linh", author) + "," + runBundleCommand(t, folder, "keygen", "--name", "asha", approver)
+	runBundleCommand(t, folder, "lint", "--log", log, "--bundle-keys", keys, file)
+	runBundleCommand(t, folder, "sign", "--name", "linh", "--key", author, file)
+	runBundleCommand(t, folder, "approve", "--name", "asha", "--key", approver, "--bundle-keys", keys, file)
+	runBundleCommand(t, folder, "publish", "--log", log, "--bundle-keys", keys, file)
 	return keys
 }
 
-// Guards against a break anywhere on the path between real processes: log, instance, runner and caller.
+// Guards against a failure at any point of a job's path through separate processes: log, instance, runner and caller.
 func TestJobAcrossProcesses(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	folder := binaries(t)
-	log := standin(t, folder, "log")
-	runner := standin(t, folder, "runner")
+	folder := buildCommands(t)
+	log := startStandin(t, folder, "log")
+	runner := startStandin(t, folder, "runner")
 	keys := publish(t, folder, log, fmt.Sprintf(testBundle, runner))
-	listen := instance(t, folder, "--failure-domain", "local", "--instance", "entry-1", "--log", log, "--bundle-keys", keys)
+	listen := startInstance(t, folder, "--failure-domain", "local", "--instance", "entry-1", "--log", log, "--bundle-keys", keys)
 	waitReady(t, listen)
 
 	submit := exec.Command(filepath.Join(folder, "hyssoplift"), "submit",
--- a/cmd/hyssoplift/owner_test.go
+++ b/cmd/hyssoplift/owner_test.go
@@ -17,8 +17,8 @@
 	"github.com/hyssoplift/hyssoplift/submitter"
 )
 
-// Guards against a second start when the owner of running jobs dies, or stops and continues, while their
-// callers resubmit through other instances.
+// Guards against a second start of a task when the slice owner of running jobs is killed, or is paused and resumed, while
+// the callers resubmit the jobs through other instances.
 func TestNothingStartsTwiceWhenAnOwnerFails(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -32,49 +32,50 @@
 			t.Parallel()
 			is := is.New(t)
 			cluster := newCluster(t)
-			owner, second, third := cluster.start("entry-1"), cluster.start("entry-2"), cluster.start("entry-3")
-			cluster.await(owner, second, third)
+			owner, second, third := cluster.startInstance("entry-1"), cluster.startInstance("entry-2"), cluster.startInstance("entry-3")
+			cluster.waitForView(owner, second, third)
 			var group sync.WaitGroup
 			outcomes := &outcomes{byEcho: make(map[string]dispatcher.Outcome)}
 			for i := range 48 {
-				// Every key is of a slice of the owner; some jobs begin before it fails, some after.
+				// Every key belongs to a slice of the owner. Some jobs are submitted before it fails, some after.
 				var prefix server.KeyPrefix
-				fetch("http://"+owner.address+"/v1/key-prefix", &prefix)
+				fetchJSON("http://"+owner.address+"/v1/key-prefix", &prefix)
 				is.True(strings.HasPrefix(prefix.Prefix, "~local."))
-				target := []*member{second, third}[i%2]
+				receiver := []*member{second, third}[i%2]
 				group.Go(func() {
 					time.Sleep(time.Duration(i) * 20 * time.Millisecond)
-					outcomes.submit(t, target.address, prefix.Prefix, i)
+					outcomes.submit(t, receiver.address, prefix.Prefix, i)
 				})
 			}
-			for len(cluster.starts()) < 8 {
+			for len(cluster.startCounts()) < 8 {
 				time.Sleep(time.Millisecond)
 			}
 			is.NoErr(owner.command.Process.Signal(test.signal))
-			cluster.await(second, third)
+			cluster.waitForView(second, third)
 			if test.signal == syscall.SIGSTOP {
 				is.NoErr(owner.command.Process.Signal(syscall.SIGCONT))
 			}
 			group.Wait()
-			// What the continued owner still had in flight ends by itself.
+			// Let the requests that the resumed owner still had in flight end.
 			time.Sleep(time.Second)
-			outcomes.judge(t, cluster.starts())
+			outcomes.checkStarts(t, cluster.startCounts())
 		})
 	}
 }
 
-// outcomes holds the final outcome of each job by the echo of its task.
+// outcomes holds the final outcome of each job, by the echo field of its task's payload.
 type outcomes struct {
 	mu     sync.Mutex
 	byEcho map[string]dispatcher.Outcome
 }
 
+// submit submits job i until its outcome is known or its deadline has passed, and records the last outcome.
 func (outcomes *outcomes) submit(t *testing.T, address, prefix string, i int) {
 	echo := fmt.Sprintf("%q", fmt.Sprintf("job-%d", i))
 	payload, _ := json.Marshal(map[string]any{"run-ms": 300, "echo": json.RawMessage(echo)})
 	job := dispatcher.NewJob(fmt.Sprintf("%sjob-%d", prefix, i), "loop-check", "demo", time.Now().Add(45*time.Second),
 		[]dispatcher.Task{dispatcher.NewTask("a", payload)})
-	// The caller believes each attempt lost after a while and resubmits, so that several are on their way.
+	// The caller abandons an attempt after 4 s and resubmits, so that several attempts of a job can be in flight.
 	var last dispatcher.Outcome
 	for time.Now().Before(job.Deadline()) {
 		ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
@@ -96,8 +97,9 @@
 	outcomes.byEcho[echo] = last
 }
 
-// judge compares what the callers were told with the runner's list of starts.
-func (outcomes *outcomes) judge(t *testing.T, starts map[string]int) {
+// checkStarts compares the outcomes that the callers received with the number of starts at the runner: one for a complete
+// job, none for a refused job, and never more than one.
+func (outcomes *outcomes) checkStarts(t *testing.T, starts map[string]int) {
 	t.Helper()
 	counts := make(map[string]int)
 	for echo, outcome := range outcomes.byEcho {
--- a/cmd/hyssoplift/restart_test.go
+++ b/cmd/hyssoplift/restart_test.go
@@ -16,29 +16,30 @@
 	"github.com/matryer/is"
 )
 
-// balancer sends requests only to instances that were ready when it last looked, as the platform's does.
+// balancer sends requests in turn to the instances that were ready at its last poll, like the platform's balancer.
 type balancer struct {
 	client *http.Client
 
-	mu    sync.Mutex
-	all   []string
-	ready []string
-	turn  int
+	mu        sync.Mutex
+	addresses []string
+	ready     []string
+	picks     int
 }
 
 func (balancer *balancer) add(address string) {
 	balancer.mu.Lock()
 	defer balancer.mu.Unlock()
-	balancer.all = append(balancer.all, address)
+	balancer.addresses = append(balancer.addresses, address)
 }
 
-func (balancer *balancer) watch(ctx context.Context) {
+// pollReadiness updates the list of ready instances every 5 ms until ctx is done.
+func (balancer *balancer) pollReadiness(ctx context.Context) {
 	for ; ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
 		balancer.mu.Lock()
-		all := balancer.all
+		addresses := balancer.addresses
 		balancer.mu.Unlock()
 		var ready []string
-		for _, address := range all {
+		for _, address := range addresses {
 			response, err := balancer.client.Get("http://" + address + "/readyz")
 			if err != nil {
 				continue
@@ -54,20 +55,21 @@
 	}
 }
 
-func (balancer *balancer) pick() string {
+// nextReady returns the next ready instance in turn, or an empty string if there is none.
+func (balancer *balancer) nextReady() string {
 	balancer.mu.Lock()
 	defer balancer.mu.Unlock()
 	if len(balancer.ready) == 0 {
 		return ""
 	}
-	balancer.turn++
-	return balancer.ready[balancer.turn%len(balancer.ready)]
+	balancer.picks++
+	return balancer.ready[balancer.picks%len(balancer.ready)]
 }
 
-// post submits one job and returns an error unless it is complete.
-func (balancer *balancer) post(body string) error {
-	address := balancer.pick()
-	for ; address == ""; address = balancer.pick() {
+// postJob submits one job and returns an error unless it is complete.
+func (balancer *balancer) postJob(body string) error {
+	address := balancer.nextReady()
+	for ; address == ""; address = balancer.nextReady() {
 		time.Sleep(time.Millisecond)
 	}
 	response, err := balancer.client.Post("http://"+address+"/v1/jobs", "application/json", strings.NewReader(body))
@@ -82,7 +84,7 @@
 	return err
 }
 
-// Guards against a planned stop that cuts a request: every instance restarts in turn under load.
+// Guards against a planned stop that interrupts a request: all instances are restarted one after the other under load.
 func TestRollingRestartCutsNothing(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -91,20 +93,20 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	start := func(i int) *member {
-		member := cluster.start(fmt.Sprintf("entry-%d", i), "--balancer-wait", "300")
+		member := cluster.startInstance(fmt.Sprintf("entry-%d", i), "--balancer-wait", "300")
 		balancer.add(member.address)
 		return member
 	}
 	members := []*member{start(1), start(2), start(3)}
-	cluster.await(members...)
+	cluster.waitForView(members...)
 	var group sync.WaitGroup
-	group.Go(func() { balancer.watch(ctx) })
+	group.Go(func() { balancer.pollReadiness(ctx) })
 	var answered atomic.Int64
 	for range 8 {
 		group.Go(func() {
 			for ctx.Err() == nil {
-				if err := balancer.post(`{"kind":"loop-check","team":"demo","tasks":[{"name":"a","payload":{"run-ms":20}},{"name":"b","payload":{"run-ms":5}}]}`); err != nil {
-					t.Errorf("request cut: %v", err)
+				if err := balancer.postJob(`{"kind":"loop-check","team":"demo","tasks":[{"name":"a","payload":{"run-ms":20}},{"name":"b","payload":{"run-ms":5}}]}`); err != nil {
+					t.Errorf("request interrupted: %v", err)
 					return
 				}
 				answered.Add(1)
@@ -116,20 +118,20 @@
 		is.NoErr(old.command.Process.Signal(syscall.SIGTERM))
 		is.NoErr(old.command.Wait()) // exit status 0
 		members[i] = start(i + 1)
-		cluster.await(members...)
-		is.True(answered.Load() > before) // the others served meanwhile
+		cluster.waitForView(members...)
+		is.True(answered.Load() > before) // the other instances served requests meanwhile
 	}
 	cancel()
 	group.Wait()
-	t.Logf("%d requests answered during the rolling restart, 0 cut", answered.Load())
+	t.Logf("%d requests answered during the rolling restart, 0 interrupted", answered.Load())
 }
 
-// Guards against a stop that hangs, or that gives up silently, when a task does not end.
+// Guards against a stop that hangs because a task does not end, or that exits without logging the jobs it abandons.
 func TestSecondSignalSaysWhatWasLeft(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	folder := binaries(t)
-	log, runner := standin(t, folder, "log"), standin(t, folder, "runner")
+	folder := buildCommands(t)
+	log, runner := startStandin(t, folder, "log"), startStandin(t, folder, "runner")
 	keys := publish(t, folder, log, fmt.Sprintf(testBundle, runner))
 	command := exec.Command(folder+"/hyssoplift", "serve", "--listen", "127.0.0.1:0",
 		"--failure-domain", "local", "--instance", "entry-1", "--log", log, "--bundle-keys", keys, "--balancer-wait", "0")
@@ -137,7 +139,7 @@
 	command.Stderr = lines
 	is.NoErr(command.Start())
 	t.Cleanup(func() { _ = command.Process.Kill() })
-	address := lines.wait(t, `"listen":"`)
+	address := lines.waitFor(t, `"listen":"`)
 	waitReady(t, address)
 	go func() {
 		request, _ := http.NewRequest(http.MethodPost, "http://"+address+"/v1/jobs",
@@ -155,13 +157,13 @@
 		starts = strings.Count(string(text), "kind")
 	}
 	is.NoErr(command.Process.Signal(syscall.SIGTERM))
-	lines.wait(t, `"@message":"instance stopping`)
+	lines.waitFor(t, `"@message":"instance stopping`)
 	is.NoErr(command.Process.Signal(syscall.SIGTERM))
 	is.True(command.Wait() != nil) // not a clean stop
 	is.True(strings.Contains(lines.String(), "order-1"))
 }
 
-// lineBuffer keeps the log lines of a process.
+// lineBuffer collects the log output of a process.
 type lineBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -179,15 +181,15 @@
 	return buffer.text.String()
 }
 
-// wait returns the text between mark and the next quotation mark once it has been logged.
-func (buffer *lineBuffer) wait(t *testing.T, mark string) string {
+// waitFor waits until marker has been logged and returns the text from it to the next quotation mark.
+func (buffer *lineBuffer) waitFor(t *testing.T, marker string) string {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		_, after, found := strings.Cut(buffer.String(), mark)
+		_, after, found := strings.Cut(buffer.String(), marker)
 		if text, _, ended := strings.Cut(after, `"`); found && ended {
 			return text
 		}
 	}
-	t.Fatalf("no log line with %s", mark)
+	t.Fatalf("no log line with %s", marker)
 	return ""
 }
