--- a/cmd/hyssoplift/cluster_test.go
+++ b/cmd/hyssoplift/cluster_test.go
@@ -103,7 +103,7 @@
 
 // startCounts returns how often the runner has started each task, by the echo field of its payload.
 func (cluster *cluster) startCounts() map[string]int {
-	var starts []emulator.Start
+	var starts []emulator.TaskStart
 	fetchJSON("http://"+cluster.runner+"/starts", &starts)
 	counts := make(map[string]int)
 	for _, start := range starts {
--- a/commander/bundle_test.go
+++ b/commander/bundle_test.go
@@ -101,7 +101,7 @@
 		records int
 	}{
 		{"healthy", func(*bundleFixture) {}, "version 2 is in force, at offset 1", false, 2},
-		{"answer lost", func(fixture *bundleFixture) { fixture.log.SetFault(emulator.LogLosesAnswers) }, "version 2 is in force, at offset 1", false, 2},
+		{"answer lost", func(fixture *bundleFixture) { fixture.log.SetFault(emulator.LogLosesResponses) }, "version 2 is in force, at offset 1", false, 2},
 		{"append lost", func(fixture *bundleFixture) {
 			calls := 0
 			fixture.beforeAppend = func(*http.Request) bool { calls++; return calls > 1 }
