--- a/cmd/hyssoplift/main.go
+++ b/cmd/hyssoplift/main.go
@@ -1,4 +1,4 @@
-// Command hyssoplift runs an entry instance, submits jobs and helps operators.
+// Command hyssoplift runs an entry instance, submits jobs and provides tools for operators.
 package main
 
 import (
