--- a/emulator/list.go
+++ b/emulator/list.go
@@ -18,9 +18,9 @@
 
 // listChange is one change of the list; a nil instance means that it is removed.
 type listChange struct {
-	at       time.Time
-	name     string
-	instance *lister.Instance
+	visibleAt time.Time
+	name      string
+	instance  *lister.Instance
 }
 
 // List is a stand-in of the platform's instance list; it shows each change after a lag.
@@ -30,13 +30,13 @@
 	mu      sync.Mutex
 	lag     time.Duration
 	down    bool
-	shown   map[string]lister.Instance
+	visible map[string]lister.Instance
 	pending []listChange
 }
 
 // NewList returns an empty list that shows changes after lag.
 func NewList(lag time.Duration) *List {
-	list := &List{mux: http.NewServeMux(), lag: lag, shown: make(map[string]lister.Instance)}
+	list := &List{mux: http.NewServeMux(), lag: lag, visible: make(map[string]lister.Instance)}
 	list.mux.HandleFunc("GET /instances", list.handleRead)
 	list.mux.HandleFunc("PUT /instances/{name}", list.handlePut)
 	list.mux.HandleFunc("DELETE /instances/{name}", func(writer http.ResponseWriter, request *http.Request) {
@@ -54,15 +54,15 @@
 }
 
 // Put adds or replaces an instance, visible after the lag.
-func (list *List) Put(instance lister.Instance) { list.change(instance.Name, &instance) }
+func (list *List) Put(instance lister.Instance) { list.scheduleChange(instance.Name, &instance) }
 
 // Remove drops an instance, visible after the lag.
-func (list *List) Remove(name string) { list.change(name, nil) }
+func (list *List) Remove(name string) { list.scheduleChange(name, nil) }
 
-func (list *List) change(name string, instance *lister.Instance) {
+func (list *List) scheduleChange(name string, instance *lister.Instance) {
 	list.mu.Lock()
 	defer list.mu.Unlock()
-	list.pending = append(list.pending, listChange{at: time.Now().Add(list.lag), name: name, instance: instance})
+	list.pending = append(list.pending, listChange{visibleAt: time.Now().Add(list.lag), name: name, instance: instance})
 }
 
 // SetLag changes the lag of later changes.
@@ -79,24 +79,24 @@
 	list.down = down
 }
 
-// read returns what the list shows of failureDomain now, sorted by name, and whether it is up.
-func (list *List) read(failureDomain string) ([]lister.Instance, bool) {
+// snapshot returns what the list shows of failureDomain now, sorted by name, and whether it is up.
+func (list *List) snapshot(failureDomain string) ([]lister.Instance, bool) {
 	list.mu.Lock()
 	defer list.mu.Unlock()
 	now := time.Now()
 	list.pending = slices.DeleteFunc(list.pending, func(change listChange) bool {
-		if change.at.After(now) {
+		if change.visibleAt.After(now) {
 			return false
 		}
 		if change.instance == nil {
-			delete(list.shown, change.name)
+			delete(list.visible, change.name)
 		} else {
-			list.shown[change.name] = *change.instance
+			list.visible[change.name] = *change.instance
 		}
 		return true
 	})
 	instances := []lister.Instance{}
-	for _, instance := range list.shown {
+	for _, instance := range list.visible {
 		if instance.FailureDomain == failureDomain {
 			instances = append(instances, instance)
 		}
@@ -106,7 +106,7 @@
 }
 
 func (list *List) handleRead(writer http.ResponseWriter, request *http.Request) {
-	instances, up := list.read(request.FormValue("failure-domain"))
+	instances, up := list.snapshot(request.FormValue("failure-domain"))
 	if !up {
 		http.Error(writer, "the list is down", http.StatusServiceUnavailable)
 		return
--- a/emulator/log.go
+++ b/emulator/log.go
@@ -140,7 +140,7 @@
 	timer := time.NewTimer(time.Duration(waitMS) * time.Millisecond)
 	defer timer.Stop()
 	for {
-		page, changed := log.page(request.PathValue("stream"), from, limit)
+		page, changed := log.readPage(request.PathValue("stream"), from, limit)
 		if len(page.Records) > 0 || waitMS <= 0 {
 			_ = json.NewEncoder(writer).Encode(page)
 			return
@@ -155,8 +155,8 @@
 	}
 }
 
-// page returns records from offset from on, at least one and no more than fit in limit bytes.
-func (log *Log) page(name string, from, limit int64) (appender.Page, <-chan struct{}) {
+// readPage returns records from offset from on, at least one and no more than fit in limit bytes.
+func (log *Log) readPage(name string, from, limit int64) (appender.Page, <-chan struct{}) {
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	stream := log.stream(name)
--- a/emulator/worker.go
+++ b/emulator/worker.go
@@ -34,16 +34,16 @@
 }
 
 type lease struct {
-	status  leaser.LeaseStatus
-	size    placer.Resources
-	expires time.Time
-	ended   chan struct{}
+	status    leaser.LeaseStatus
+	resources placer.Resources
+	expires   time.Time
+	done      chan struct{}
 }
 
 // Worker is a stand-in of a worker that runs tasks under leases with its guard on.
 type Worker struct {
-	mux   *http.ServeMux
-	total placer.Resources
+	mux      *http.ServeMux
+	capacity placer.Resources
 
 	mu     sync.Mutex
 	leases map[string]*lease
@@ -54,7 +54,7 @@
 
 // NewWorker returns a healthy worker of the given size.
 func NewWorker(total placer.Resources) *Worker {
-	worker := &Worker{mux: http.NewServeMux(), total: total, leases: make(map[string]*lease), fault: WorkerHealthy}
+	worker := &Worker{mux: http.NewServeMux(), capacity: total, leases: make(map[string]*lease), fault: WorkerHealthy}
 	worker.mux.HandleFunc("PUT /leases/{id}", worker.handleStart)
 	worker.mux.HandleFunc("POST /leases/{id}/renew", worker.handleRenew)
 	worker.mux.HandleFunc("GET /usage", worker.handleUsage)
@@ -99,44 +99,44 @@
 	if fault == WorkerLosesResponses {
 		panic(http.ErrAbortHandler)
 	}
-	worker.answer(writer, request, lease, body.WaitMS)
+	worker.respond(writer, request, lease, body.WaitMS)
 }
 
 func (worker *Worker) start(id string, body leaser.LeaseRequest, payload WorkerPayload) (*lease, int, WorkerFault) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	switch used := sum(worker.used, body.Resources); {
+	switch used := addResources(worker.used, body.Resources); {
 	case worker.fault == WorkerLeaving:
 		return nil, http.StatusServiceUnavailable, worker.fault
 	case worker.leases[id] != nil:
 		return nil, http.StatusConflict, worker.fault
-	case used.MilliCores > worker.total.MilliCores || used.MemoryMB > worker.total.MemoryMB || used.Accelerators > worker.total.Accelerators:
+	case used.MilliCores > worker.capacity.MilliCores || used.MemoryMB > worker.capacity.MemoryMB || used.Accelerators > worker.capacity.Accelerators:
 		return nil, http.StatusTooManyRequests, worker.fault
 	default:
 		worker.used = used
 	}
 	started := &lease{
-		status:  leaser.LeaseStatus{State: leaser.Running, Peak: payload.Usage},
-		size:    body.Resources,
-		expires: time.Now().Add(time.Duration(body.LeaseMS) * time.Millisecond),
-		ended:   make(chan struct{}),
+		status:    leaser.LeaseStatus{State: leaser.Running, Peak: payload.Usage},
+		resources: body.Resources,
+		expires:   time.Now().Add(time.Duration(body.LeaseMS) * time.Millisecond),
+		done:      make(chan struct{}),
 	}
 	worker.leases[id] = started
 	worker.starts++
 	switch {
 	case worker.fault == WorkerFailing:
-		worker.end(started, leaser.Failed, "task failed")
+		worker.finish(started, leaser.Failed, "task failed")
 	case payload.Usage.MemoryMB > body.Resources.MemoryMB:
 		started.status.Guard = leaser.GuardStopped
-		worker.end(started, leaser.Stopped, "task exceeded its memory")
+		worker.finish(started, leaser.Stopped, "task exceeded its memory")
 	default:
-		worker.run(started, payload, body.Resources)
+		worker.scheduleEnd(started, payload, body.Resources)
 	}
 	return started, http.StatusOK, worker.fault
 }
 
-// run ends the task after its run time, stretched if the guard throttles it; the caller holds worker.mu.
-func (worker *Worker) run(started *lease, payload WorkerPayload, resources placer.Resources) {
+// scheduleEnd ends the task after its run time, stretched if the guard throttles it; the caller holds worker.mu.
+func (worker *Worker) scheduleEnd(started *lease, payload WorkerPayload, resources placer.Resources) {
 	runTime := time.Duration(payload.RunMS) * time.Millisecond
 	if payload.Usage.MilliCores > resources.MilliCores {
 		started.status.Guard = leaser.GuardThrottled
@@ -146,7 +146,7 @@
 		worker.mu.Lock()
 		defer worker.mu.Unlock()
 		started.status.Result = json.RawMessage("{}")
-		worker.end(started, leaser.Finished, "")
+		worker.finish(started, leaser.Finished, "")
 	})
 	worker.expireAt(started, started.expires)
 }
@@ -160,23 +160,23 @@
 			worker.expireAt(running, running.expires)
 			return
 		}
-		worker.end(running, leaser.Lapsed, "the lease was not renewed")
+		worker.finish(running, leaser.Lapsed, "the lease was not renewed")
 	})
 }
 
-// end settles a running lease; the caller holds worker.mu.
-func (worker *Worker) end(running *lease, state leaser.State, detail string) {
+// finish settles a running lease; the caller holds worker.mu.
+func (worker *Worker) finish(running *lease, state leaser.State, detail string) {
 	if running.status.State != leaser.Running {
 		return
 	}
 	running.status.State, running.status.Detail = state, detail
-	worker.used = sum(worker.used, placer.Resources{
-		MilliCores: -running.size.MilliCores, MemoryMB: -running.size.MemoryMB, Accelerators: -running.size.Accelerators,
+	worker.used = addResources(worker.used, placer.Resources{
+		MilliCores: -running.resources.MilliCores, MemoryMB: -running.resources.MemoryMB, Accelerators: -running.resources.Accelerators,
 	})
-	close(running.ended)
+	close(running.done)
 }
 
-func sum(a, b placer.Resources) placer.Resources {
+func addResources(a, b placer.Resources) placer.Resources {
 	return placer.Resources{MilliCores: a.MilliCores + b.MilliCores, MemoryMB: a.MemoryMB + b.MemoryMB, Accelerators: a.Accelerators + b.Accelerators}
 }
 
@@ -196,15 +196,15 @@
 		http.Error(writer, "no such lease", http.StatusNotFound)
 		return
 	}
-	worker.answer(writer, request, renewed, body.WaitMS)
+	worker.respond(writer, request, renewed, body.WaitMS)
 }
 
-// answer sends the lease's state when the task ends or waitMS milliseconds have passed.
-func (worker *Worker) answer(writer http.ResponseWriter, request *http.Request, asked *lease, waitMS int64) {
+// respond sends the lease's state when the task ends or waitMS milliseconds have passed.
+func (worker *Worker) respond(writer http.ResponseWriter, request *http.Request, asked *lease, waitMS int64) {
 	timer := time.NewTimer(time.Duration(waitMS) * time.Millisecond)
 	defer timer.Stop()
 	select {
-	case <-asked.ended:
+	case <-asked.done:
 	case <-timer.C:
 	case <-request.Context().Done():
 		return
--- a/estimator/estimator_test.go
+++ b/estimator/estimator_test.go
@@ -21,7 +21,7 @@
 ok  	example.org/mod/alpha	1.0s
 `
 
-func near(a, b float64) bool { return math.Abs(a-b) < 1e-9*max(1, math.Abs(b)) }
+func approxEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9*max(1, math.Abs(b)) }
 
 // Guards against a wrong fit; the expected line was computed by hand from the weights 1/4, 1/16 and 1/16.
 func TestFitAgainstHandComputedLine(t *testing.T) {
@@ -30,17 +30,17 @@
 	is.NoErr(err)
 	fit, ok := measurements.fit(series{"alpha.Beta", "items", "ns/op"})
 	is.True(ok && fit.Fitted())
-	is.True(near(fit.Slope(), 8.0/11))
-	is.True(near(fit.Intercept(), 16.0/11))
-	is.True(near(fit.Spread(), math.Sqrt(1.0/11)))
+	is.True(approxEqual(fit.Slope(), 8.0/11))
+	is.True(approxEqual(fit.Intercept(), 16.0/11))
+	is.True(approxEqual(fit.Spread(), math.Sqrt(1.0/11)))
 	is.True(fit.Covers(4) && !fit.Covers(5))
 
 	fit, ok = measurements.fit(series{"alpha.Gamma/ini/cols=3", "rows", "ns/op"})
-	is.True(ok && !fit.Fitted() && near(fit.At(1000), 7)) // one size is never extended to a slope
+	is.True(ok && !fit.Fitted() && approxEqual(fit.At(1000), 7)) // one size is never extended to a slope
 	_, ok = measurements.fit(series{"alpha.Bare", "size", "ns/op"})
 	is.True(ok)
 	fit, ok = measurements.fit(series{"alpha.Delta", "", "ns/op"})
-	is.True(ok && !fit.Fitted() && near(fit.At(0), 9)) // a benchmark without a size
+	is.True(ok && !fit.Fitted() && approxEqual(fit.At(0), 9)) // a benchmark without a size
 }
 
 // Guards against wrong sums and marks, and against a missing benchmark that counts as zero cost without a mark.
@@ -49,20 +49,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wire := func(size, times float64) term { return line("alpha.Beta", "items", "wire-B/op", size, times) }
+	wire := func(size, times float64) term { return measuredTerm("alpha.Beta", "items", "wire-B/op", size, times) }
 	tests := []struct {
 		name  string
 		terms []term
 		want  string
 	}{
 		{"nothing", nil, "0"},
-		{"flat", []term{flat(2), flat(3)}, "5 *c*"},
-		{"within the sizes: 3*70+1", []term{wire(3, 3), flat(1)}, "211 *x*"},
+		{"flat", []term{constantTerm(2), constantTerm(3)}, "5 *c*"},
+		{"within the sizes: 3*70+1", []term{wire(3, 3), constantTerm(1)}, "211 *x*"},
 		{"beyond the sizes: 2*(40+10*100)", []term{wire(100, 2)}, "2080 *xx*"},
-		{"not fitted: 2*9", []term{line("alpha.Delta", "", "ns/op", 0, 2)}, "18 *nf*"},
-		{"stand-in for a missing one: 50+2", []term{line("alpha.Absent", "items", "ns/op", 1, 1).or(wire(1, 1)), flat(2)}, "52 *x* + ?"},
-		{"partly missing", []term{wire(1, 1), line("alpha.Absent", "items", "ns/op", 1, 1)}, "50 *x* + ?"},
-		{"missing", []term{line("alpha.Absent", "items", "ns/op", 1, 1)}, "not measured yet"},
+		{"not fitted: 2*9", []term{measuredTerm("alpha.Delta", "", "ns/op", 0, 2)}, "18 *nf*"},
+		{"stand-in for a missing one: 50+2", []term{measuredTerm("alpha.Absent", "items", "ns/op", 1, 1).withFallback(wire(1, 1)), constantTerm(2)}, "52 *x* + ?"},
+		{"partly missing", []term{wire(1, 1), measuredTerm("alpha.Absent", "items", "ns/op", 1, 1)}, "50 *x* + ?"},
+		{"missing", []term{measuredTerm("alpha.Absent", "items", "ns/op", 1, 1)}, "not measured yet"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -83,21 +83,21 @@
 `))
 	is.NoErr(err)
 	scale := TargetScale()
-	scale.changes = 8_640
+	scale.bundlesPerDay = 8_640
 	estimate := New(measurements, scale)
-	for i, evaluated := range estimate.entries {
+	for i, evaluated := range estimate.rows {
 		if evaluated.role != roleConfig || evaluated.control {
 			continue
 		}
-		is.True(near(evaluated.wire.Value(), 22_000*100*0.1*4/3))
-		is.True(near(evaluated.cpu.Value(), 0.1*2.2e6*1e-9))
+		is.True(approxEqual(evaluated.wire.Value(), 22_000*100*0.1*4/3))
+		is.True(approxEqual(evaluated.cpu.Value(), 0.1*2.2e6*1e-9))
 		is.Equal(evaluated.cpu.Missing(), []string{"appender.Read", "bundler.Fold"})
-		is.True(estimate.points[i].BelowTarget())
-		is.Equal(estimate.points[i].resource, "bytes/s")
-		is.True(math.Abs(estimate.points[i].size-2_100) < 21) // the search stops within 1%
-		split := estimate.entries[i+1]                        // a part has 22,000/27 targets
-		is.True(near(split.wire.Value(), 22_000*100*0.1*4/3/27))
-		is.True(!estimate.points[i+1].BelowTarget())
+		is.True(estimate.saturations[i].BelowTarget())
+		is.Equal(estimate.saturations[i].resource, "bytes/s")
+		is.True(math.Abs(estimate.saturations[i].size-2_100) < 21) // the search stops within 1%
+		split := estimate.rows[i+1]                                // a part has 22,000/27 targets
+		is.True(approxEqual(split.wire.Value(), 22_000*100*0.1*4/3/27))
+		is.True(!estimate.saturations[i+1].BelowTarget())
 	}
 }
 
@@ -121,9 +121,9 @@
 	for _, test := range tests {
 		t.Run(test.function, func(t *testing.T) {
 			is := is.New(t)
-			for _, evaluated := range estimate.entries {
+			for _, evaluated := range estimate.rows {
 				if evaluated.function == test.function {
-					is.True(near(evaluated.messages.Value(), test.want))
+					is.True(approxEqual(evaluated.messages.Value(), test.want))
 					return
 				}
 			}
@@ -153,13 +153,13 @@
 		t.Fatal(err)
 	}
 	scale := TargetScale()
-	for i, row := range model(scale) {
+	for i, row := range tableRows(scale) {
 		is := is.New(t)
 		larger := scale
-		*larger.field(row.driver) *= 2
-		before, after := measurements.evaluate(row), measurements.evaluate(model(larger)[i])
+		*larger.driverValue(row.driver) *= 2
+		before, after := measurements.evaluateRow(row), measurements.evaluateRow(tableRows(larger)[i])
 		is.True(after.wire.Value() >= before.wire.Value())     // bytes/s
 		is.True(after.memory.Value() >= before.memory.Value()) // memory
-		is.True(row.breaks != "" && row.next != "" && row.mechanism != "")
+		is.True(row.bottleneck != "" && row.nextMechanism != "" && row.mechanism != "")
 	}
 }
--- a/estimator/format.go
+++ b/estimator/format.go
@@ -6,21 +6,21 @@
 	"strings"
 )
 
-// number formats a value with three significant digits, and with k, M, G or T from 10,000 on.
-func number(value float64) string {
+// formatNumber formats a value with three significant digits, and with k, M, G or T from 10,000 on.
+func formatNumber(value float64) string {
 	magnitude := math.Abs(value)
 	for _, unit := range []struct {
 		from, divisor float64
 		suffix        string
 	}{{1e12, 1e12, " T"}, {1e9, 1e9, " G"}, {1e6, 1e6, " M"}, {1e4, 1e3, " k"}} {
 		if magnitude >= unit.from {
-			return digits(value/unit.divisor) + unit.suffix
+			return formatDigits(value/unit.divisor) + unit.suffix
 		}
 	}
-	return digits(value)
+	return formatDigits(value)
 }
 
-func digits(value float64) string {
+func formatDigits(value float64) string {
 	if math.Abs(value) >= 100 {
 		return strconv.FormatFloat(value, 'f', 0, 64)
 	}
@@ -43,7 +43,7 @@
 	if quantity.value == 0 {
 		return "0"
 	}
-	text := number(quantity.value) + " " + quantity.grade.mark()
+	text := formatNumber(quantity.value) + " " + quantity.grade.mark()
 	if len(quantity.missing) > 0 {
 		text += " + ?"
 	}
@@ -59,11 +59,11 @@
 	return [...]string{"*c*", "*x*", "*xx*", "*nf*"}[grade]
 }
 
-func percent(quantity Quantity, budget float64) string {
+func formatPercent(quantity Quantity, budget float64) string {
 	if quantity.value == 0 && len(quantity.missing) > 0 {
 		return "?"
 	}
-	text := number(100*quantity.value/budget) + "%"
+	text := formatNumber(100*quantity.value/budget) + "%"
 	if quantity.value > budget {
 		text = "**" + text + "**"
 	}
@@ -80,7 +80,7 @@
 	return strings.ToUpper(text[:1]) + text[1:]
 }
 
-func orUnknown(text string) string {
+func orNotNamed(text string) string {
 	if text == "" {
 		return "not named"
 	}
--- a/estimator/model.go
+++ b/estimator/model.go
@@ -10,97 +10,97 @@
 	rolePlatform   = "platform"
 )
 
-// model returns the rows of the table at scale: which line, times which count, makes which figure.
+// tableRows returns the rows of the table at scale: which line, times which count, makes which figure.
 // Figures of entry instances are per instance, those of the platform are for the whole deployment.
-func model(scale Scale) []row {
+func tableRows(scale Scale) []row {
 	return append(requestRows(scale), append(controlRows(scale), platformRows(scale)...)...)
 }
 
 func requestRows(scale Scale) []row {
-	jobs, tasks := scale.jobs(), scale.tasksPerJob
+	jobs, tasks := scale.jobRate(), scale.tasksPerJob
 	starts := jobs * tasks
 	inFlight := starts * scale.taskSeconds
 	// A record lives one to two retention periods, at its owner and at one witness.
 	records := jobs * 2 * scale.retentionSeconds * 2
-	instance := limits{cpu: scale.cores * scale.usable, memory: scale.memoryBytes, wire: scale.networkBytes}
+	instance := limits{cpu: scale.cores * scale.usableShare, memory: scale.memoryBytes, wire: scale.networkBytes}
 	return []row{
 		{
 			role: roleEntry, function: "requests: read, decode, digest", driver: byStarts, limits: instance,
-			state:    []term{line("encoder.DecodeJob", "tasks", "B/op", tasks, jobs*scale.taskSeconds)},
-			messages: []term{flat(2 * jobs)},
-			wire:     []term{line("encoder.DecodeJob", "tasks", "wire-B/op", tasks, jobs)},
+			state:    []term{measuredTerm("encoder.DecodeJob", "tasks", "B/op", tasks, jobs*scale.taskSeconds)},
+			messages: []term{constantTerm(2 * jobs)},
+			wire:     []term{measuredTerm("encoder.DecodeJob", "tasks", "wire-B/op", tasks, jobs)},
 			cpu: []term{
-				work("encoder.DecodeJob", "tasks", tasks, jobs),
-				work("dispatcher.Digest", "tasks", tasks, jobs),
-				exchange(jobs),
+				cpuTerm("encoder.DecodeJob", "tasks", tasks, jobs),
+				cpuTerm("dispatcher.Digest", "tasks", tasks, jobs),
+				httpExchangeTerm(jobs),
 			},
-			mechanism: "HTTP/1.1 and strict JSON, one goroutine per request",
-			breaks:    "JSON decoding fills the cores", next: "CBOR bodies for callers that ask for them",
+			mechanism:  "HTTP/1.1 and strict JSON, one goroutine per request",
+			bottleneck: "JSON decoding fills the cores", nextMechanism: "CBOR bodies for callers that ask for them",
 		},
 		{
 			role: roleEntry, function: "answers: encode, hold for resubmission", driver: byResults, limits: instance,
-			state:     []term{flat(min(scale.heldAnswerBytes(), answerBudget))},
-			wire:      []term{line("encoder.EncodeOutcome", "tasks", "wire-B/op", tasks, jobs)},
-			cpu:       []term{work("encoder.EncodeOutcome", "tasks", tasks, jobs)},
-			mechanism: "the owner keeps whole answers for one to two retention periods, within max-answer-bytes; beyond it the oldest are dropped and answered \"answer lost\"",
-			breaks:    "answers are dropped before the retention ends", next: "a larger max-answer-bytes; a shorter retention per kind",
+			state:      []term{constantTerm(min(scale.heldAnswerBytes(), defaultMaxAnswerBytes))},
+			wire:       []term{measuredTerm("encoder.EncodeOutcome", "tasks", "wire-B/op", tasks, jobs)},
+			cpu:        []term{cpuTerm("encoder.EncodeOutcome", "tasks", tasks, jobs)},
+			mechanism:  "the owner keeps whole answers for one to two retention periods, within max-answer-bytes; beyond it the oldest are dropped and answered \"answer lost\"",
+			bottleneck: "answers are dropped before the retention ends", nextMechanism: "a larger max-answer-bytes; a shorter retention per kind",
 		},
 		{
 			role: roleEntry, function: "routing: pick a target per task", driver: byTargets, limits: instance,
-			state: []term{line("router.Decision", "size", "B/target", scale.targets/scale.domains, scale.targets/scale.domains)},
+			state: []term{measuredTerm("router.Decision", "size", "B/target", scale.targets/scale.domains, scale.targets/scale.domains)},
 			cpu: []term{
-				work("router.Decision", "size", scale.targets/scale.domains, starts),
-				work("placer.Place", "workers", scale.targets/scale.domains, starts),
+				cpuTerm("router.Decision", "size", scale.targets/scale.domains, starts),
+				cpuTerm("placer.Place", "workers", scale.targets/scale.domains, starts),
 			},
-			mechanism: "runners by expected completion time, workers by room; both are counted for every start; own failure domain",
-			breaks:    "a scan of all targets per pick", next: "power of two choices over the same estimates",
+			mechanism:  "runners by expected completion time, workers by room; both are counted for every start; own failure domain",
+			bottleneck: "a scan of all targets per pick", nextMechanism: "power of two choices over the same estimates",
 		},
 		{
 			role: roleEntry, function: "task starts", driver: byStarts, limits: instance,
-			memory:    []term{flat(inFlight * connectionBytes)},
-			messages:  []term{flat(2 * starts)},
-			wire:      []term{line("starter.Start", "tasks", "wire-B/op", tasks, jobs)},
-			cpu:       []term{socketWork("starter.Start", "tasks", tasks, jobs)},
-			mechanism: "HTTP/1.1, one connection per task in flight",
-			breaks:    "net/http client work per start fills the cores", next: "HTTP/2 to targets that offer it; more instances",
+			memory:     []term{constantTerm(inFlight * connectionBytes)},
+			messages:   []term{constantTerm(2 * starts)},
+			wire:       []term{measuredTerm("starter.Start", "tasks", "wire-B/op", tasks, jobs)},
+			cpu:        []term{socketCPUTerm("starter.Start", "tasks", tasks, jobs)},
+			mechanism:  "HTTP/1.1, one connection per task in flight",
+			bottleneck: "net/http client work per start fills the cores", nextMechanism: "HTTP/2 to targets that offer it; more instances",
 		},
 		{
 			role: roleEntry, function: "start records: owner and witness", driver: byStarts, limits: instance,
-			state:    []term{line("keeper.RecordMemory", "size", "B/record", records, records).or(flat(records * scale.recordBytes))},
-			messages: []term{flat(4 * jobs)}, // record and acknowledgement, once as owner and once as witness
-			wire:     []term{line("linker.Record", "peers", "B/message", scale.instancesPerDomain, 4*jobs).or(flat(4 * jobs * scale.messageBytes))},
+			state:    []term{measuredTerm("keeper.RecordMemory", "size", "B/record", records, records).withFallback(constantTerm(records * scale.recordBytes))},
+			messages: []term{constantTerm(4 * jobs)}, // record and acknowledgement, once as owner and once as witness
+			wire:     []term{measuredTerm("linker.Record", "peers", "B/message", scale.instancesPerDomain, 4*jobs).withFallback(constantTerm(4 * jobs * scale.messageBytes))},
 			// The benchmark covers owner and witness; an instance is each of them once per job.
-			cpu:       []term{work("keeper.Job", "size", records, jobs)},
-			mechanism: "one record per job in the memory of two instances, one round trip",
-			breaks:    "memory for records of small jobs", next: "drop settled records to key and digest; a shorter retention",
+			cpu:        []term{cpuTerm("keeper.Job", "size", records, jobs)},
+			mechanism:  "one record per job in the memory of two instances, one round trip",
+			bottleneck: "memory for records of small jobs", nextMechanism: "drop settled records to key and digest; a shorter retention",
 		},
 		{
 			role: roleEntry, function: "queueing and quotas", driver: byStarts, limits: instance,
-			cpu:       []term{work("limiter.Queue", "waiting", maxWaitingJobs, starts)},
-			mechanism: "one queue per instance, ordered by deadline",
-			breaks:    "one lock per queue", next: "a queue per kind",
+			cpu:        []term{cpuTerm("limiter.Queue", "waiting", maxWaitingJobs, starts)},
+			mechanism:  "one queue per instance, ordered by deadline",
+			bottleneck: "one lock per queue", nextMechanism: "a queue per kind",
 		},
 		{
 			role: roleEntry, function: "peers: links and codec", driver: byStarts, limits: instance,
 			// A message is measured with both ends; an instance is one end of each of its 4 messages per job.
-			cpu:       []term{line("linker.Record", "peers", "cpu-ns/message", scale.instancesPerDomain, 2*jobs*1e-9)},
-			mechanism: "WebSocket frames, CBOR; full mesh inside a failure domain",
-			breaks:    "one frame and one system call per message", next: "records of several jobs in one frame",
+			cpu:        []term{measuredTerm("linker.Record", "peers", "cpu-ns/message", scale.instancesPerDomain, 2*jobs*1e-9)},
+			mechanism:  "WebSocket frames, CBOR; full mesh inside a failure domain",
+			bottleneck: "one frame and one system call per message", nextMechanism: "records of several jobs in one frame",
 		},
 		{
 			role: roleCaller, function: "submit and decode, one process per team", driver: byStarts, limits: instance,
-			messages: []term{flat(2 * scale.callerJobs())},
+			messages: []term{constantTerm(2 * scale.callerJobRate())},
 			wire: []term{
-				line("encoder.DecodeJob", "tasks", "wire-B/op", tasks, scale.callerJobs()),
-				line("encoder.EncodeOutcome", "tasks", "wire-B/op", tasks, scale.callerJobs()),
+				measuredTerm("encoder.DecodeJob", "tasks", "wire-B/op", tasks, scale.callerJobRate()),
+				measuredTerm("encoder.EncodeOutcome", "tasks", "wire-B/op", tasks, scale.callerJobRate()),
 			},
 			cpu: []term{
-				work("encoder.EncodeJob", "tasks", tasks, scale.callerJobs()),
-				work("encoder.DecodeOutcome", "tasks", tasks, scale.callerJobs()),
-				exchange(scale.callerJobs()),
+				cpuTerm("encoder.EncodeJob", "tasks", tasks, scale.callerJobRate()),
+				cpuTerm("encoder.DecodeOutcome", "tasks", tasks, scale.callerJobRate()),
+				httpExchangeTerm(scale.callerJobRate()),
 			},
-			mechanism: "HTTP/1.1 to the balancer",
-			breaks:    "JSON encoding and decoding", next: "more caller processes",
+			mechanism:  "HTTP/1.1 to the balancer",
+			bottleneck: "JSON encoding and decoding", nextMechanism: "more caller processes",
 		},
 	}
 }
@@ -108,190 +108,190 @@
 func controlRows(scale Scale) []row {
 	peers := scale.instancesPerDomain - 1
 	budget := limits{cpu: budgetCPU, memory: budgetMemory, wire: budgetWire}
-	bundles := scale.changeRate()
+	bundles := scale.bundleRate()
 	views := scale.viewRate()
 	part := scale.targets / scale.domains
-	records := scale.jobs() * 4 * scale.retentionSeconds
-	unsummed := scale.burnRate() * sumLagSeconds // burn records after the last hourly sum
+	records := scale.jobRate() * 4 * scale.retentionSeconds
+	unsummed := scale.burnRecordRate() * maxSumLagSeconds // burn records after the last hourly sum
 	return []row{
 		{
 			role: roleConfig, function: "bundles as one record: read, verify, parse", driver: byTargets, limits: budget,
-			state: []term{line("bundler.Parse", "targets", "held-B", scale.targets, 2), line("bundler.Parse", "targets", "record-B", scale.targets, 1)},
+			state: []term{measuredTerm("bundler.Parse", "targets", "held-B", scale.targets, 2), measuredTerm("bundler.Parse", "targets", "record-B", scale.targets, 1)},
 			memory: []term{
-				line("bundler.Parse", "targets", "B/op", scale.targets, 1),
-				line("appender.Read", "bytes", "B/op", scale.targets*bundleBytesPerTarget, 1),
+				measuredTerm("bundler.Parse", "targets", "B/op", scale.targets, 1),
+				measuredTerm("appender.Read", "bytes", "B/op", scale.targets*bundleBytesPerTarget, 1),
 			},
-			messages: []term{flat(2 * bundles)},
-			wire:     []term{line("bundler.Parse", "targets", "record-B", scale.targets, bundles*base64Growth)},
+			messages: []term{constantTerm(2 * bundles)},
+			wire:     []term{measuredTerm("bundler.Parse", "targets", "record-B", scale.targets, bundles*base64Growth)},
 			cpu: []term{
-				work("bundler.Fold", "targets", scale.targets, bundles).or(work("bundler.Parse", "targets", scale.targets, bundles)),
-				socketWork("appender.Read", "bytes", scale.targets*bundleBytesPerTarget, bundles),
+				cpuTerm("bundler.Fold", "targets", scale.targets, bundles).withFallback(cpuTerm("bundler.Parse", "targets", scale.targets, bundles)),
+				socketCPUTerm("appender.Read", "bytes", scale.targets*bundleBytesPerTarget, bundles),
 			},
-			mechanism: "each change publishes the whole bundle; each instance reads and parses all of it",
-			breaks:    "every instance reads the whole configuration for each change", next: "one record per failure domain (next row)",
+			mechanism:  "each change publishes the whole bundle; each instance reads and parses all of it",
+			bottleneck: "every instance reads the whole configuration for each change", nextMechanism: "one record per failure domain (next row)",
 		},
 		{
 			// Upper bound: all changes fall on the part of the instance's own failure domain.
 			role: roleConfig, function: "bundles split per failure domain: read, verify, parse", control: true, driver: byTargets, limits: budget,
-			state: []term{line("bundler.Parse", "targets", "held-B", part, 2), scale.partRecord(1)},
+			state: []term{measuredTerm("bundler.Parse", "targets", "held-B", part, 2), scale.partRecord(1)},
 			memory: []term{
-				line("bundler.Parse", "targets", "B/op", part, 1),
-				line("appender.Read", "bytes", "B/op", part*bundleBytesPerTarget, 1),
+				measuredTerm("bundler.Parse", "targets", "B/op", part, 1),
+				measuredTerm("appender.Read", "bytes", "B/op", part*bundleBytesPerTarget, 1),
 			},
-			messages: []term{flat(2 * bundles)},
+			messages: []term{constantTerm(2 * bundles)},
 			wire:     []term{scale.partRecord(bundles * base64Growth)},
 			cpu: []term{
-				work("bundler.Parts/part", "targets", scale.targets, bundles).or(work("bundler.Parse", "targets", part, bundles)),
-				socketWork("appender.Read", "bytes", part*bundleBytesPerTarget, bundles),
+				cpuTerm("bundler.Parts/part", "targets", scale.targets, bundles).withFallback(cpuTerm("bundler.Parse", "targets", part, bundles)),
+				socketCPUTerm("appender.Read", "bytes", part*bundleBytesPerTarget, bundles),
 			},
-			mechanism: "each change publishes the targets of one failure domain, or the common part",
-			breaks:    "every instance reads all targets of its failure domain for each change",
-			next:      "a record per change that holds only the changed sections and the digest of the whole",
+			mechanism:     "each change publishes the targets of one failure domain, or the common part",
+			bottleneck:    "every instance reads all targets of its failure domain for each change",
+			nextMechanism: "a record per change that holds only the changed sections and the digest of the whole",
 		},
 		{
 			role: roleMembership, function: "heartbeats and suspicion", control: true, driver: byInstances, limits: budget,
-			state:    []term{flat(64 * scale.instancesPerDomain * scale.viewBytes)},
-			messages: []term{flat(2 * peers)},
-			wire:     []term{line("linker.Heartbeat", "peers", "B/message", scale.instancesPerDomain, 2*peers).or(flat(2 * peers * scale.heartbeatBytes))},
+			state:    []term{constantTerm(64 * scale.instancesPerDomain * scale.viewBytes)},
+			messages: []term{constantTerm(2 * peers)},
+			wire:     []term{measuredTerm("linker.Heartbeat", "peers", "B/message", scale.instancesPerDomain, 2*peers).withFallback(constantTerm(2 * peers * scale.heartbeatBytes))},
 			cpu: []term{
-				work("watcher.Second/suspects=0", "peers", scale.instancesPerDomain, 1),
-				line("linker.Heartbeat", "peers", "cpu-ns/message", scale.instancesPerDomain, peers*1e-9),
+				cpuTerm("watcher.Second/suspects=0", "peers", scale.instancesPerDomain, 1),
+				measuredTerm("linker.Heartbeat", "peers", "cpu-ns/message", scale.instancesPerDomain, peers*1e-9),
 			},
-			mechanism: "full mesh inside the failure domain, one heartbeat a second to each member",
-			breaks:    "heartbeats grow with the members of a failure domain", next: "heartbeats to a few rendezvous neighbours; larger instances",
+			mechanism:  "full mesh inside the failure domain, one heartbeat a second to each member",
+			bottleneck: "heartbeats grow with the members of a failure domain", nextMechanism: "heartbeats to a few rendezvous neighbours; larger instances",
 		},
 		{
 			role: roleMembership, function: "views: read, adopt, sync", control: true, driver: byStarts, limits: budget,
-			messages: []term{flat(views * (1 + 2*peers))},
+			messages: []term{constantTerm(views * (1 + 2*peers))},
 			// Only views that move slices need a sync; the benchmark's sync is that of all slices of one instance.
 			wire: []term{
-				flat(views * scale.instancesPerDomain * scale.viewBytes * base64Growth),
-				line("keeper.Sync", "size", "B/sync", records, scale.moveRate()),
+				constantTerm(views * scale.instancesPerDomain * scale.viewBytes * base64Growth),
+				measuredTerm("keeper.Sync", "size", "B/sync", records, scale.sliceMoveRate()),
 			},
 			cpu: []term{
-				work("keeper.Adopt", "size", scale.instancesPerDomain, views),
-				work("keeper.Sync", "size", records, scale.moveRate()),
+				cpuTerm("keeper.Adopt", "size", scale.instancesPerDomain, views),
+				cpuTerm("keeper.Sync", "size", records, scale.sliceMoveRate()),
 			},
-			mechanism: "stream views-<domain>; moved slices are synced from every member",
-			breaks:    "each instance that comes or goes moves its slices, and every record of them is sent",
-			next:      "send only records that the new owner lacks, by slice digest",
+			mechanism:     "stream views-<domain>; moved slices are synced from every member",
+			bottleneck:    "each instance that comes or goes moves its slices, and every record of them is sent",
+			nextMechanism: "send only records that the new owner lacks, by slice digest",
 		},
 		{
 			role: roleMembership, function: "instance list polls", control: true, driver: byInstances, limits: budget,
-			state:     []term{flat(scale.instancesPerDomain * scale.listEntryBytes)},
-			messages:  []term{flat(2 / scale.pollSeconds)},
-			wire:      []term{flat(scale.instancesPerDomain * scale.listEntryBytes / scale.pollSeconds)},
-			cpu:       []term{exchange(1 / scale.pollSeconds)},
-			mechanism: "the instances of the own failure domain at each poll",
-			breaks:    "the whole answer is read for a few changed entries", next: "conditional requests (ETag)",
+			state:      []term{constantTerm(scale.instancesPerDomain * scale.listEntryBytes)},
+			messages:   []term{constantTerm(2 / scale.pollSeconds)},
+			wire:       []term{constantTerm(scale.instancesPerDomain * scale.listEntryBytes / scale.pollSeconds)},
+			cpu:        []term{httpExchangeTerm(1 / scale.pollSeconds)},
+			mechanism:  "the instances of the own failure domain at each poll",
+			bottleneck: "the whole answer is read for a few changed entries", nextMechanism: "conditional requests (ETag)",
 		},
 		{
 			role: roleBurn, function: "count answers, append minute records", control: true, driver: bySeries, limits: budget,
 			state: []term{
-				line("reporter.Batch", "series", "held-B", scale.seriesPerInstance, 1),
-				flat(scale.jobs() * 2 * scale.retentionSeconds * claimBytes),
+				measuredTerm("reporter.Batch", "series", "held-B", scale.seriesPerInstance, 1),
+				constantTerm(scale.jobRate() * 2 * scale.retentionSeconds * claimBytes),
 			},
-			messages: []term{flat(2.0 / 60)},
-			wire:     []term{line("reporter.Batch", "series", "wire-B/op", scale.seriesPerInstance, 1.0/60)},
+			messages: []term{constantTerm(2.0 / 60)},
+			wire:     []term{measuredTerm("reporter.Batch", "series", "wire-B/op", scale.seriesPerInstance, 1.0/60)},
 			cpu: []term{
-				work("reporter.Record", "series", scale.seriesPerInstance, scale.jobs()),
-				work("reporter.Batch", "series", scale.seriesPerInstance, 1.0/60),
-				socketWork("appender.Append", "bytes", scale.seriesPerInstance*scale.burnSeriesBytes, 1.0/60),
+				cpuTerm("reporter.Record", "series", scale.seriesPerInstance, scale.jobRate()),
+				cpuTerm("reporter.Batch", "series", scale.seriesPerInstance, 1.0/60),
+				socketCPUTerm("appender.Append", "bytes", scale.seriesPerInstance*scale.burnSeriesBytes, 1.0/60),
 			},
-			mechanism: "bucketed counters per series; one record a minute and instance to stream burn",
-			breaks:    "size of the minute records", next: "fewer series per instance: callers of one team on few instances",
+			mechanism:  "bucketed counters per series; one record a minute and instance to stream burn",
+			bottleneck: "size of the minute records", nextMechanism: "fewer series per instance: callers of one team on few instances",
 		},
 		{
 			// Means over the hours; at its turn an instance reads the records of an hour within sumTimeout of package accountant.
 			role: roleBurn, function: "hourly sums: read them, append them at the own turn", control: true, driver: bySeries, limits: budget,
-			memory:   []term{line("reporter.Summer", "series", "held-B", scale.seriesPerInstance, 1)},
-			messages: []term{flat(2.0 / secondsPerHour)},
+			memory:   []term{measuredTerm("reporter.Summer", "series", "held-B", scale.seriesPerInstance, 1)},
+			messages: []term{constantTerm(2.0 / secondsPerHour)},
 			cpu: []term{
-				work("reporter.Sum", "series", scale.seriesPerInstance, 1.0/secondsPerHour),
-				work("reporter.Summer", "series", scale.seriesPerInstance, scale.burnRate()/scale.instances()),
+				cpuTerm("reporter.Sum", "series", scale.seriesPerInstance, 1.0/secondsPerHour),
+				cpuTerm("reporter.Summer", "series", scale.seriesPerInstance, scale.burnRecordRate()/scale.instances()),
 			},
 			wire: []term{
-				line("reporter.Sum", "series", "wire-B/op", scale.seriesPerInstance, base64Growth/secondsPerHour),
-				line("reporter.Batch", "series", "wire-B/op", scale.seriesPerInstance, base64Growth*scale.burnRate()/scale.instances()),
+				measuredTerm("reporter.Sum", "series", "wire-B/op", scale.seriesPerInstance, base64Growth/secondsPerHour),
+				measuredTerm("reporter.Batch", "series", "wire-B/op", scale.seriesPerInstance, base64Growth*scale.burnRecordRate()/scale.instances()),
 			},
-			mechanism: "rendezvous hashing selects the instance that sums the records of an hour",
-			breaks:    "size of the sum and of the minute records", next: "sums per failure domain",
+			mechanism:  "rendezvous hashing selects the instance that sums the records of an hour",
+			bottleneck: "size of the sum and of the minute records", nextMechanism: "sums per failure domain",
 		},
 		{
 			// Only the instance that is asked reads the stream, so this is no control work of every node.
 			role: roleBurn, function: "GET /v1/burn asked every minute, at the instance that is asked", driver: bySeries, limits: budget,
-			memory:   []term{line("reporter.Add", "series", "held-B", scale.seriesPerInstance, 1)},
-			messages: []term{flat(2.0 / 60)},
+			memory:   []term{measuredTerm("reporter.Add", "series", "held-B", scale.seriesPerInstance, 1)},
+			messages: []term{constantTerm(2.0 / 60)},
 			cpu: []term{
-				socketWork("accountant.Follow", "series", scale.seriesPerInstance, scale.burnRate()/benchInstances),
-				socketWork("accountant.Read/report", "series", scale.seriesPerInstance, 1.0/60),
+				socketCPUTerm("accountant.Follow", "series", scale.seriesPerInstance, scale.burnRecordRate()/benchInstances),
+				socketCPUTerm("accountant.Read/report", "series", scale.seriesPerInstance, 1.0/60),
 			},
-			wire:      []term{line("reporter.Batch", "series", "wire-B/op", scale.seriesPerInstance, base64Growth*scale.burnRate())},
-			mechanism: "the reader follows the stream; a report reads only what is new",
-			breaks:    "the records of all instances reach one reader", next: "ask less often, or only the command on an operator's machine",
+			wire:       []term{measuredTerm("reporter.Batch", "series", "wire-B/op", scale.seriesPerInstance, base64Growth*scale.burnRecordRate())},
+			mechanism:  "the reader follows the stream; a report reads only what is new",
+			bottleneck: "the records of all instances reach one reader", nextMechanism: "ask less often, or only the command on an operator's machine",
 		},
 		{
 			role: roleBurn, function: "a report of three days, read from the log in a minute", driver: bySeries, limits: limits{wire: scale.networkBytes, cpu: 1},
-			memory:   []term{line("reporter.Add", "series", "held-B", scale.seriesPerInstance, 1)},
-			messages: []term{flat(unsummed / maxPageRecords / 60), flat(sumsRead / 60)},
+			memory:   []term{measuredTerm("reporter.Add", "series", "held-B", scale.seriesPerInstance, 1)},
+			messages: []term{constantTerm(unsummed / maxPageRecords / 60), constantTerm(hourlySumsRead / 60)},
 			cpu: []term{
 				// The benchmark reads three days of sums and the minutes of a few instances; the others' minutes are added.
-				socketWork("accountant.Read/sums", "series", scale.seriesPerInstance, 1.0/60),
-				socketWork("accountant.Follow", "series", scale.seriesPerInstance, unsummed/benchInstances/60),
+				socketCPUTerm("accountant.Read/sums", "series", scale.seriesPerInstance, 1.0/60),
+				socketCPUTerm("accountant.Follow", "series", scale.seriesPerInstance, unsummed/benchInstances/60),
 			},
 			wire: []term{
-				line("reporter.Sum", "series", "wire-B/op", scale.seriesPerInstance, base64Growth*sumsRead/60),
-				line("reporter.Batch", "series", "wire-B/op", scale.seriesPerInstance, base64Growth*unsummed/60),
+				measuredTerm("reporter.Sum", "series", "wire-B/op", scale.seriesPerInstance, base64Growth*hourlySumsRead/60),
+				measuredTerm("reporter.Batch", "series", "wire-B/op", scale.seriesPerInstance, base64Growth*unsummed/60),
 			},
-			mechanism: "a fresh reader reads hourly sums, and the minute records after the last one",
-			breaks:    "decoding the minute records since the last sum", next: "sums of shorter periods",
+			mechanism:  "a fresh reader reads hourly sums, and the minute records after the last one",
+			bottleneck: "decoding the minute records since the last sum", nextMechanism: "sums of shorter periods",
 		},
 	}
 }
 
 func platformRows(scale Scale) []row {
-	bundles, instances := scale.changeRate(), scale.instances()
-	log := limits{messages: scale.logAppends, wire: scale.networkBytes}
+	bundles, instances := scale.bundleRate(), scale.instances()
+	log := limits{messages: scale.logAppendRate, wire: scale.networkBytes}
 	views := scale.viewRate() * scale.domains
 	viewBytes := scale.instancesPerDomain * scale.viewBytes
 	return []row{
 		{
 			role: rolePlatform, function: "log: appends", driver: byInstances, limits: log,
-			messages: []term{flat(views), flat(bundles), flat(scale.burnRate()), flat(1.0 / secondsPerHour)},
+			messages: []term{constantTerm(views), constantTerm(bundles), constantTerm(scale.burnRecordRate()), constantTerm(1.0 / secondsPerHour)},
 			wire: []term{
-				flat(views * viewBytes),
+				constantTerm(views * viewBytes),
 				scale.partRecord(bundles),
-				line("reporter.Batch", "series", "wire-B/op", scale.seriesPerInstance, scale.burnRate()),
-				line("reporter.Sum", "series", "wire-B/op", scale.seriesPerInstance, 1.0/secondsPerHour),
+				measuredTerm("reporter.Batch", "series", "wire-B/op", scale.seriesPerInstance, scale.burnRecordRate()),
+				measuredTerm("reporter.Sum", "series", "wire-B/op", scale.seriesPerInstance, 1.0/secondsPerHour),
 			},
-			mechanism: "one HTTP append per record", breaks: "appends per second, spent on burn records",
-			next: "one burn record a minute per failure domain, collected over the links",
+			mechanism: "one HTTP append per record", bottleneck: "appends per second, spent on burn records",
+			nextMechanism: "one burn record a minute per failure domain, collected over the links",
 		},
 		{
 			role: rolePlatform, function: "log: reads by instances", driver: byTargets, limits: limits{wire: scale.networkBytes},
 			// Three long polls of five seconds per instance (views, common part, own part), and one answer per new record.
-			messages: []term{flat(instances * (3.0/5 + bundles/scale.domains + scale.viewRate()))},
+			messages: []term{constantTerm(instances * (3.0/5 + bundles/scale.domains + scale.viewRate()))},
 			wire: []term{
 				scale.partRecord(bundles * scale.instancesPerDomain * base64Growth),
-				flat(views * viewBytes * scale.instancesPerDomain * base64Growth),
-				line("reporter.Sum", "series", "wire-B/op", scale.seriesPerInstance, instances*base64Growth/secondsPerHour),
+				constantTerm(views * viewBytes * scale.instancesPerDomain * base64Growth),
+				measuredTerm("reporter.Sum", "series", "wire-B/op", scale.seriesPerInstance, instances*base64Growth/secondsPerHour),
 			},
-			mechanism: "every instance reads the part of its failure domain from the log", breaks: "the log's bandwidth",
-			next: "bundles from a peer of the failure domain after one member has read them",
+			mechanism: "every instance reads the part of its failure domain from the log", bottleneck: "the log's bandwidth",
+			nextMechanism: "bundles from a peer of the failure domain after one member has read them",
 		},
 		{
 			role: rolePlatform, function: "instance list: polls", driver: byInstances, limits: limits{wire: scale.networkBytes},
-			messages:  []term{flat(instances / scale.pollSeconds)},
-			wire:      []term{flat(instances * scale.instancesPerDomain * scale.listEntryBytes / scale.pollSeconds)},
-			mechanism: "the instances of one failure domain to each of them", breaks: "the list's bandwidth",
-			next: "one poll per failure domain, handed on in heartbeats",
+			messages:  []term{constantTerm(instances / scale.pollSeconds)},
+			wire:      []term{constantTerm(instances * scale.instancesPerDomain * scale.listEntryBytes / scale.pollSeconds)},
+			mechanism: "the instances of one failure domain to each of them", bottleneck: "the list's bandwidth",
+			nextMechanism: "one poll per failure domain, handed on in heartbeats",
 		},
 	}
 }
 
 const (
-	// answerBudget is the default of the setting max-answer-bytes.
-	answerBudget = 256 << 20
+	// defaultMaxAnswerBytes is the default of the setting max-answer-bytes.
+	defaultMaxAnswerBytes = 256 << 20
 	// maxWaitingJobs is the default bound of the limiter's queue.
 	maxWaitingJobs = 4096
 )
@@ -304,8 +304,8 @@
 
 // partRecord returns the bytes of the record with the targets of one failure domain, times a count.
 func (scale Scale) partRecord(times float64) term {
-	whole := line("bundler.Parse", "targets", "record-B", scale.targets/scale.domains, times)
-	return line("bundler.Parts/part", "targets", "record-B", scale.targets, times).or(whole)
+	whole := measuredTerm("bundler.Parse", "targets", "record-B", scale.targets/scale.domains, times)
+	return measuredTerm("bundler.Parts/part", "targets", "record-B", scale.targets, times).withFallback(whole)
 }
 
 // claimBytes is the memory of one entry of a map from a fingerprint to a claim, at the usual load.
@@ -317,15 +317,15 @@
 const (
 	// benchInstances is the number of instances in the benchmarks of package accountant.
 	benchInstances = 4
-	// sumLagSeconds is the longest time after the last record of a sum until the next sum: an hour and a turn.
-	sumLagSeconds = 1.5 * secondsPerHour
-	// sumsRead is the number of sums of three days.
-	sumsRead = 72.0
+	// maxSumLagSeconds is the longest time after the last record of a sum until the next sum: an hour and a turn.
+	maxSumLagSeconds = 1.5 * secondsPerHour
+	// hourlySumsRead is the number of sums of three days.
+	hourlySumsRead = 72.0
 )
 
-// exchange returns the CPU share of one side of an HTTP request and its answer, without their encoding. One task
+// httpExchangeTerm returns the CPU share of one side of an HTTP request and its answer, without their encoding. One task
 // start over loopback is both sides of such an exchange, so this is an upper bound.
-func exchange(rate float64) term { return socketWork("starter.Start", "tasks", 1, rate) }
+func httpExchangeTerm(rate float64) term { return socketCPUTerm("starter.Start", "tasks", 1, rate) }
 
-// callerJobs returns the jobs per second of one caller process, one per team.
-func (scale Scale) callerJobs() float64 { return scale.starts / scale.tasksPerJob / scale.teams }
+// callerJobRate returns the jobs per second of one caller process, one per team.
+func (scale Scale) callerJobRate() float64 { return scale.startRate / scale.tasksPerJob / scale.teams }
--- a/estimator/row.go
+++ b/estimator/row.go
@@ -8,35 +8,35 @@
 // term is one summand of a figure: a fitted line at a size, times a count; without a family it is the count alone.
 type term struct {
 	series
-	size  float64
-	times float64
+	size       float64
+	multiplier float64
 	// fallback stands in for a family that is not measured yet; the family is still listed as missing.
 	fallback *term
 }
 
-// or returns the term with a fallback.
-func (term term) or(fallback term) term {
+// withFallback returns the term with a fallback.
+func (term term) withFallback(fallback term) term {
 	term.fallback = &fallback
 	return term
 }
 
-// line returns the term for one unit of a benchmark family at a size, times a count.
-func line(family, dimension, unit string, size, times float64) term {
-	return term{series: series{family: family, dimension: dimension, unit: unit}, size: size, times: times}
+// measuredTerm returns the term for one unit of a benchmark family at a size, times a count.
+func measuredTerm(family, dimension, unit string, size, times float64) term {
+	return term{series: series{family: family, dimension: dimension, unit: unit}, size: size, multiplier: times}
 }
 
-// work returns the CPU share of an operation that runs rate times a second.
-func work(family, dimension string, size, rate float64) term {
-	return line(family, dimension, "ns/op", size, rate*1e-9)
+// cpuTerm returns the CPU share of an operation that runs rate times a second.
+func cpuTerm(family, dimension string, size, rate float64) term {
+	return measuredTerm(family, dimension, "ns/op", size, rate*1e-9)
 }
 
-// socketWork is work for benchmarks over sockets, which report CPU time beside wall time.
-func socketWork(family, dimension string, size, rate float64) term {
-	return line(family, dimension, "cpu-ns/op", size, rate*1e-9)
+// socketCPUTerm is work for benchmarks over sockets, which report CPU time beside wall time.
+func socketCPUTerm(family, dimension string, size, rate float64) term {
+	return measuredTerm(family, dimension, "cpu-ns/op", size, rate*1e-9)
 }
 
-// flat returns a term that rests on no measurement.
-func flat(value float64) term { return term{times: value} }
+// constantTerm returns a term that rests on no measurement.
+func constantTerm(value float64) term { return term{multiplier: value} }
 
 // Grade says what a figure rests on.
 type Grade int
@@ -80,27 +80,27 @@
 func (measurements *Measurements) sum(terms []term) Quantity {
 	var total Quantity
 	for _, term := range terms {
-		total = total.plus(measurements.figure(term))
+		total = total.plus(measurements.evaluateTerm(term))
 	}
 	return total
 }
 
-func (measurements *Measurements) figure(term term) Quantity {
+func (measurements *Measurements) evaluateTerm(term term) Quantity {
 	if term.family == "" {
-		return Quantity{value: term.times}
+		return Quantity{value: term.multiplier}
 	}
 	fit, ok := measurements.fit(term.series)
 	switch {
 	case !ok && term.fallback != nil:
-		return measurements.figure(*term.fallback).plus(Quantity{missing: []string{term.family}})
+		return measurements.evaluateTerm(*term.fallback).plus(Quantity{missing: []string{term.family}})
 	case !ok:
 		return Quantity{missing: []string{term.family}}
 	case !fit.Fitted():
-		return Quantity{value: fit.At(term.size) * term.times, grade: NotFitted}
+		return Quantity{value: fit.At(term.size) * term.multiplier, grade: NotFitted}
 	case !fit.Covers(term.size):
-		return Quantity{value: fit.At(term.size) * term.times, grade: BeyondMeasuredRange}
+		return Quantity{value: fit.At(term.size) * term.multiplier, grade: BeyondMeasuredRange}
 	}
-	return Quantity{value: fit.At(term.size) * term.times, grade: Extrapolated}
+	return Quantity{value: fit.At(term.size) * term.multiplier, grade: Extrapolated}
 }
 
 // limits are the values at which a row breaks; zero means no limit.
@@ -120,9 +120,9 @@
 	wire     []term // bytes per second, both directions
 	cpu      []term // share of a core
 
-	mechanism string
-	breaks    string
-	next      string
+	mechanism     string
+	bottleneck    string
+	nextMechanism string
 }
 
 // EvaluatedRow is an evaluated row of the table.
@@ -131,7 +131,7 @@
 	state, memory, messages, wire, cpu Quantity
 }
 
-func (measurements *Measurements) evaluate(row row) EvaluatedRow {
+func (measurements *Measurements) evaluateRow(row row) EvaluatedRow {
 	state := measurements.sum(row.state)
 	return EvaluatedRow{
 		row: row, state: state, memory: state.plus(measurements.sum(row.memory)),
@@ -169,23 +169,23 @@
 // BelowTarget reports whether the row breaks before the target scale.
 func (point Saturation) BelowTarget() bool { return point.resource != "" && point.size < point.target }
 
-// maxFactor bounds the search for a break; a row that holds at this multiple of the target is reported as such.
-const maxFactor = 1024
+// maxScaleFactor bounds the search for a break; a row that holds at this multiple of the target is reported as such.
+const maxScaleFactor = 1024
 
-// breakPoint searches for the smallest size of the row's driver at which a limit is passed, between 1/1024 of
+// saturation searches for the smallest size of the row's driver at which a limit is passed, between 1/1024 of
 // the target and 1024 times the target; every figure must grow with its driver.
-func (measurements *Measurements) breakPoint(scale Scale, index int) Saturation {
-	driver := model(scale)[index].driver
-	target := *scale.field(driver)
+func (measurements *Measurements) saturation(scale Scale, index int) Saturation {
+	driver := tableRows(scale)[index].driver
+	target := *scale.driverValue(driver)
 	at := func(factor float64) (string, Grade) {
 		varied := scale
-		*varied.field(driver) = target * factor
-		return measurements.evaluate(model(varied)[index]).exceeded()
+		*varied.driverValue(driver) = target * factor
+		return measurements.evaluateRow(tableRows(varied)[index]).exceeded()
 	}
-	if resource, _ := at(maxFactor); resource == "" {
-		return Saturation{size: target * maxFactor, target: target}
+	if resource, _ := at(maxScaleFactor); resource == "" {
+		return Saturation{size: target * maxScaleFactor, target: target}
 	}
-	low, high := 1.0/maxFactor, float64(maxFactor)
+	low, high := 1.0/maxScaleFactor, float64(maxScaleFactor)
 	for high/low > 1.005 {
 		middle := math.Sqrt(low * high)
 		if resource, _ := at(middle); resource == "" {
--- a/estimator/scale.go
+++ b/estimator/scale.go
@@ -3,16 +3,16 @@
 // Scale is the size of a deployment; the first group is given by section 1 of docs/design.md, the second
 // group is assumed and printed with the table.
 type Scale struct {
-	targets          float64
-	starts           float64 // task starts per second at the peak
-	teams            float64
-	regions          float64
-	domains          float64
-	changes          float64 // bundles per day
-	failures         float64 // instances per day
-	replacements     float64 // instances per day
-	logAppends       float64 // appends per second that the log sustains
-	retentionSeconds float64
+	targets            float64
+	startRate          float64 // task starts per second at the peak
+	teams              float64
+	regions            float64
+	domains            float64
+	bundlesPerDay      float64 // bundles per day
+	failuresPerDay     float64 // instances per day
+	replacementsPerDay float64 // instances per day
+	logAppendRate      float64 // appends per second that the log sustains
+	retentionSeconds   float64
 
 	tasksPerJob        float64
 	taskSeconds        float64
@@ -21,7 +21,7 @@
 	seriesPerInstance  float64
 	instancesPerDomain float64
 	cores              float64 // per instance
-	usable             float64 // share of the cores that the peak may use
+	usableShare        float64 // share of the cores that the peak may use
 	memoryBytes        float64 // per instance
 	networkBytes       float64 // per second and instance
 	recordBytes        float64 // one start record in memory
@@ -50,11 +50,11 @@
 // TargetScale returns the target scale of the design page.
 func TargetScale() Scale {
 	return Scale{
-		targets: 22_000, starts: 700_000, teams: 120, regions: 8, domains: 27, changes: 9_500,
-		failures: 140, replacements: 1_500, logAppends: 300, retentionSeconds: 600,
+		targets: 22_000, startRate: 700_000, teams: 120, regions: 8, domains: 27, bundlesPerDay: 9_500,
+		failuresPerDay: 140, replacementsPerDay: 1_500, logAppendRate: 300, retentionSeconds: 600,
 
 		tasksPerJob: 20, taskSeconds: 0.5, resultBytes: 100, kinds: 40, seriesPerInstance: 1_200,
-		instancesPerDomain: 6, cores: 8, usable: 0.6, memoryBytes: 8e9, networkBytes: 600e6,
+		instancesPerDomain: 6, cores: 8, usableShare: 0.6, memoryBytes: 8e9, networkBytes: 600e6,
 		recordBytes: 300, messageBytes: 150, heartbeatBytes: 200, pollSeconds: 5, listEntryBytes: 100,
 		viewBytes: 100, burnSeriesBytes: 8,
 	}
@@ -62,34 +62,34 @@
 
 func (scale Scale) instances() float64 { return scale.domains * scale.instancesPerDomain }
 
-// jobs returns the jobs per second of one instance.
-func (scale Scale) jobs() float64 { return scale.starts / scale.tasksPerJob / scale.instances() }
+// jobRate returns the jobs per second of one instance.
+func (scale Scale) jobRate() float64 { return scale.startRate / scale.tasksPerJob / scale.instances() }
 
-// changeRate returns the bundles per second.
-func (scale Scale) changeRate() float64 { return scale.changes / secondsPerDay }
+// bundleRate returns the bundles per second.
+func (scale Scale) bundleRate() float64 { return scale.bundlesPerDay / secondsPerDay }
 
 // viewRate returns the view records per second of one failure domain: renewals, and two views per replaced
 // or failed instance (one without it, one with its successor).
 func (scale Scale) viewRate() float64 {
-	return 1/scale.retentionSeconds + scale.moveRate()
+	return 1/scale.retentionSeconds + scale.sliceMoveRate()
 }
 
-// moveRate returns the views per second of one failure domain that move slices: one without each replaced or failed
+// sliceMoveRate returns the views per second of one failure domain that move slices: one without each replaced or failed
 // instance, and one with its successor.
-func (scale Scale) moveRate() float64 {
-	return 2 * (scale.failures + scale.replacements) / secondsPerDay / scale.domains
+func (scale Scale) sliceMoveRate() float64 {
+	return 2 * (scale.failuresPerDay + scale.replacementsPerDay) / secondsPerDay / scale.domains
 }
 
 // heldAnswerBytes returns what the answers of one to two retention periods take in one instance without a bound.
 func (scale Scale) heldAnswerBytes() float64 {
-	return 2 * scale.retentionSeconds * scale.jobs() * scale.tasksPerJob * (scale.resultBytes + resultOverheadBytes)
+	return 2 * scale.retentionSeconds * scale.jobRate() * scale.tasksPerJob * (scale.resultBytes + resultOverheadBytes)
 }
 
 // resultOverheadBytes is the memory of one held result beside its text.
 const resultOverheadBytes = 40
 
-// burnRate returns the burn records per second of all instances.
-func (scale Scale) burnRate() float64 { return scale.instances() / 60 }
+// burnRecordRate returns the burn records per second of all instances.
+func (scale Scale) burnRecordRate() float64 { return scale.instances() / 60 }
 
 // driver is a dimension of the scale that a row grows with.
 type driver string
@@ -103,8 +103,8 @@
 	byResults   driver = "bytes per result"
 )
 
-// field returns the value that driver stands for.
-func (scale *Scale) field(driver driver) *float64 {
+// driverValue returns the value that driver stands for.
+func (scale *Scale) driverValue(driver driver) *float64 {
 	switch driver {
 	case byTargets:
 		return &scale.targets
@@ -113,10 +113,10 @@
 	case bySeries:
 		return &scale.seriesPerInstance
 	case byChanges:
-		return &scale.changes
+		return &scale.bundlesPerDay
 	case byResults:
 		return &scale.resultBytes
 	default:
-		return &scale.starts
+		return &scale.startRate
 	}
 }
--- a/estimator/sections.go
+++ b/estimator/sections.go
@@ -7,38 +7,38 @@
 
 func (estimate *Estimate) writeSizing(page *page) {
 	scale := estimate.scale
-	page.line("\n## Entry instances for the peak\n")
-	page.line("Sum of the request rows at %s task starts/s (extrapolated). A failure domain has at least %d instances: a", number(scale.starts), minPerDomain)
-	page.line("witness and a spare. The last column keeps the peak served while one other failure domain of a region of")
-	page.line("three is lost and its work stays in the region.\n")
-	page.line("| tasks per job | busy cores in all | memory in all | instance size | instances per failure domain | in all | with the loss covered |")
-	page.line("|---|---|---|---|---|---|---|")
+	page.linef("\n## Entry instances for the peak\n")
+	page.linef("Sum of the request rows at %s task starts/s (extrapolated). A failure domain has at least %d instances: a", formatNumber(scale.startRate), minInstancesPerDomain)
+	page.linef("witness and a spare. The last column keeps the peak served while one other failure domain of a region of")
+	page.linef("three is lost and its work stays in the region.\n")
+	page.linef("| tasks per job | busy cores in all | memory in all | instance size | instances per failure domain | in all | with the loss covered |")
+	page.linef("|---|---|---|---|---|---|---|")
 	const growthInRegionOfThree = 1.5
 	for _, tasksPerJob := range []float64{1, scale.tasksPerJob, 130} {
-		sizing := estimate.sizeFor(tasksPerJob)
+		demand := estimate.demandFor(tasksPerJob)
 		for _, size := range instanceSizes {
-			plain := estimate.perDomain(sizing, size.cores, size.memory, 1)
-			covered := estimate.perDomain(sizing, size.cores, size.memory, growthInRegionOfThree)
-			page.line("| %s | %s | %s | %s cores, %sB | %s | %s | %s |", number(tasksPerJob), sizing.cores, sizing.memory,
-				number(size.cores), number(size.memory), number(plain), number(plain*scale.domains), number(covered*scale.domains))
+			plain := estimate.requiredPerDomain(demand, size.cores, size.memory, 1)
+			covered := estimate.requiredPerDomain(demand, size.cores, size.memory, growthInRegionOfThree)
+			page.linef("| %s | %s | %s | %s cores, %sB | %s | %s | %s |", formatNumber(tasksPerJob), demand.cores, demand.memory,
+				formatNumber(size.cores), formatNumber(size.memory), formatNumber(plain), formatNumber(plain*scale.domains), formatNumber(covered*scale.domains))
 		}
 	}
 	// Two cores are busy while the callers wait, so that wall time per job times two bounds the CPU time per job.
-	whole := estimate.measurements.figure(line("server.Throughput/entry", "tasks", "ns/op", scale.tasksPerJob, 2e-9*scale.starts/scale.tasksPerJob))
-	page.line("\nCross-check, upper bound: `server.Throughput/entry` keeps two cores busy with caller, instance and runner together;")
-	page.line("at %s tasks per job the peak takes %s cores for all three.", number(scale.tasksPerJob), whole)
+	whole := estimate.measurements.evaluateTerm(measuredTerm("server.Throughput/entry", "tasks", "ns/op", scale.tasksPerJob, 2e-9*scale.startRate/scale.tasksPerJob))
+	page.linef("\nCross-check, upper bound: `server.Throughput/entry` keeps two cores busy with caller, instance and runner together;")
+	page.linef("at %s tasks per job the peak takes %s cores for all three.", formatNumber(scale.tasksPerJob), whole)
 }
 
-func (estimate *Estimate) writeLosses(page *page) {
+func (estimate *Estimate) writeLossScenarios(page *page) {
 	scale := estimate.scale
-	page.line("\n## Loss of a failure domain or a region\n")
-	page.line("All calculated; the load is assumed even over the failure domains.\n")
-	page.line("| lost | starts/s that move | load of each taker | usable share needed before the loss |\n|---|---|---|---|")
-	for _, loss := range estimate.losses() {
-		page.line("| %s | %s | %+.1f%% | %.0f%% |", loss.name, number(scale.starts*loss.lost/scale.domains),
-			100*(loss.growth()-1), math.Floor(100/loss.growth()))
+	page.linef("\n## Loss of a failure domain or a region\n")
+	page.linef("All calculated; the load is assumed even over the failure domains.\n")
+	page.linef("| lost | starts/s that move | load of each taker | usable share needed before the loss |\n|---|---|---|---|")
+	for _, loss := range estimate.lossScenarios() {
+		page.linef("| %s | %s | %+.1f%% | %.0f%% |", loss.name, formatNumber(scale.startRate*loss.lost/scale.domains),
+			100*(loss.loadGrowth()-1), math.Floor(100/loss.loadGrowth()))
 	}
-	page.line(`
+	page.linef(`
 - New jobs: the platform's balancer sends callers to instances of other failure domains, which issue prefixes of
   their own; the work runs on targets there. The lost targets' slots are gone too, so the takers need free slots
   in the same proportion.
@@ -51,28 +51,28 @@
 - Replacements: %s instances that fail or are replaced each day are ten for each of %s entry instances; if the design
   page means targets, the rows of views are far too high, never too low.
 - The loss of a rack or switch: at most 8 of %s targets; ejection and leaving handle it without a move of load.`,
-		number(scale.domains), number(scale.failures+scale.replacements), number(scale.instances()), number(scale.targets))
+		formatNumber(scale.domains), formatNumber(scale.failuresPerDay+scale.replacementsPerDay), formatNumber(scale.instances()), formatNumber(scale.targets))
 }
 
-func (estimate *Estimate) writeLog(page *page) {
+func (estimate *Estimate) writeLogAppends(page *page) {
 	scale := estimate.scale
-	page.line("\n## What the log's appends are spent on\n")
-	page.line("| use | appends/s | bytes per append | bytes/s |\n|---|---|---|---|")
+	page.linef("\n## What the log's appends are spent on\n")
+	page.linef("| use | appends/s | bytes per append | bytes/s |\n|---|---|---|---|")
 	var rate, bytes float64
 	for _, use := range estimate.appendUses() {
-		page.line("| %s | %.3f | %s | %s |", use.name, use.rate, number(use.bytes), number(use.rate*use.bytes))
+		page.linef("| %s | %.3f | %s | %s |", use.name, use.rate, formatNumber(use.bytes), formatNumber(use.rate*use.bytes))
 		rate += use.rate
 		bytes += use.rate * use.bytes
 	}
-	page.line("| **sum** | %.3f | | %s |", rate, number(bytes))
-	page.line("| **left of %s** | %.1f | | |", number(scale.logAppends), scale.logAppends-rate)
-	page.line(`
+	page.linef("| **sum** | %.3f | | %s |", rate, formatNumber(bytes))
+	page.linef("| **left of %s** | %.1f | | |", formatNumber(scale.logAppendRate), scale.logAppendRate-rate)
+	page.linef(`
 The rates are means over a day; changes and replacements come in bursts. Bundles are split per failure domain
 here. Racing proposers multiply the first row by at most the members of a failure domain (%s). After an outage of the
 log each instance appends one burn record for all the minutes that it kept, so the backlog is one append per
 instance. The minute records of all instances arrive in the first seconds of a minute unless instances spread
 them; %s appends in one second would exceed half the log's rate, so each instance appends at its own offset in
-the minute.`, number(scale.instancesPerDomain), number(scale.instances()))
+the minute.`, formatNumber(scale.instancesPerDomain), formatNumber(scale.instances()))
 }
 
 const notMeasurable = `
