--- a/estimator/doc.go
+++ b/estimator/doc.go
@@ -1,3 +1,3 @@
-// Package estimator reads benchmark output, fits a line per benchmark family
-// over its sizes and sums the lines into a capacity table for the target scale.
+// Package estimator derives a capacity estimate from benchmark output: it fits a line over the measured sizes of
+// each benchmark family and sums the fitted costs into a capacity table for the target scale.
 package estimator
--- a/estimator/estimate.go
+++ b/estimator/estimate.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Estimate is the evaluated capacity table.
+// Estimate is the capacity table evaluated for one scale.
 type Estimate struct {
 	scale        Scale
 	measurements *Measurements
@@ -13,7 +13,7 @@
 	saturations  []Saturation
 }
 
-// New returns the capacity estimate for scale from measurements.
+// New evaluates the capacity table for scale with the costs fitted to measurements.
 func New(measurements *Measurements, scale Scale) *Estimate {
 	estimate := &Estimate{scale: scale, measurements: measurements}
 	for index, row := range tableRows(scale) {
@@ -23,7 +23,7 @@
 	return estimate
 }
 
-// controlTotal returns the sum of the control rows of one instance.
+// controlTotal returns the sum of CPU, memory and traffic over the control rows, per instance.
 func (estimate *Estimate) controlTotal() EvaluatedRow {
 	var total EvaluatedRow
 	for _, evaluated := range estimate.rows {
@@ -37,7 +37,7 @@
 	return total
 }
 
-// Missing returns the benchmark families that the model names and the measurements lack.
+// Missing returns the benchmark families that the model uses and the measurements lack.
 func (estimate *Estimate) Missing() []string {
 	var missing []string
 	for _, evaluated := range estimate.rows {
@@ -49,18 +49,18 @@
 	return slices.Compact(missing)
 }
 
-// resourceDemand is how many entry instances the peak needs with one mix of jobs.
-type resourceDemand struct {
+// demand is what all entry instances together need at the peak for one job size.
+type demand struct {
 	tasksPerJob float64
 	cores       Quantity // busy cores of all instances
 	memory      Quantity // bytes of all instances
 }
 
-// demandFor sums the request rows of all entry instances when each job has tasksPerJob tasks.
-func (estimate *Estimate) demandFor(tasksPerJob float64) resourceDemand {
+// demandFor sums the request rows over all entry instances for jobs of tasksPerJob tasks.
+func (estimate *Estimate) demandFor(tasksPerJob float64) demand {
 	scale := estimate.scale
 	scale.tasksPerJob = tasksPerJob
-	demand := resourceDemand{tasksPerJob: tasksPerJob}
+	demand := demand{tasksPerJob: tasksPerJob}
 	for _, row := range tableRows(scale) {
 		if row.role != roleEntry {
 			continue
@@ -77,31 +77,31 @@
 	return quantity
 }
 
-// minInstancesPerDomain keeps a witness and one spare after the loss of one instance.
+// minInstancesPerDomain leaves a witness and one spare after the loss of one instance.
 const minInstancesPerDomain = 3
 
-// requiredPerDomain returns how many instances of the given size each failure domain needs so that the peak still fits
-// after the loss of lost failure domains whose load is spread evenly over spread others.
-func (estimate *Estimate) requiredPerDomain(demand resourceDemand, cores, memory, growth float64) float64 {
+// requiredPerDomain returns how many instances of the given size each failure domain needs to serve demand when its
+// load grows by the factor growth. The demand is spread evenly over the failure domains.
+func (estimate *Estimate) requiredPerDomain(demand demand, cores, memory, growth float64) float64 {
 	byCPU := demand.cores.value * growth / estimate.scale.domains / (cores * estimate.scale.usableShare)
 	byMemory := demand.memory.value * growth / estimate.scale.domains / memory
 	return max(math.Ceil(byCPU), math.Ceil(byMemory), minInstancesPerDomain)
 }
 
-// lossScenario is what the loss of some failure domains does to the load of those that take over their work.
-type lossScenario struct {
+// loss is the loss of some failure domains, whose load is spread evenly over the absorbing ones.
+type loss struct {
 	name      string
 	lost      float64
 	absorbing float64
 }
 
-// loadGrowth returns the factor by which the load of each taker grows.
-func (loss lossScenario) loadGrowth() float64 { return (loss.absorbing + loss.lost) / loss.absorbing }
+// loadGrowth returns the factor by which the load of each absorbing failure domain grows.
+func (loss loss) loadGrowth() float64 { return (loss.absorbing + loss.lost) / loss.absorbing }
 
-func (estimate *Estimate) lossScenarios() []lossScenario {
+func (estimate *Estimate) losses() []loss {
 	domains := estimate.scale.domains
 	largest := math.Ceil(domains / estimate.scale.regions)
-	return []lossScenario{
+	return []loss{
 		{name: "one failure domain, work goes to all others", lost: 1, absorbing: domains - 1},
 		{name: "one failure domain of the largest region, work stays in the region", lost: 1, absorbing: largest - 1},
 		{name: "one failure domain of a region with three, work stays in the region", lost: 1, absorbing: 2},
@@ -109,25 +109,25 @@
 	}
 }
 
-// appendUse is one use of the log's appends.
+// appendUse is one kind of record that is appended to the log, with its rate and size.
 type appendUse struct {
 	name        string
 	rate, bytes float64
 }
 
-func (estimate *Estimate) appendUses() []appendUse {
+func (estimate *Estimate) logAppends() []appendUse {
 	scale := estimate.scale
-	renewals := scale.domains / scale.retentionSeconds
-	view := scale.instancesPerDomain * scale.viewBytes
-	bundle := estimate.measurements.evaluateTerm(scale.partRecord(1)).value
-	burn := estimate.measurements.evaluateTerm(measuredTerm("reporter.Batch", "series", "wire-B/op", scale.seriesPerInstance, 1)).value
-	sum := estimate.measurements.evaluateTerm(measuredTerm("reporter.Sum", "series", "wire-B/op", scale.seriesPerInstance, 1)).value
+	renewalRate := scale.domains / scale.retentionSeconds
+	viewRecordBytes := scale.instancesPerDomain * scale.viewBytes
+	bundleRecordBytes := estimate.measurements.evaluateTerm(scale.partRecord(1)).value
+	burnRecordBytes := estimate.measurements.evaluateTerm(measuredTerm("reporter.Batch", "series", "wire-B/op", scale.seriesPerInstance, 1)).value
+	sumRecordBytes := estimate.measurements.evaluateTerm(measuredTerm("reporter.Sum", "series", "wire-B/op", scale.seriesPerInstance, 1)).value
 	return []appendUse{
-		{name: "views after failures and replacements", rate: scale.viewRate()*scale.domains - renewals, bytes: view},
-		{name: "view renewals", rate: renewals, bytes: view},
-		{name: "bundles", rate: scale.bundleRate(), bytes: bundle},
-		{name: "bundle renewals (one a retention period)", rate: 1 / scale.retentionSeconds, bytes: bundle},
-		{name: "burn records", rate: scale.burnRecordRate(), bytes: burn},
-		{name: "hourly burn sums", rate: 1.0 / secondsPerHour, bytes: sum},
+		{name: "views after failures and replacements", rate: scale.viewRate()*scale.domains - renewalRate, bytes: viewRecordBytes},
+		{name: "view renewals", rate: renewalRate, bytes: viewRecordBytes},
+		{name: "bundles", rate: scale.bundleRate(), bytes: bundleRecordBytes},
+		{name: "bundle renewals (one a retention period)", rate: 1 / scale.retentionSeconds, bytes: bundleRecordBytes},
+		{name: "burn records", rate: scale.burnRecordRate(), bytes: burnRecordBytes},
+		{name: "hourly burn sums", rate: 1.0 / secondsPerHour, bytes: sumRecordBytes},
 	}
 }
--- a/estimator/estimator_test.go
+++ b/estimator/estimator_test.go
@@ -23,7 +23,7 @@
 
 func approxEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9*max(1, math.Abs(b)) }
 
-// Guards against a wrong fit; the expected line was computed by hand from the weights 1/4, 1/16 and 1/16.
+// Guards against a wrong fit. The expected line was computed by hand from the weights 1/4, 1/16 and 1/16.
 func TestFitAgainstHandComputedLine(t *testing.T) {
 	is := is.New(t)
 	measurements, err := Parse(strings.NewReader(testOutput))
@@ -36,14 +36,14 @@
 	is.True(fit.Covers(4) && !fit.Covers(5))
 
 	fit, ok = measurements.fit(series{"alpha.Gamma/ini/cols=3", "rows", "ns/op"})
-	is.True(ok && !fit.Fitted() && approxEqual(fit.At(1000), 7)) // one size is never extended to a slope
+	is.True(ok && !fit.Fitted() && approxEqual(fit.At(1000), 7)) // no slope is derived from one size
 	_, ok = measurements.fit(series{"alpha.Bare", "size", "ns/op"})
 	is.True(ok)
 	fit, ok = measurements.fit(series{"alpha.Delta", "", "ns/op"})
 	is.True(ok && !fit.Fitted() && approxEqual(fit.At(0), 9)) // a benchmark without a size
 }
 
-// Guards against wrong sums and marks, and against a missing benchmark that counts as zero cost without a mark.
+// Guards against wrong sums and grades, and against a missing benchmark that counts as zero cost without a mark.
 func TestSumAgainstHandComputedRow(t *testing.T) {
 	measurements, err := Parse(strings.NewReader(testOutput))
 	if err != nil {
@@ -56,11 +56,11 @@
 		want  string
 	}{
 		{"nothing", nil, "0"},
-		{"flat", []term{constantTerm(2), constantTerm(3)}, "5 *c*"},
+		{"constant", []term{constantTerm(2), constantTerm(3)}, "5 *c*"},
 		{"within the sizes: 3*70+1", []term{wire(3, 3), constantTerm(1)}, "211 *x*"},
 		{"beyond the sizes: 2*(40+10*100)", []term{wire(100, 2)}, "2080 *xx*"},
 		{"not fitted: 2*9", []term{measuredTerm("alpha.Delta", "", "ns/op", 0, 2)}, "18 *nf*"},
-		{"stand-in for a missing one: 50+2", []term{measuredTerm("alpha.Absent", "items", "ns/op", 1, 1).withFallback(wire(1, 1)), constantTerm(2)}, "52 *x* + ?"},
+		{"fallback for a missing one: 50+2", []term{measuredTerm("alpha.Absent", "items", "ns/op", 1, 1).withFallback(wire(1, 1)), constantTerm(2)}, "52 *x* + ?"},
 		{"partly missing", []term{wire(1, 1), measuredTerm("alpha.Absent", "items", "ns/op", 1, 1)}, "50 *x* + ?"},
 		{"missing", []term{measuredTerm("alpha.Absent", "items", "ns/op", 1, 1)}, "not measured yet"},
 	}
@@ -72,8 +72,8 @@
 	}
 }
 
-// Guards against a wrong row for bundles: with a bundle of 100 bytes per target, 8,640 bundles a day are 0.1/s,
-// so 22,000 targets cost 22,000*100*0.1*4/3 bytes/s and the budget of 28,000 bytes/s ends at 2,100 targets.
+// Guards against wrong rows for bundles. With 100 bytes per target and 8,640 bundles a day (0.1/s), 22,000 targets cost
+// 22,000*100*0.1*4/3 bytes/s, and the budget of 28,000 bytes/s is exhausted at 2,100 targets.
 func TestBundleRowAgainstHandComputedCase(t *testing.T) {
 	is := is.New(t)
 	measurements, err := Parse(strings.NewReader(`pkg: m/bundler
@@ -95,14 +95,14 @@
 		is.True(estimate.saturations[i].BelowTarget())
 		is.Equal(estimate.saturations[i].resource, "bytes/s")
 		is.True(math.Abs(estimate.saturations[i].size-2_100) < 21) // the search stops within 1%
-		split := estimate.rows[i+1]                                // a part has 22,000/27 targets
-		is.True(approxEqual(split.wire.Value(), 22_000*100*0.1*4/3/27))
+		partRow := estimate.rows[i+1]                              // a part has 22,000/27 targets
+		is.True(approxEqual(partRow.wire.Value(), 22_000*100*0.1*4/3/27))
 		is.True(!estimate.saturations[i+1].BelowTarget())
 	}
 }
 
-// Guards against a count that is off by a factor, with rates computed by hand for 162 instances: 700,000 starts/s in
-// jobs of 20 are 216.05 jobs/s and 4,321 starts/s for each of them.
+// Guards against message rates that are off by a factor. The expected rates were computed by hand for 162 instances:
+// 700,000 starts/s in jobs of 20 tasks are 216.05 jobs/s and 4,321 starts/s per instance.
 func TestMessageRatesAgainstHandComputedOnes(t *testing.T) {
 	tests := []struct {
 		function string
@@ -127,12 +127,13 @@
 					return
 				}
 			}
-			t.Error("there is no such row")
+			t.Error("the table has no such row")
 		})
 	}
 }
 
-// Guards against a table from incomplete or misread output, which would look complete.
+// Guards against accepting output of failed benchmarks or malformed lines: the table would lack measurements and still
+// look complete.
 func TestParseRejects(t *testing.T) {
 	for _, text := range []string{
 		"pkg: m/a\nBenchmarkX-2 100 1 ns/op\nFAIL\tm/a\t1s\n",
@@ -146,7 +147,7 @@
 	}
 }
 
-// Guards against a row whose figures shrink as its driver grows: the search for the break would then mislead.
+// Guards against a row whose quantities shrink as its driver grows, for which bisection would find a wrong saturation.
 func TestRowsGrowWithTheirDrivers(t *testing.T) {
 	measurements, err := Parse(strings.NewReader(testOutput))
 	if err != nil {
--- a/estimator/format.go
+++ b/estimator/format.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// formatNumber formats a value with three significant digits, and with k, M, G or T from 10,000 on.
+// formatNumber rounds a value to three significant digits, or to an integer from 100 on, and scales it by a suffix (k,
+// M, G or T) from 10,000 on.
 func formatNumber(value float64) string {
 	magnitude := math.Abs(value)
 	for _, unit := range []struct {
@@ -35,7 +36,7 @@
 	return rounded
 }
 
-// String returns the value with its mark, and "not measured yet" if no term is known.
+// String returns the value with the mark of its grade, or "not measured yet" if none of its terms has been measured.
 func (quantity Quantity) String() string {
 	if quantity.value == 0 && len(quantity.missing) > 0 {
 		return "not measured yet"
--- a/estimator/model.go
+++ b/estimator/model.go
@@ -1,6 +1,6 @@
 package estimator
 
-// Roles of the table.
+// Roles, each of which has its own table.
 const (
 	roleEntry      = "entry instance"
 	roleConfig     = "configuration"
@@ -10,29 +10,29 @@
 	rolePlatform   = "platform"
 )
 
-// tableRows returns the rows of the table at scale: which line, times which count, makes which figure.
-// Figures of entry instances are per instance, those of the platform are for the whole deployment.
+// tableRows returns the rows of the table at scale. Quantities of entry instances are per instance, those of the
+// caller library per caller process, and those of the platform for the whole deployment.
 func tableRows(scale Scale) []row {
 	return append(requestRows(scale), append(controlRows(scale), platformRows(scale)...)...)
 }
 
 func requestRows(scale Scale) []row {
-	jobs, tasks := scale.jobRate(), scale.tasksPerJob
-	starts := jobs * tasks
-	inFlight := starts * scale.taskSeconds
-	// A record lives one to two retention periods, at its owner and at one witness.
-	records := jobs * 2 * scale.retentionSeconds * 2
+	jobRate, tasks := scale.jobRate(), scale.tasksPerJob
+	startRate := jobRate * tasks
+	tasksInFlight := startRate * scale.taskSeconds
+	// A record is kept for one to two retention periods, counted as two, by its owner and by one witness.
+	records := jobRate * 2 * scale.retentionSeconds * 2
 	instance := limits{cpu: scale.cores * scale.usableShare, memory: scale.memoryBytes, wire: scale.networkBytes}
 	return []row{
 		{
 			role: roleEntry, function: "requests: read, decode, digest", driver: byStarts, limits: instance,
-			state:    []term{measuredTerm("encoder.DecodeJob", "tasks", "B/op", tasks, jobs*scale.taskSeconds)},
-			messages: []term{constantTerm(2 * jobs)},
-			wire:     []term{measuredTerm("encoder.DecodeJob", "tasks", "wire-B/op", tasks, jobs)},
+			state:    []term{measuredTerm("encoder.DecodeJob", "tasks", "B/op", tasks, jobRate*scale.taskSeconds)},
+			messages: []term{constantTerm(2 * jobRate)},
+			wire:     []term{measuredTerm("encoder.DecodeJob", "tasks", "wire-B/op", tasks, jobRate)},
 			cpu: []term{
-				cpuTerm("encoder.DecodeJob", "tasks", tasks, jobs),
-				cpuTerm("dispatcher.Digest", "tasks", tasks, jobs),
-				httpExchangeTerm(jobs),
+				cpuTerm("encoder.DecodeJob", "tasks", tasks, jobRate),
+				cpuTerm("dispatcher.Digest", "tasks", tasks, jobRate),
+				httpExchangeTerm(jobRate),
 			},
 			mechanism:  "HTTP/1.1 and strict JSON, one goroutine per request",
 			bottleneck: "JSON decoding fills the cores", nextMechanism: "CBOR bodies for callers that ask for them",
@@ -40,8 +40,8 @@
 		{
 			role: roleEntry, function: "answers: encode, hold for resubmission", driver: byResults, limits: instance,
 			state:      []term{constantTerm(min(scale.heldAnswerBytes(), defaultMaxAnswerBytes))},
-			wire:       []term{measuredTerm("encoder.EncodeOutcome", "tasks", "wire-B/op", tasks, jobs)},
-			cpu:        []term{cpuTerm("encoder.EncodeOutcome", "tasks", tasks, jobs)},
+			wire:       []term{measuredTerm("encoder.EncodeOutcome", "tasks", "wire-B/op", tasks, jobRate)},
+			cpu:        []term{cpuTerm("encoder.EncodeOutcome", "tasks", tasks, jobRate)},
 			mechanism:  "the owner keeps whole answers for one to two retention periods, within max-answer-bytes; beyond it the oldest are dropped and answered \"answer lost\"",
 			bottleneck: "answers are dropped before the retention ends", nextMechanism: "a larger max-answer-bytes; a shorter retention per kind",
 		},
@@ -49,41 +49,41 @@
 			role: roleEntry, function: "routing: pick a target per task", driver: byTargets, limits: instance,
 			state: []term{measuredTerm("router.Decision", "size", "B/target", scale.targets/scale.domains, scale.targets/scale.domains)},
 			cpu: []term{
-				cpuTerm("router.Decision", "size", scale.targets/scale.domains, starts),
-				cpuTerm("placer.Place", "workers", scale.targets/scale.domains, starts),
+				cpuTerm("router.Decision", "size", scale.targets/scale.domains, startRate),
+				cpuTerm("placer.Place", "workers", scale.targets/scale.domains, startRate),
 			},
 			mechanism:  "runners by expected completion time, workers by room; both are counted for every start; own failure domain",
 			bottleneck: "a scan of all targets per pick", nextMechanism: "power of two choices over the same estimates",
 		},
 		{
 			role: roleEntry, function: "task starts", driver: byStarts, limits: instance,
-			memory:     []term{constantTerm(inFlight * connectionBytes)},
-			messages:   []term{constantTerm(2 * starts)},
-			wire:       []term{measuredTerm("starter.Start", "tasks", "wire-B/op", tasks, jobs)},
-			cpu:        []term{socketCPUTerm("starter.Start", "tasks", tasks, jobs)},
+			memory:     []term{constantTerm(tasksInFlight * connectionBytes)},
+			messages:   []term{constantTerm(2 * startRate)},
+			wire:       []term{measuredTerm("starter.Start", "tasks", "wire-B/op", tasks, jobRate)},
+			cpu:        []term{socketCPUTerm("starter.Start", "tasks", tasks, jobRate)},
 			mechanism:  "HTTP/1.1, one connection per task in flight",
 			bottleneck: "net/http client work per start fills the cores", nextMechanism: "HTTP/2 to targets that offer it; more instances",
 		},
 		{
 			role: roleEntry, function: "start records: owner and witness", driver: byStarts, limits: instance,
 			state:    []term{measuredTerm("keeper.RecordMemory", "size", "B/record", records, records).withFallback(constantTerm(records * scale.recordBytes))},
-			messages: []term{constantTerm(4 * jobs)}, // record and acknowledgement, once as owner and once as witness
-			wire:     []term{measuredTerm("linker.Record", "peers", "B/message", scale.instancesPerDomain, 4*jobs).withFallback(constantTerm(4 * jobs * scale.messageBytes))},
-			// The benchmark covers owner and witness; an instance is each of them once per job.
-			cpu:        []term{cpuTerm("keeper.Job", "size", records, jobs)},
+			messages: []term{constantTerm(4 * jobRate)}, // record and acknowledgement, once as owner and once as witness
+			wire:     []term{measuredTerm("linker.Record", "peers", "B/message", scale.instancesPerDomain, 4*jobRate).withFallback(constantTerm(4 * jobRate * scale.messageBytes))},
+			// The benchmark measures owner and witness together, and per job an instance acts once as each.
+			cpu:        []term{cpuTerm("keeper.Job", "size", records, jobRate)},
 			mechanism:  "one record per job in the memory of two instances, one round trip",
 			bottleneck: "memory for records of small jobs", nextMechanism: "drop settled records to key and digest; a shorter retention",
 		},
 		{
 			role: roleEntry, function: "queueing and quotas", driver: byStarts, limits: instance,
-			cpu:        []term{cpuTerm("limiter.Queue", "waiting", maxWaitingJobs, starts)},
+			cpu:        []term{cpuTerm("limiter.Queue", "waiting", maxWaitingJobs, startRate)},
 			mechanism:  "one queue per instance, ordered by deadline",
 			bottleneck: "one lock per queue", nextMechanism: "a queue per kind",
 		},
 		{
 			role: roleEntry, function: "peers: links and codec", driver: byStarts, limits: instance,
-			// A message is measured with both ends; an instance is one end of each of its 4 messages per job.
-			cpu:        []term{measuredTerm("linker.Record", "peers", "cpu-ns/message", scale.instancesPerDomain, 2*jobs*1e-9)},
+			// The benchmark measures both ends of a message; an instance is one end of each of its 4 messages per job.
+			cpu:        []term{measuredTerm("linker.Record", "peers", "cpu-ns/message", scale.instancesPerDomain, 2*jobRate*1e-9)},
 			mechanism:  "WebSocket frames, CBOR; full mesh inside a failure domain",
 			bottleneck: "one frame and one system call per message", nextMechanism: "records of several jobs in one frame",
 		},
@@ -108,11 +108,11 @@
 func controlRows(scale Scale) []row {
 	peers := scale.instancesPerDomain - 1
 	budget := limits{cpu: budgetCPU, memory: budgetMemory, wire: budgetWire}
-	bundles := scale.bundleRate()
-	views := scale.viewRate()
+	bundlesPerSecond := scale.bundleRate()
+	viewsPerSecond := scale.viewRate()
 	part := scale.targets / scale.domains
 	records := scale.jobRate() * 4 * scale.retentionSeconds
-	unsummed := scale.burnRecordRate() * maxSumLagSeconds // burn records after the last hourly sum
+	unsummedRecords := scale.burnRecordRate() * maxSumLagSeconds // burn records since the last hourly sum
 	return []row{
 		{
 			role: roleConfig, function: "bundles as one record: read, verify, parse", driver: byTargets, limits: budget,
@@ -121,28 +121,28 @@
 				measuredTerm("bundler.Parse", "targets", "B/op", scale.targets, 1),
 				measuredTerm("appender.Read", "bytes", "B/op", scale.targets*bundleBytesPerTarget, 1),
 			},
-			messages: []term{constantTerm(2 * bundles)},
-			wire:     []term{measuredTerm("bundler.Parse", "targets", "record-B", scale.targets, bundles*base64Growth)},
+			messages: []term{constantTerm(2 * bundlesPerSecond)},
+			wire:     []term{measuredTerm("bundler.Parse", "targets", "record-B", scale.targets, bundlesPerSecond*base64Growth)},
 			cpu: []term{
-				cpuTerm("bundler.Fold", "targets", scale.targets, bundles).withFallback(cpuTerm("bundler.Parse", "targets", scale.targets, bundles)),
-				socketCPUTerm("appender.Read", "bytes", scale.targets*bundleBytesPerTarget, bundles),
+				cpuTerm("bundler.Fold", "targets", scale.targets, bundlesPerSecond).withFallback(cpuTerm("bundler.Parse", "targets", scale.targets, bundlesPerSecond)),
+				socketCPUTerm("appender.Read", "bytes", scale.targets*bundleBytesPerTarget, bundlesPerSecond),
 			},
 			mechanism:  "each change publishes the whole bundle; each instance reads and parses all of it",
 			bottleneck: "every instance reads the whole configuration for each change", nextMechanism: "one record per failure domain (next row)",
 		},
 		{
-			// Upper bound: all changes fall on the part of the instance's own failure domain.
+			// Upper bound: all changes affect the part of the instance's own failure domain.
 			role: roleConfig, function: "bundles split per failure domain: read, verify, parse", control: true, driver: byTargets, limits: budget,
 			state: []term{measuredTerm("bundler.Parse", "targets", "held-B", part, 2), scale.partRecord(1)},
 			memory: []term{
 				measuredTerm("bundler.Parse", "targets", "B/op", part, 1),
 				measuredTerm("appender.Read", "bytes", "B/op", part*bundleBytesPerTarget, 1),
 			},
-			messages: []term{constantTerm(2 * bundles)},
-			wire:     []term{scale.partRecord(bundles * base64Growth)},
+			messages: []term{constantTerm(2 * bundlesPerSecond)},
+			wire:     []term{scale.partRecord(bundlesPerSecond * base64Growth)},
 			cpu: []term{
-				cpuTerm("bundler.Parts/part", "targets", scale.targets, bundles).withFallback(cpuTerm("bundler.Parse", "targets", part, bundles)),
-				socketCPUTerm("appender.Read", "bytes", part*bundleBytesPerTarget, bundles),
+				cpuTerm("bundler.Parts/part", "targets", scale.targets, bundlesPerSecond).withFallback(cpuTerm("bundler.Parse", "targets", part, bundlesPerSecond)),
+				socketCPUTerm("appender.Read", "bytes", part*bundleBytesPerTarget, bundlesPerSecond),
 			},
 			mechanism:     "each change publishes the targets of one failure domain, or the common part",
 			bottleneck:    "every instance reads all targets of its failure domain for each change",
@@ -162,14 +162,14 @@
 		},
 		{
 			role: roleMembership, function: "views: read, adopt, sync", control: true, driver: byStarts, limits: budget,
-			messages: []term{constantTerm(views * (1 + 2*peers))},
-			// Only views that move slices need a sync; the benchmark's sync is that of all slices of one instance.
+			messages: []term{constantTerm(viewsPerSecond * (1 + 2*peers))},
+			// Only views that move slices need a sync; the benchmark syncs all slices of one instance.
 			wire: []term{
-				constantTerm(views * scale.instancesPerDomain * scale.viewBytes * base64Growth),
+				constantTerm(viewsPerSecond * scale.instancesPerDomain * scale.viewBytes * base64Growth),
 				measuredTerm("keeper.Sync", "size", "B/sync", records, scale.sliceMoveRate()),
 			},
 			cpu: []term{
-				cpuTerm("keeper.Adopt", "size", scale.instancesPerDomain, views),
+				cpuTerm("keeper.Adopt", "size", scale.instancesPerDomain, viewsPerSecond),
 				cpuTerm("keeper.Sync", "size", records, scale.sliceMoveRate()),
 			},
 			mechanism:     "stream views-<domain>; moved slices are synced from every member",
@@ -202,7 +202,8 @@
 			bottleneck: "size of the minute records", nextMechanism: "fewer series per instance: callers of one team on few instances",
 		},
 		{
-			// Means over the hours; at its turn an instance reads the records of an hour within sumTimeout of package accountant.
+			// Averages over all hours. At its turn an instance reads the records of a whole hour, within sumTimeout of package
+			// accountant.
 			role: roleBurn, function: "hourly sums: read them, append them at the own turn", control: true, driver: bySeries, limits: budget,
 			memory:   []term{measuredTerm("reporter.Summer", "series", "held-B", scale.seriesPerInstance, 1)},
 			messages: []term{constantTerm(2.0 / secondsPerHour)},
@@ -218,7 +219,7 @@
 			bottleneck: "size of the sum and of the minute records", nextMechanism: "sums per failure domain",
 		},
 		{
-			// Only the instance that is asked reads the stream, so this is no control work of every node.
+			// Only the instance that is asked reads the stream, so this does not count as control work of every node.
 			role: roleBurn, function: "GET /v1/burn asked every minute, at the instance that is asked", driver: bySeries, limits: budget,
 			memory:   []term{measuredTerm("reporter.Add", "series", "held-B", scale.seriesPerInstance, 1)},
 			messages: []term{constantTerm(2.0 / 60)},
@@ -233,15 +234,16 @@
 		{
 			role: roleBurn, function: "a report of three days, read from the log in a minute", driver: bySeries, limits: limits{wire: scale.networkBytes, cpu: 1},
 			memory:   []term{measuredTerm("reporter.Add", "series", "held-B", scale.seriesPerInstance, 1)},
-			messages: []term{constantTerm(unsummed / maxPageRecords / 60), constantTerm(hourlySumsRead / 60)},
+			messages: []term{constantTerm(unsummedRecords / maxPageRecords / 60), constantTerm(hourlySumsRead / 60)},
 			cpu: []term{
-				// The benchmark reads three days of sums and the minutes of a few instances; the others' minutes are added.
+				// The benchmark reads three days of sums and the minute records of benchInstances instances. The second term
+				// adds the minute records of all instances since the last sum.
 				socketCPUTerm("accountant.Read/sums", "series", scale.seriesPerInstance, 1.0/60),
-				socketCPUTerm("accountant.Follow", "series", scale.seriesPerInstance, unsummed/benchInstances/60),
+				socketCPUTerm("accountant.Follow", "series", scale.seriesPerInstance, unsummedRecords/benchInstances/60),
 			},
 			wire: []term{
 				measuredTerm("reporter.Sum", "series", "wire-B/op", scale.seriesPerInstance, base64Growth*hourlySumsRead/60),
-				measuredTerm("reporter.Batch", "series", "wire-B/op", scale.seriesPerInstance, base64Growth*unsummed/60),
+				measuredTerm("reporter.Batch", "series", "wire-B/op", scale.seriesPerInstance, base64Growth*unsummedRecords/60),
 			},
 			mechanism:  "a fresh reader reads hourly sums, and the minute records after the last one",
 			bottleneck: "decoding the minute records since the last sum", nextMechanism: "sums of shorter periods",
@@ -250,17 +252,17 @@
 }
 
 func platformRows(scale Scale) []row {
-	bundles, instances := scale.bundleRate(), scale.instances()
-	log := limits{messages: scale.logAppendRate, wire: scale.networkBytes}
+	bundlesPerSecond, instances := scale.bundleRate(), scale.instances()
+	log := limits{messages: scale.maxLogAppendRate, wire: scale.networkBytes}
 	views := scale.viewRate() * scale.domains
 	viewBytes := scale.instancesPerDomain * scale.viewBytes
 	return []row{
 		{
 			role: rolePlatform, function: "log: appends", driver: byInstances, limits: log,
-			messages: []term{constantTerm(views), constantTerm(bundles), constantTerm(scale.burnRecordRate()), constantTerm(1.0 / secondsPerHour)},
+			messages: []term{constantTerm(views), constantTerm(bundlesPerSecond), constantTerm(scale.burnRecordRate()), constantTerm(1.0 / secondsPerHour)},
 			wire: []term{
 				constantTerm(views * viewBytes),
-				scale.partRecord(bundles),
+				scale.partRecord(bundlesPerSecond),
 				measuredTerm("reporter.Batch", "series", "wire-B/op", scale.seriesPerInstance, scale.burnRecordRate()),
 				measuredTerm("reporter.Sum", "series", "wire-B/op", scale.seriesPerInstance, 1.0/secondsPerHour),
 			},
@@ -269,10 +271,10 @@
 		},
 		{
 			role: rolePlatform, function: "log: reads by instances", driver: byTargets, limits: limits{wire: scale.networkBytes},
-			// Three long polls of five seconds per instance (views, common part, own part), and one answer per new record.
-			messages: []term{constantTerm(instances * (3.0/5 + bundles/scale.domains + scale.viewRate()))},
+			// Three long polls of five seconds per instance (views, common part, own part), and one response per new record.
+			messages: []term{constantTerm(instances * (3.0/5 + bundlesPerSecond/scale.domains + scale.viewRate()))},
 			wire: []term{
-				scale.partRecord(bundles * scale.instancesPerDomain * base64Growth),
+				scale.partRecord(bundlesPerSecond * scale.instancesPerDomain * base64Growth),
 				constantTerm(views * viewBytes * scale.instancesPerDomain * base64Growth),
 				measuredTerm("reporter.Sum", "series", "wire-B/op", scale.seriesPerInstance, instances*base64Growth/secondsPerHour),
 			},
@@ -292,40 +294,41 @@
 const (
 	// defaultMaxAnswerBytes is the default of the setting max-answer-bytes.
 	defaultMaxAnswerBytes = 256 << 20
-	// maxWaitingJobs is the default bound of the limiter's queue.
+	// maxWaitingJobs is the default limit on the limiter's queue.
 	maxWaitingJobs = 4096
 )
 
-// bundleBytesPerTarget is the growth of a bundle record per target, as bundler.Parse reports it.
+// bundleBytesPerTarget is the size of one target in a bundle record, as the benchmark bundler.Parse reports it.
 const bundleBytesPerTarget = 107
 
-// connectionBytes is the memory of one connection in use: two buffers of 4 KiB and the stacks of two goroutines.
+// connectionBytes is the memory of one active connection: two buffers of 4 KiB and the stacks of two goroutines.
 const connectionBytes = 20_000
 
-// partRecord returns the bytes of the record with the targets of one failure domain, times a count.
-func (scale Scale) partRecord(times float64) term {
-	whole := measuredTerm("bundler.Parse", "targets", "record-B", scale.targets/scale.domains, times)
-	return measuredTerm("bundler.Parts/part", "targets", "record-B", scale.targets, times).withFallback(whole)
+// partRecord returns the term for the size of the record with the targets of one failure domain, times a multiplier.
+func (scale Scale) partRecord(multiplier float64) term {
+	fallback := measuredTerm("bundler.Parse", "targets", "record-B", scale.targets/scale.domains, multiplier)
+	return measuredTerm("bundler.Parts/part", "targets", "record-B", scale.targets, multiplier).withFallback(fallback)
 }
 
-// claimBytes is the memory of one entry of a map from a fingerprint to a claim, at the usual load.
+// claimBytes is the memory of one entry of a map from fingerprint to claim, at the usual load factor.
 const claimBytes = 60
 
-// maxPageRecords is the number of records that the log returns at once.
+// maxPageRecords is the largest number of records in one page of the log.
 const maxPageRecords = 1000
 
 const (
-	// benchInstances is the number of instances in the benchmarks of package accountant.
+	// benchInstances is the number of instances that the benchmarks of package accountant simulate.
 	benchInstances = 4
-	// maxSumLagSeconds is the longest time after the last record of a sum until the next sum: an hour and a turn.
+	// maxSumLagSeconds is the longest time from the last record of one hourly sum to the next sum: an hour, and the
+	// turn of the instance that appends it.
 	maxSumLagSeconds = 1.5 * secondsPerHour
-	// hourlySumsRead is the number of sums of three days.
+	// hourlySumsRead is the number of hourly sums in three days.
 	hourlySumsRead = 72.0
 )
 
-// httpExchangeTerm returns the CPU share of one side of an HTTP request and its answer, without their encoding. One task
-// start over loopback is both sides of such an exchange, so this is an upper bound.
+// httpExchangeTerm returns the share of a core that one side of HTTP requests and responses takes, without encoding the
+// bodies. The benchmark of a task start over loopback includes both sides, so this is an upper bound.
 func httpExchangeTerm(rate float64) term { return socketCPUTerm("starter.Start", "tasks", 1, rate) }
 
-// callerJobRate returns the jobs per second of one caller process, one per team.
+// callerJobRate returns the jobs per second of one caller process, of which there is one per team.
 func (scale Scale) callerJobRate() float64 { return scale.startRate / scale.tasksPerJob / scale.teams }
--- a/estimator/page.go
+++ b/estimator/page.go
@@ -9,7 +9,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// page collects the text of docs/CAPACITY.md.
+// page builds the text of docs/CAPACITY.md.
 type page struct{ strings.Builder }
 
 func (page *page) linef(format string, args ...any) { fmt.Fprintf(page, format+"\n", args...) }
@@ -28,10 +28,11 @@
 	page.linef("%s", notMeasurable)
 	estimate.writeFits(page)
 	_, err := io.WriteString(writer, page.String())
-	return eris.Wrap(err, "writing the page")
+	return eris.Wrap(err, "writing the capacity page")
 }
 
-// writeFindings states first where the design does not reach the target scale.
+// writeFindings lists the rows that exceed a limit below the target scale, the assumption on held answers, the total of
+// the control work and the missing benchmarks.
 func (estimate *Estimate) writeFindings(page *page) {
 	page.linef("Where the design does not reach the target scale (section 1 of [design.md](design.md)):\n")
 	found := false
@@ -48,9 +49,9 @@
 	}
 	page.linef("- **Held answers** rest on an assumption, results of %s bytes: they need %s bytes for the whole retention, and the setting max-answer-bytes allows %s by default. Beyond it the oldest are answered \"answer lost\".",
 		formatNumber(estimate.scale.resultBytes), formatNumber(estimate.scale.heldAnswerBytes()), formatNumber(defaultMaxAnswerBytes))
-	control := estimate.controlTotal()
-	page.linef("- **Control work in all** against the budget per node: CPU %s, memory %s, bytes/s %s.", formatPercent(control.cpu, budgetCPU),
-		formatPercent(control.memory, budgetMemory), formatPercent(control.wire, budgetWire))
+	controlTotal := estimate.controlTotal()
+	page.linef("- **Control work in all** against the budget per node: CPU %s, memory %s, bytes/s %s.", formatPercent(controlTotal.cpu, budgetCPU),
+		formatPercent(controlTotal.memory, budgetMemory), formatPercent(controlTotal.wire, budgetWire))
 	if missing := estimate.Missing(); len(missing) > 0 {
 		page.linef("- Not measured yet, and absent from every sum below: `%s`.", strings.Join(missing, "`, `"))
 	}
@@ -80,7 +81,7 @@
 		formatNumber(scale.bundlesPerDay), formatNumber(scale.failuresPerDay), formatNumber(scale.replacementsPerDay),
 		formatNumber(scale.tasksPerJob), formatNumber(scale.taskSeconds), formatNumber(scale.resultBytes), formatNumber(scale.instancesPerDomain),
 		formatNumber(scale.cores), formatNumber(scale.memoryBytes), formatNumber(scale.usableShare*100), formatNumber(scale.retentionSeconds),
-		formatNumber(scale.kinds), formatNumber(scale.seriesPerInstance), formatNumber(scale.logAppendRate))
+		formatNumber(scale.kinds), formatNumber(scale.seriesPerInstance), formatNumber(scale.maxLogAppendRate))
 }
 
 func (estimate *Estimate) writeRoleTables(page *page) {
--- a/estimator/row.go
+++ b/estimator/row.go
@@ -5,65 +5,66 @@
 	"slices"
 )
 
-// term is one summand of a figure: a fitted line at a size, times a count; without a family it is the count alone.
+// term is one summand of a quantity: the value of a fitted line at a size, times a multiplier. Without a family it is
+// the multiplier alone.
 type term struct {
 	series
 	size       float64
 	multiplier float64
-	// fallback stands in for a family that is not measured yet; the family is still listed as missing.
+	// fallback replaces a family without measurements; the family is still listed as missing.
 	fallback *term
 }
 
-// withFallback returns the term with a fallback.
+// withFallback returns a copy of the term that falls back to another one if its family has no measurements.
 func (term term) withFallback(fallback term) term {
 	term.fallback = &fallback
 	return term
 }
 
-// measuredTerm returns the term for one unit of a benchmark family at a size, times a count.
-func measuredTerm(family, dimension, unit string, size, times float64) term {
-	return term{series: series{family: family, dimension: dimension, unit: unit}, size: size, multiplier: times}
+// measuredTerm returns the term for one unit of a benchmark family at a size, times a multiplier.
+func measuredTerm(family, dimension, unit string, size, multiplier float64) term {
+	return term{series: series{family: family, dimension: dimension, unit: unit}, size: size, multiplier: multiplier}
 }
 
-// cpuTerm returns the CPU share of an operation that runs rate times a second.
+// cpuTerm returns the share of a core taken by an operation that runs rate times per second.
 func cpuTerm(family, dimension string, size, rate float64) term {
 	return measuredTerm(family, dimension, "ns/op", size, rate*1e-9)
 }
 
-// socketCPUTerm is work for benchmarks over sockets, which report CPU time beside wall time.
+// socketCPUTerm is cpuTerm for benchmarks over sockets, which report CPU time in addition to wall time.
 func socketCPUTerm(family, dimension string, size, rate float64) term {
 	return measuredTerm(family, dimension, "cpu-ns/op", size, rate*1e-9)
 }
 
-// constantTerm returns a term that rests on no measurement.
+// constantTerm returns a term that depends on no measurement.
 func constantTerm(value float64) term { return term{multiplier: value} }
 
-// Grade says what a figure rests on.
+// Grade tells how well measurements support a quantity.
 type Grade int
 
-// Grades of figures, from best to worst; a sum has the worst grade of its terms.
+// Grades from best to worst; a sum has the worst grade of its terms.
 const (
-	// Calculated means counted from the protocol and the scale, without a measurement.
+	// Calculated quantities follow from the protocol and the scale, without a measurement.
 	Calculated Grade = iota
-	// Extrapolated means a measured cost within the measured sizes, times a rate that was never run.
+	// Extrapolated quantities multiply a cost within the measured sizes by a rate that was never run.
 	Extrapolated
-	// BeyondMeasuredRange means that the line is read outside the measured sizes.
+	// BeyondMeasuredRange means that a fitted line was evaluated outside the measured sizes.
 	BeyondMeasuredRange
 	// NotFitted means that fewer than three sizes were measured.
 	NotFitted
 )
 
-// Quantity is one number of the table.
+// Quantity is one value of the table, with its grade and the benchmark families that it lacks.
 type Quantity struct {
 	value   float64
 	grade   Grade
 	missing []string
 }
 
-// Value returns the number, without the terms that are not measured yet.
+// Value returns the sum of the terms that have been measured.
 func (quantity Quantity) Value() float64 { return quantity.value }
 
-// Missing returns the benchmark families that the figure lacks.
+// Missing returns the benchmark families that the quantity lacks.
 func (quantity Quantity) Missing() []string { return quantity.missing }
 
 func (quantity Quantity) plus(other Quantity) Quantity {
@@ -76,7 +77,7 @@
 	}
 }
 
-// sum adds up terms.
+// sum evaluates terms and adds them up.
 func (measurements *Measurements) sum(terms []term) Quantity {
 	var total Quantity
 	for _, term := range terms {
@@ -103,10 +104,10 @@
 	return Quantity{value: fit.At(term.size) * term.multiplier, grade: Extrapolated}
 }
 
-// limits are the values at which a row breaks; zero means no limit.
+// limits are the values above which a resource is exhausted; zero means no limit.
 type limits struct{ cpu, memory, wire, messages float64 }
 
-// row is one function of one role: its costs as terms, and what carries it.
+// row describes one function of one role: its costs as terms, the mechanism that implements it and what limits it.
 type row struct {
 	role     string
 	function string
@@ -114,8 +115,8 @@
 	driver   driver
 	limits   limits
 
-	state    []term // bytes that are held
-	memory   []term // bytes beyond state: buffers and garbage
+	state    []term // bytes held
+	memory   []term // bytes in addition to state: buffers and garbage
 	messages []term // per second
 	wire     []term // bytes per second, both directions
 	cpu      []term // share of a core
@@ -125,7 +126,7 @@
 	nextMechanism string
 }
 
-// EvaluatedRow is an evaluated row of the table.
+// EvaluatedRow is a row with its quantities; memory includes state.
 type EvaluatedRow struct {
 	row
 	state, memory, messages, wire, cpu Quantity
@@ -139,26 +140,27 @@
 	}
 }
 
-// exceeded returns the first resource that passes its limit, or an empty name.
+// exceeded returns the name and grade of the first resource above its limit, or an empty name.
 func (evaluated EvaluatedRow) exceeded() (string, Grade) {
 	for _, check := range []struct {
-		name   string
-		figure Quantity
-		limit  float64
+		name     string
+		quantity Quantity
+		limit    float64
 	}{
 		{"CPU", evaluated.cpu, evaluated.limits.cpu},
 		{"memory", evaluated.memory, evaluated.limits.memory},
 		{"bytes/s", evaluated.wire, evaluated.limits.wire},
 		{"messages/s", evaluated.messages, evaluated.limits.messages},
 	} {
-		if check.limit > 0 && check.figure.value > check.limit {
-			return check.name, check.figure.grade
+		if check.limit > 0 && check.quantity.value > check.limit {
+			return check.name, check.quantity.grade
 		}
 	}
 	return "", Calculated
 }
 
-// Saturation is the size at which a row first passes a limit.
+// Saturation is the value of a row's driver at which the row first exceeds a limit. The resource is empty if no limit
+// was exceeded up to size.
 type Saturation struct {
 	size     float64
 	target   float64
@@ -166,34 +168,35 @@
 	grade    Grade
 }
 
-// BelowTarget reports whether the row breaks before the target scale.
+// BelowTarget reports whether the row exceeds a limit before its driver reaches the target scale.
 func (point Saturation) BelowTarget() bool { return point.resource != "" && point.size < point.target }
 
-// maxScaleFactor bounds the search for a break; a row that holds at this multiple of the target is reported as such.
+// maxScaleFactor bounds the search for a saturation; a row that stays within its limits at this multiple of the target
+// is reported without one.
 const maxScaleFactor = 1024
 
-// saturation searches for the smallest size of the row's driver at which a limit is passed, between 1/1024 of
-// the target and 1024 times the target; every figure must grow with its driver.
+// saturation searches, by bisection, for the smallest value of the row's driver at which a limit is exceeded, between
+// 1/1024 of the target and 1024 times the target. This requires that every quantity grows with its driver.
 func (measurements *Measurements) saturation(scale Scale, index int) Saturation {
 	driver := tableRows(scale)[index].driver
 	target := *scale.driverValue(driver)
-	at := func(factor float64) (string, Grade) {
+	exceededAt := func(factor float64) (string, Grade) {
 		varied := scale
 		*varied.driverValue(driver) = target * factor
 		return measurements.evaluateRow(tableRows(varied)[index]).exceeded()
 	}
-	if resource, _ := at(maxScaleFactor); resource == "" {
+	if resource, _ := exceededAt(maxScaleFactor); resource == "" {
 		return Saturation{size: target * maxScaleFactor, target: target}
 	}
 	low, high := 1.0/maxScaleFactor, float64(maxScaleFactor)
 	for high/low > 1.005 {
 		middle := math.Sqrt(low * high)
-		if resource, _ := at(middle); resource == "" {
+		if resource, _ := exceededAt(middle); resource == "" {
 			low = middle
 		} else {
 			high = middle
 		}
 	}
-	resource, grade := at(high)
+	resource, grade := exceededAt(high)
 	return Saturation{size: target * high, target: target, resource: resource, grade: grade}
 }
--- a/estimator/sections.go
+++ b/estimator/sections.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// instanceSizes are the sizes of entry instances for which the number needed is shown.
+// instanceSizes are the sizes of entry instances for which the page shows the number required.
 var instanceSizes = []struct{ cores, memory float64 }{{2, 4e9}, {4, 8e9}, {8, 16e9}, {16, 32e9}}
 
 func (estimate *Estimate) writeSizing(page *page) {
@@ -13,20 +13,20 @@
 	page.linef("three is lost and its work stays in the region.\n")
 	page.linef("| tasks per job | busy cores in all | memory in all | instance size | instances per failure domain | in all | with the loss covered |")
 	page.linef("|---|---|---|---|---|---|---|")
-	const growthInRegionOfThree = 1.5
+	const loadGrowthInRegionOfThree = 1.5
 	for _, tasksPerJob := range []float64{1, scale.tasksPerJob, 130} {
 		demand := estimate.demandFor(tasksPerJob)
 		for _, size := range instanceSizes {
-			plain := estimate.requiredPerDomain(demand, size.cores, size.memory, 1)
-			covered := estimate.requiredPerDomain(demand, size.cores, size.memory, growthInRegionOfThree)
+			normal := estimate.requiredPerDomain(demand, size.cores, size.memory, 1)
+			withLoss := estimate.requiredPerDomain(demand, size.cores, size.memory, loadGrowthInRegionOfThree)
 			page.linef("| %s | %s | %s | %s cores, %sB | %s | %s | %s |", formatNumber(tasksPerJob), demand.cores, demand.memory,
-				formatNumber(size.cores), formatNumber(size.memory), formatNumber(plain), formatNumber(plain*scale.domains), formatNumber(covered*scale.domains))
+				formatNumber(size.cores), formatNumber(size.memory), formatNumber(normal), formatNumber(normal*scale.domains), formatNumber(withLoss*scale.domains))
 		}
 	}
-	// Two cores are busy while the callers wait, so that wall time per job times two bounds the CPU time per job.
-	whole := estimate.measurements.evaluateTerm(measuredTerm("server.Throughput/entry", "tasks", "ns/op", scale.tasksPerJob, 2e-9*scale.startRate/scale.tasksPerJob))
+	// The benchmark runs on two cores, so twice the wall time per job is an upper bound of its CPU time.
+	upperBound := estimate.measurements.evaluateTerm(measuredTerm("server.Throughput/entry", "tasks", "ns/op", scale.tasksPerJob, 2e-9*scale.startRate/scale.tasksPerJob))
 	page.linef("\nCross-check, upper bound: `server.Throughput/entry` keeps two cores busy with caller, instance and runner together;")
-	page.linef("at %s tasks per job the peak takes %s cores for all three.", formatNumber(scale.tasksPerJob), whole)
+	page.linef("at %s tasks per job the peak takes %s cores for all three.", formatNumber(scale.tasksPerJob), upperBound)
 }
 
 func (estimate *Estimate) writeLossScenarios(page *page) {
@@ -34,7 +34,7 @@
 	page.linef("\n## Loss of a failure domain or a region\n")
 	page.linef("All calculated; the load is assumed even over the failure domains.\n")
 	page.linef("| lost | starts/s that move | load of each taker | usable share needed before the loss |\n|---|---|---|---|")
-	for _, loss := range estimate.lossScenarios() {
+	for _, loss := range estimate.losses() {
 		page.linef("| %s | %s | %+.1f%% | %.0f%% |", loss.name, formatNumber(scale.startRate*loss.lost/scale.domains),
 			100*(loss.loadGrowth()-1), math.Floor(100/loss.loadGrowth()))
 	}
@@ -59,13 +59,13 @@
 	page.linef("\n## What the log's appends are spent on\n")
 	page.linef("| use | appends/s | bytes per append | bytes/s |\n|---|---|---|---|")
 	var rate, bytes float64
-	for _, use := range estimate.appendUses() {
+	for _, use := range estimate.logAppends() {
 		page.linef("| %s | %.3f | %s | %s |", use.name, use.rate, formatNumber(use.bytes), formatNumber(use.rate*use.bytes))
 		rate += use.rate
 		bytes += use.rate * use.bytes
 	}
 	page.linef("| **sum** | %.3f | | %s |", rate, formatNumber(bytes))
-	page.linef("| **left of %s** | %.1f | | |", formatNumber(scale.logAppendRate), scale.logAppendRate-rate)
+	page.linef("| **left of %s** | %.1f | | |", formatNumber(scale.maxLogAppendRate), scale.maxLogAppendRate-rate)
 	page.linef(`
 The rates are means over a day; changes and replacements come in bursts. Bundles are split per failure domain
 here. Racing proposers multiply the first row by at most the members of a failure domain (%s). After an outage of the
