--- a/emulator/doc.go
+++ b/emulator/doc.go
@@ -1,3 +1,3 @@
-// Package emulator provides small stand-ins of the platform for tests and for
-// the quickstart: the log service, the instance list, runners and workers.
+// Package emulator emulates the services of the platform in memory, for tests and for the quickstart: the log, the
+// instance list, runners and workers.
 package emulator
--- a/emulator/list.go
+++ b/emulator/list.go
@@ -13,17 +13,17 @@
 	"github.com/hyssoplift/hyssoplift/lister"
 )
 
-// maxInstanceBytes bounds the body of one change.
+// maxInstanceBytes is the largest body of a PUT of an instance.
 const maxInstanceBytes = 64 << 10
 
-// listChange is one change of the list; a nil instance means that it is removed.
+// listChange is a change of the list that becomes visible at visibleAt. A nil instance removes the named one.
 type listChange struct {
 	visibleAt time.Time
 	name      string
 	instance  *lister.Instance
 }
 
-// List is a stand-in of the platform's instance list; it shows each change after a lag.
+// List emulates the platform's instance list. A change becomes visible after a lag.
 type List struct {
 	mux *http.ServeMux
 
@@ -34,7 +34,7 @@
 	pending []listChange
 }
 
-// NewList returns an empty list that shows changes after lag.
+// NewList returns an empty list whose changes become visible after lag.
 func NewList(lag time.Duration) *List {
 	list := &List{mux: http.NewServeMux(), lag: lag, visible: make(map[string]lister.Instance)}
 	list.mux.HandleFunc("GET /instances", list.handleRead)
@@ -48,15 +48,15 @@
 	return list
 }
 
-// ServeHTTP answers reads and requests for changes, lag and faults.
+// ServeHTTP serves reads and changes of the list and the settings for lag and faults.
 func (list *List) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	list.mux.ServeHTTP(writer, request)
 }
 
-// Put adds or replaces an instance, visible after the lag.
+// Put adds or replaces an instance; the change becomes visible after the lag.
 func (list *List) Put(instance lister.Instance) { list.scheduleChange(instance.Name, &instance) }
 
-// Remove drops an instance, visible after the lag.
+// Remove removes an instance; the change becomes visible after the lag.
 func (list *List) Remove(name string) { list.scheduleChange(name, nil) }
 
 func (list *List) scheduleChange(name string, instance *lister.Instance) {
@@ -65,21 +65,21 @@
 	list.pending = append(list.pending, listChange{visibleAt: time.Now().Add(list.lag), name: name, instance: instance})
 }
 
-// SetLag changes the lag of later changes.
+// SetLag sets the lag of future changes; pending ones keep theirs.
 func (list *List) SetLag(lag time.Duration) {
 	list.mu.Lock()
 	defer list.mu.Unlock()
 	list.lag = lag
 }
 
-// SetDown makes the list answer every read with 503, or ends that.
+// SetDown sets whether the list answers every read with 503.
 func (list *List) SetDown(down bool) {
 	list.mu.Lock()
 	defer list.mu.Unlock()
 	list.down = down
 }
 
-// snapshot returns what the list shows of failureDomain now, sorted by name, and whether it is up.
+// snapshot returns the visible instances of failureDomain sorted by name, and whether the list is up.
 func (list *List) snapshot(failureDomain string) ([]lister.Instance, bool) {
 	list.mu.Lock()
 	defer list.mu.Unlock()
--- a/emulator/log.go
+++ b/emulator/log.go
@@ -11,24 +11,24 @@
 	"github.com/hyssoplift/hyssoplift/appender"
 )
 
-// LogFault is a fault that the log stand-in shows on request.
+// LogFault is a fault that the emulated log injects.
 type LogFault string
 
-// Faults of the log stand-in.
+// Faults of the emulated log.
 const (
-	// LogHealthy is the absence of a fault.
+	// LogHealthy injects no fault.
 	LogHealthy LogFault = "healthy"
 	// LogDown answers every request with 503.
 	LogDown LogFault = "down"
 	// LogSlow delays every request by two seconds.
 	LogSlow LogFault = "slow"
-	// LogLosesResponses closes the connection after an append took effect.
+	// LogLosesResponses stores appended records and closes the connection without a response.
 	LogLosesResponses LogFault = "loses-answers"
 )
 
 const slowLogDelay = 2 * time.Second
 
-// Bounds of one page of a read; a page holds at least one record.
+// Limits of one page of a read. A page holds at least one record, even if it exceeds maxPageBytes.
 const (
 	maxPageRecords = 1000
 	maxPageBytes   = 8 << 20
@@ -42,7 +42,7 @@
 
 func (stream *logStream) next() int64 { return stream.earliest + int64(len(stream.records)) }
 
-// Log is a stand-in of the platform's append-only log, held in memory.
+// Log emulates the platform's append-only log in memory.
 type Log struct {
 	mux *http.ServeMux
 
@@ -61,41 +61,41 @@
 	return log
 }
 
-// ServeHTTP answers appends, reads and requests for faults.
+// ServeHTTP serves appends and reads, and requests that trim a stream or inject a fault.
 func (log *Log) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	log.mux.ServeHTTP(writer, request)
 }
 
-// SetFault switches the fault that the log shows.
+// SetFault sets the fault that the log injects.
 func (log *Log) SetFault(fault LogFault) {
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	log.fault = fault
 }
 
-// Append adds data to stream and returns its offset, whatever the fault.
-func (log *Log) Append(stream string, data []byte) int64 {
+// Append appends data to the named stream, regardless of the fault, and returns its offset.
+func (log *Log) Append(name string, data []byte) int64 {
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	to := log.stream(stream)
-	offset := to.next()
-	to.records = append(to.records, appender.Record{Offset: offset, Data: data})
-	close(to.changed)
-	to.changed = make(chan struct{})
+	stream := log.stream(name)
+	offset := stream.next()
+	stream.records = append(stream.records, appender.Record{Offset: offset, Data: data})
+	close(stream.changed)
+	stream.changed = make(chan struct{})
 	return offset
 }
 
-// Trim drops the records of stream below offset.
-func (log *Log) Trim(stream string, offset int64) {
+// Trim drops the records of the named stream below offset.
+func (log *Log) Trim(name string, offset int64) {
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	from := log.stream(stream)
-	drop := min(max(offset-from.earliest, 0), int64(len(from.records)))
-	from.records = from.records[drop:]
-	from.earliest += drop
+	stream := log.stream(name)
+	count := min(max(offset-stream.earliest, 0), int64(len(stream.records)))
+	stream.records = stream.records[count:]
+	stream.earliest += count
 }
 
-// stream returns the named stream; the caller holds log.mu.
+// stream returns the named stream and creates it if it does not exist. The caller holds log.mu.
 func (log *Log) stream(name string) *logStream {
 	stream := log.streams[name]
 	if stream == nil {
@@ -140,7 +140,7 @@
 	timer := time.NewTimer(time.Duration(waitMS) * time.Millisecond)
 	defer timer.Stop()
 	for {
-		page, changed := log.readPage(request.PathValue("stream"), from, limit)
+		page, changed := log.page(request.PathValue("stream"), from, limit)
 		if len(page.Records) > 0 || waitMS <= 0 {
 			_ = json.NewEncoder(writer).Encode(page)
 			return
@@ -155,8 +155,9 @@
 	}
 }
 
-// readPage returns records from offset from on, at least one and no more than fit in limit bytes.
-func (log *Log) readPage(name string, from, limit int64) (appender.Page, <-chan struct{}) {
+// page returns the records of the named stream from offset from on, as many as fit in limit bytes but at least one if
+// there is any, and a channel that is closed when the stream grows.
+func (log *Log) page(name string, from, limit int64) (appender.Page, <-chan struct{}) {
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	stream := log.stream(name)
@@ -194,7 +195,8 @@
 	writer.WriteHeader(http.StatusNoContent)
 }
 
-// applyFault delays or answers the request as the fault demands and reports whether to go on.
+// applyFault rejects the request if the log is down and delays it if the log is slow. It returns the fault, and false if
+// the request must not be handled further.
 func (log *Log) applyFault(writer http.ResponseWriter, request *http.Request) (LogFault, bool) {
 	log.mu.Lock()
 	fault := log.fault
--- a/emulator/runner.go
+++ b/emulator/runner.go
@@ -8,35 +8,36 @@
 	"time"
 )
 
-// RunnerFault is a fault that the runner stand-in shows on request.
+// RunnerFault is a fault that the emulated runner injects.
 type RunnerFault string
 
-// Faults of the runner stand-in.
+// Faults of the emulated runner.
 const (
-	// RunnerHealthy is the absence of a fault.
+	// RunnerHealthy injects no fault.
 	RunnerHealthy RunnerFault = "healthy"
-	// RunnerLeaving answers new tasks with 503 and closes their connections.
+	// RunnerLeaving rejects new tasks with 503 and closes their connections.
 	RunnerLeaving RunnerFault = "leaving"
 	// RunnerFrozen starts tasks and never answers.
 	RunnerFrozen RunnerFault = "frozen"
-	// RunnerFailing answers every task with 500 at once.
+	// RunnerFailing answers every task with 500 immediately.
 	RunnerFailing RunnerFault = "failing"
 )
 
-// RunnerPayload is the payload that the runner stand-in understands.
+// RunnerPayload is the payload of a task for the emulated runner.
 type RunnerPayload struct {
 	// RunMS is the run time in milliseconds on a runner of speed 1.
-	RunMS int64           `json:"run-ms"`
-	Echo  json.RawMessage `json:"echo,omitempty"`
+	RunMS int64 `json:"run-ms"`
+	// Echo is returned in the response and recorded with the start.
+	Echo json.RawMessage `json:"echo,omitempty"`
 }
 
-// TaskStart is one task start that the runner saw.
+// TaskStart records one task start on the emulated runner.
 type TaskStart struct {
 	Kind string          `json:"kind"`
 	Echo json.RawMessage `json:"echo,omitempty"`
 }
 
-// Runner is a stand-in of a target: it runs tasks in a bounded number of slots and queues the rest.
+// Runner emulates a runner: it runs tasks in a fixed number of slots and queues the rest.
 type Runner struct {
 	mux   *http.ServeMux
 	slots chan struct{}
@@ -56,19 +57,19 @@
 	return runner
 }
 
-// ServeHTTP runs tasks, lists starts and takes requests for faults.
+// ServeHTTP runs tasks, lists their starts and serves requests that inject faults.
 func (runner *Runner) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	runner.mux.ServeHTTP(writer, request)
 }
 
-// SetFault switches the fault that the runner shows.
+// SetFault sets the fault that the runner injects.
 func (runner *Runner) SetFault(fault RunnerFault) {
 	runner.mu.Lock()
 	defer runner.mu.Unlock()
 	runner.fault = fault
 }
 
-// Starts returns every task start so far, in order.
+// Starts returns all task starts so far, in order.
 func (runner *Runner) Starts() []TaskStart {
 	runner.mu.Lock()
 	defer runner.mu.Unlock()
@@ -103,7 +104,8 @@
 	_ = json.NewEncoder(writer).Encode(payload)
 }
 
-// start records a task start unless the runner is leaving.
+// start records a task start and returns the current fault. It returns false, without a record, if the runner is
+// leaving.
 func (runner *Runner) start(start TaskStart) (RunnerFault, bool) {
 	runner.mu.Lock()
 	defer runner.mu.Unlock()
--- a/emulator/worker.go
+++ b/emulator/worker.go
@@ -10,51 +10,51 @@
 	"github.com/hyssoplift/hyssoplift/placer"
 )
 
-// WorkerFault is a fault that the worker stand-in shows on request.
+// WorkerFault is a fault that the emulated worker injects.
 type WorkerFault string
 
-// Faults of the worker stand-in.
+// Faults of the emulated worker.
 const (
-	// WorkerHealthy is the absence of a fault.
+	// WorkerHealthy injects no fault.
 	WorkerHealthy WorkerFault = "healthy"
-	// WorkerLeaving answers new leases with 503 and closes their connections.
+	// WorkerLeaving rejects new leases with 503 and closes their connections.
 	WorkerLeaving WorkerFault = "leaving"
-	// WorkerLosesResponses starts a task and closes the connection without an answer.
+	// WorkerLosesResponses starts a task and closes the connection without a response.
 	WorkerLosesResponses WorkerFault = "loses-answers"
-	// WorkerFailing starts a task and reports its failure at once.
+	// WorkerFailing starts a task and reports its failure immediately.
 	WorkerFailing WorkerFault = "failing"
 )
 
-// WorkerPayload is the payload that the worker stand-in understands.
+// WorkerPayload is the payload of a task for the emulated worker.
 type WorkerPayload struct {
 	// RunMS is the run time in milliseconds.
 	RunMS int64 `json:"run-ms"`
-	// Usage is the size that the task really uses.
+	// Usage holds the resources that the task actually uses, which may differ from the leased ones.
 	Usage placer.Resources `json:"need"`
 }
 
-type lease struct {
+type taskLease struct {
 	status    leaser.LeaseStatus
 	resources placer.Resources
 	expires   time.Time
 	done      chan struct{}
 }
 
-// Worker is a stand-in of a worker that runs tasks under leases with its guard on.
+// Worker emulates a worker that runs tasks under leases and whose guard enforces the leased resources.
 type Worker struct {
 	mux      *http.ServeMux
 	capacity placer.Resources
 
 	mu     sync.Mutex
-	leases map[string]*lease
+	leases map[string]*taskLease
 	used   placer.Resources
 	starts int
 	fault  WorkerFault
 }
 
-// NewWorker returns a healthy worker of the given size.
-func NewWorker(total placer.Resources) *Worker {
-	worker := &Worker{mux: http.NewServeMux(), capacity: total, leases: make(map[string]*lease), fault: WorkerHealthy}
+// NewWorker returns a healthy worker with the given resources.
+func NewWorker(capacity placer.Resources) *Worker {
+	worker := &Worker{mux: http.NewServeMux(), capacity: capacity, leases: make(map[string]*taskLease), fault: WorkerHealthy}
 	worker.mux.HandleFunc("PUT /leases/{id}", worker.handleStart)
 	worker.mux.HandleFunc("POST /leases/{id}/renew", worker.handleRenew)
 	worker.mux.HandleFunc("GET /usage", worker.handleUsage)
@@ -62,12 +62,12 @@
 	return worker
 }
 
-// ServeHTTP starts and renews leases and reports usage.
+// ServeHTTP starts tasks, renews leases, reports the usage and serves requests that inject faults.
 func (worker *Worker) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	worker.mux.ServeHTTP(writer, request)
 }
 
-// SetFault switches the fault that the worker shows.
+// SetFault sets the fault that the worker injects.
 func (worker *Worker) SetFault(fault WorkerFault) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -102,7 +102,7 @@
 	worker.respond(writer, request, lease, body.WaitMS)
 }
 
-func (worker *Worker) start(id string, body leaser.LeaseRequest, payload WorkerPayload) (*lease, int, WorkerFault) {
+func (worker *Worker) start(id string, body leaser.LeaseRequest, payload WorkerPayload) (*taskLease, int, WorkerFault) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	switch used := addResources(worker.used, body.Resources); {
@@ -115,65 +115,68 @@
 	default:
 		worker.used = used
 	}
-	started := &lease{
+	lease := &taskLease{
 		status:    leaser.LeaseStatus{State: leaser.Running, Peak: payload.Usage},
 		resources: body.Resources,
 		expires:   time.Now().Add(time.Duration(body.LeaseMS) * time.Millisecond),
 		done:      make(chan struct{}),
 	}
-	worker.leases[id] = started
+	worker.leases[id] = lease
 	worker.starts++
 	switch {
 	case worker.fault == WorkerFailing:
-		worker.finish(started, leaser.Failed, "task failed")
+		worker.finish(lease, leaser.Failed, "task failed")
 	case payload.Usage.MemoryMB > body.Resources.MemoryMB:
-		started.status.Guard = leaser.GuardStopped
-		worker.finish(started, leaser.Stopped, "task exceeded its memory")
+		lease.status.Guard = leaser.GuardStopped
+		worker.finish(lease, leaser.Stopped, "task exceeded its memory")
 	default:
-		worker.scheduleEnd(started, payload, body.Resources)
+		worker.scheduleEnd(lease, payload, body.Resources)
 	}
-	return started, http.StatusOK, worker.fault
+	return lease, http.StatusOK, worker.fault
 }
 
-// scheduleEnd ends the task after its run time, stretched if the guard throttles it; the caller holds worker.mu.
-func (worker *Worker) scheduleEnd(started *lease, payload WorkerPayload, resources placer.Resources) {
+// scheduleEnd finishes the task after its run time, which is longer if the guard throttles it, or when its lease
+// expires. The caller holds worker.mu.
+func (worker *Worker) scheduleEnd(lease *taskLease, payload WorkerPayload, resources placer.Resources) {
 	runTime := time.Duration(payload.RunMS) * time.Millisecond
 	if payload.Usage.MilliCores > resources.MilliCores {
-		started.status.Guard = leaser.GuardThrottled
+		lease.status.Guard = leaser.GuardThrottled
 		runTime = runTime * time.Duration(payload.Usage.MilliCores) / time.Duration(max(resources.MilliCores, 1))
 	}
 	time.AfterFunc(runTime, func() {
 		worker.mu.Lock()
 		defer worker.mu.Unlock()
-		started.status.Result = json.RawMessage("{}")
-		worker.finish(started, leaser.Finished, "")
+		lease.status.Result = json.RawMessage("{}")
+		worker.finish(lease, leaser.Finished, "")
 	})
-	worker.expireAt(started, started.expires)
+	worker.expireAt(lease, lease.expires)
 }
 
-// expireAt stops the task when its lease lapses, unless it was renewed in the meantime.
-func (worker *Worker) expireAt(running *lease, deadline time.Time) {
+// expireAt finishes the task as lapsed at deadline. If the lease has been renewed by then, it waits for the new
+// expiry.
+func (worker *Worker) expireAt(lease *taskLease, deadline time.Time) {
 	time.AfterFunc(time.Until(deadline), func() {
 		worker.mu.Lock()
 		defer worker.mu.Unlock()
-		if running.expires.After(deadline) {
-			worker.expireAt(running, running.expires)
+		if lease.expires.After(deadline) {
+			worker.expireAt(lease, lease.expires)
 			return
 		}
-		worker.finish(running, leaser.Lapsed, "the lease was not renewed")
+		worker.finish(lease, leaser.Lapsed, "the lease was not renewed")
 	})
 }
 
-// finish settles a running lease; the caller holds worker.mu.
-func (worker *Worker) finish(running *lease, state leaser.State, detail string) {
-	if running.status.State != leaser.Running {
+// finish records the final state of a running lease and releases its resources. It does nothing if the lease has
+// already finished. The caller holds worker.mu.
+func (worker *Worker) finish(lease *taskLease, state leaser.State, detail string) {
+	if lease.status.State != leaser.Running {
 		return
 	}
-	running.status.State, running.status.Detail = state, detail
+	lease.status.State, lease.status.Detail = state, detail
 	worker.used = addResources(worker.used, placer.Resources{
-		MilliCores: -running.resources.MilliCores, MemoryMB: -running.resources.MemoryMB, Accelerators: -running.resources.Accelerators,
+		MilliCores: -lease.resources.MilliCores, MemoryMB: -lease.resources.MemoryMB, Accelerators: -lease.resources.Accelerators,
 	})
-	close(running.done)
+	close(lease.done)
 }
 
 func addResources(a, b placer.Resources) placer.Resources {
@@ -187,30 +190,30 @@
 		return
 	}
 	worker.mu.Lock()
-	renewed := worker.leases[request.PathValue("id")]
-	if renewed != nil {
-		renewed.expires = time.Now().Add(time.Duration(body.LeaseMS) * time.Millisecond)
+	lease := worker.leases[request.PathValue("id")]
+	if lease != nil {
+		lease.expires = time.Now().Add(time.Duration(body.LeaseMS) * time.Millisecond)
 	}
 	worker.mu.Unlock()
-	if renewed == nil {
+	if lease == nil {
 		http.Error(writer, "no such lease", http.StatusNotFound)
 		return
 	}
-	worker.respond(writer, request, renewed, body.WaitMS)
+	worker.respond(writer, request, lease, body.WaitMS)
 }
 
-// respond sends the lease's state when the task ends or waitMS milliseconds have passed.
-func (worker *Worker) respond(writer http.ResponseWriter, request *http.Request, asked *lease, waitMS int64) {
+// respond sends the status of the lease as soon as the task has finished or waitMS milliseconds have passed.
+func (worker *Worker) respond(writer http.ResponseWriter, request *http.Request, lease *taskLease, waitMS int64) {
 	timer := time.NewTimer(time.Duration(waitMS) * time.Millisecond)
 	defer timer.Stop()
 	select {
-	case <-asked.done:
+	case <-lease.done:
 	case <-timer.C:
 	case <-request.Context().Done():
 		return
 	}
 	worker.mu.Lock()
-	status := asked.status
+	status := lease.status
 	worker.mu.Unlock()
 	_ = json.NewEncoder(writer).Encode(status)
 }
