--- a/estimator/estimator_test.go
+++ b/estimator/estimator_test.go
@@ -49,7 +49,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wire := func(size, times float64) term { return measuredTerm("alpha.Beta", "items", "wire-B/op", size, times) }
+	wire := func(size, multiplier float64) term {
+		return measuredTerm("alpha.Beta", "items", "wire-B/op", size, multiplier)
+	}
 	tests := []struct {
 		name  string
 		terms []term
--- a/estimator/model.go
+++ b/estimator/model.go
@@ -202,8 +202,8 @@
 			bottleneck: "size of the minute records", nextMechanism: "fewer series per instance: callers of one team on few instances",
 		},
 		{
-			// Averages over all hours. At its turn an instance reads the records of a whole hour, within sumTimeout of package
-			// accountant.
+			// Averages over all hours. At its append time (reporter.SumAppendTime) an instance reads the records of a whole
+			// hour, within sumTimeout of package accountant.
 			role: roleBurn, function: "hourly sums: read them, append them at the own turn", control: true, driver: bySeries, limits: budget,
 			memory:   []term{measuredTerm("reporter.Summer", "series", "held-B", scale.seriesPerInstance, 1)},
 			messages: []term{constantTerm(2.0 / secondsPerHour)},
@@ -320,7 +320,7 @@
 	// benchInstances is the number of instances that the benchmarks of package accountant simulate.
 	benchInstances = 4
 	// maxSumLagSeconds is the longest time from the last record of one hourly sum to the next sum: an hour, and the
-	// turn of the instance that appends it.
+	// time until an instance appends it (reporter.SumAppendTime).
 	maxSumLagSeconds = 1.5 * secondsPerHour
 	// hourlySumsRead is the number of hourly sums in three days.
 	hourlySumsRead = 72.0
--- a/estimator/scale.go
+++ b/estimator/scale.go
@@ -89,7 +89,7 @@
 // resultOverheadBytes is the memory of one held result in addition to its text.
 const resultOverheadBytes = 40
 
-// burnRecordRate returns the burn records per second of all instances.
+// burnRecordRate returns the burn records per second of all instances; each appends one per minute.
 func (scale Scale) burnRecordRate() float64 { return scale.instances() / 60 }
 
 // driver is the dimension of the scale that the cost of a row grows with.
