--- a/estimator/estimate.go
+++ b/estimator/estimate.go
@@ -5,28 +5,28 @@
 	"slices"
 )
 
-// Estimate is the evaluated capacity table.
+// Estimate is the capacity table evaluated for one scale.
 type Estimate struct {
 	scale        Scale
 	measurements *Measurements
-	entries      []EvaluatedRow
-	points       []Saturation
+	rows         []EvaluatedRow
+	saturations  []Saturation
 }
 
-// New returns the capacity estimate for scale from measurements.
+// New evaluates the capacity table for scale with the costs fitted to measurements.
 func New(measurements *Measurements, scale Scale) *Estimate {
 	estimate := &Estimate{scale: scale, measurements: measurements}
-	for index, row := range model(scale) {
-		estimate.entries = append(estimate.entries, measurements.evaluate(row))
-		estimate.points = append(estimate.points, measurements.breakPoint(scale, index))
+	for index, row := range tableRows(scale) {
+		estimate.rows = append(estimate.rows, measurements.evaluateRow(row))
+		estimate.saturations = append(estimate.saturations, measurements.saturation(scale, index))
 	}
 	return estimate
 }
 
-// control returns the sum of the control rows of one instance.
-func (estimate *Estimate) control() EvaluatedRow {
+// controlTotal returns the sum of CPU, memory and traffic over the control rows, per instance.
+func (estimate *Estimate) controlTotal() EvaluatedRow {
 	var total EvaluatedRow
-	for _, evaluated := range estimate.entries {
+	for _, evaluated := range estimate.rows {
 		if !evaluated.control {
 			continue
 		}
@@ -37,10 +37,10 @@
 	return total
 }
 
-// Missing returns the benchmark families that the model names and the measurements lack.
+// Missing returns the benchmark families that the model uses and the measurements lack.
 func (estimate *Estimate) Missing() []string {
 	var missing []string
-	for _, evaluated := range estimate.entries {
+	for _, evaluated := range estimate.rows {
 		for _, quantity := range []Quantity{evaluated.memory, evaluated.messages, evaluated.wire, evaluated.cpu} {
 			missing = append(missing, quantity.missing...)
 		}
@@ -49,85 +49,85 @@
 	return slices.Compact(missing)
 }
 
-// sizing is how many entry instances the peak needs with one mix of jobs.
-type sizing struct {
+// demand is what all entry instances together need at the peak for one job size.
+type demand struct {
 	tasksPerJob float64
 	cores       Quantity // busy cores of all instances
 	memory      Quantity // bytes of all instances
 }
 
-// sizeFor sums the request rows of all entry instances when each job has tasksPerJob tasks.
-func (estimate *Estimate) sizeFor(tasksPerJob float64) sizing {
+// demandFor sums the request rows over all entry instances for jobs of tasksPerJob tasks.
+func (estimate *Estimate) demandFor(tasksPerJob float64) demand {
 	scale := estimate.scale
 	scale.tasksPerJob = tasksPerJob
-	sizing := sizing{tasksPerJob: tasksPerJob}
-	for _, row := range model(scale) {
+	demand := demand{tasksPerJob: tasksPerJob}
+	for _, row := range tableRows(scale) {
 		if row.role != roleEntry {
 			continue
 		}
-		evaluated := estimate.measurements.evaluate(row)
-		sizing.cores = sizing.cores.plus(evaluated.cpu.times(scale.instances()))
-		sizing.memory = sizing.memory.plus(evaluated.memory.times(scale.instances()))
+		evaluated := estimate.measurements.evaluateRow(row)
+		demand.cores = demand.cores.plus(evaluated.cpu.multipliedBy(scale.instances()))
+		demand.memory = demand.memory.plus(evaluated.memory.multipliedBy(scale.instances()))
 	}
-	return sizing
+	return demand
 }
 
-func (quantity Quantity) times(factor float64) Quantity {
+func (quantity Quantity) multipliedBy(factor float64) Quantity {
 	quantity.value *= factor
 	return quantity
 }
 
-// minPerDomain keeps a witness and one spare after the loss of one instance.
-const minPerDomain = 3
+// minInstancesPerDomain leaves a witness and one spare after the loss of one instance.
+const minInstancesPerDomain = 3
 
-// perDomain returns how many instances of the given size each failure domain needs so that the peak still fits
-// after the loss of lost failure domains whose load is spread evenly over spread others.
-func (estimate *Estimate) perDomain(sizing sizing, cores, memory, growth float64) float64 {
-	byCPU := sizing.cores.value * growth / estimate.scale.domains / (cores * estimate.scale.usable)
-	byMemory := sizing.memory.value * growth / estimate.scale.domains / memory
-	return max(math.Ceil(byCPU), math.Ceil(byMemory), minPerDomain)
+// requiredPerDomain returns how many instances of the given size each failure domain needs to serve demand when its
+// load grows by the factor growth. The demand is spread evenly over the failure domains.
+func (estimate *Estimate) requiredPerDomain(demand demand, cores, memory, growth float64) float64 {
+	byCPU := demand.cores.value * growth / estimate.scale.domains / (cores * estimate.scale.usableShare)
+	byMemory := demand.memory.value * growth / estimate.scale.domains / memory
+	return max(math.Ceil(byCPU), math.Ceil(byMemory), minInstancesPerDomain)
 }
 
-// loss is what the loss of some failure domains does to the load of those that take over their work.
+// loss is the loss of some failure domains, whose load is spread evenly over the absorbing ones.
 type loss struct {
-	name   string
-	lost   float64
-	takers float64
+	name      string
+	lost      float64
+	absorbing float64
 }
 
-// growth returns the factor by which the load of each taker grows.
-func (loss loss) growth() float64 { return (loss.takers + loss.lost) / loss.takers }
+// loadGrowth returns the factor by which the load of each absorbing failure domain grows.
+func (loss loss) loadGrowth() float64 { return (loss.absorbing + loss.lost) / loss.absorbing }
 
 func (estimate *Estimate) losses() []loss {
 	domains := estimate.scale.domains
 	largest := math.Ceil(domains / estimate.scale.regions)
 	return []loss{
-		{name: "one failure domain, work goes to all others", lost: 1, takers: domains - 1},
-		{name: "one failure domain of the largest region, work stays in the region", lost: 1, takers: largest - 1},
-		{name: "one failure domain of a region with three, work stays in the region", lost: 1, takers: 2},
-		{name: "the largest region, work goes to all others", lost: largest, takers: domains - largest},
+		{name: "one failure domain, work goes to all others", lost: 1, absorbing: domains - 1},
+		{name: "one failure domain of the largest region, work stays in the region", lost: 1, absorbing: largest - 1},
+		{name: "one failure domain of a region with three, work stays in the region", lost: 1, absorbing: 2},
+		{name: "the largest region, work goes to all others", lost: largest, absorbing: domains - largest},
 	}
 }
 
-// appendUse is one use of the log's appends.
+// appendUse is one kind of record that is appended to the log, with its rate and size.
 type appendUse struct {
 	name        string
 	rate, bytes float64
 }
 
-func (estimate *Estimate) appendUses() []appendUse {
+func (estimate *Estimate) logAppends() []appendUse {
 	scale := estimate.scale
-	renewals := scale.domains / scale.retentionSeconds
-	view := scale.instancesPerDomain * scale.viewBytes
-	bundle := estimate.measurements.figure(scale.partRecord(1)).value
-	burn := estimate.measurements.figure(line("reporter.Batch", "series", "wire-B/op", scale.seriesPerInstance, 1)).value
-	sum := estimate.measurements.figure(line("reporter.Sum", "series", "wire-B/op", scale.seriesPerInstance, 1)).value
+	renewalRate := scale.domains / scale.retentionSeconds
+	viewRecordBytes := scale.instancesPerDomain * scale.viewBytes
+	bundleRecordBytes := estimate.measurements.evaluateTerm(scale.partRecord(1)).value
+	burnRecordBytes := estimate.measurements.evaluateTerm(measuredTerm("reporter.Batch", "series", "wire-B/op", scale.seriesPerInstance, 1)).value
+	sumRecordBytes := estimate.measurements.evaluateTerm(measuredTerm("reporter.Sum", "series", "wire-B/op", scale.seriesPerInstance, 1)).value
 	return []appendUse{
-		{name: "views after failures and replacements", rate: scale.viewRate()*scale.domains - renewals, bytes: view},
-		{name: "view renewals", rate: renewals, bytes: view},
-		{name: "bundles", rate: scale.changeRate(), bytes: bundle},
-		{name: "bundle renewals (one a retention period)", rate: 1 / scale.retentionSeconds, bytes: bundle},
-		{name: "burn records", rate: scale.burnRate(), bytes: burn},
-		{name: "hourly burn sums", rate: 1.0 / secondsPerHour, bytes: sum},
+		{name: "views after failures and replacements", rate: scale.viewRate()*scale.domains - renewalRate, bytes: viewRecordBytes},
+		{name: "view renewals", rate: renewalRate, bytes: viewRecordBytes},
+		{name: "bundles", rate: scale.bundleRate(), bytes: bundleRecordBytes},
+		{name: "bundle renewals (one a retention period)", rate: 1 / scale.retentionSeconds, bytes: bundleRecordBytes},
+		{name: "burn records", rate: scale.burnRecordRate(), bytes: burnRecordBytes},
+		{name: "hourly burn sums", rate: 1.0 / secondsPerHour, bytes: sumRecordBytes},
 	}
 }
