--- a/emulator/log.go
+++ b/emulator/log.go
@@ -120,7 +120,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	writer.WriteHeader(http.StatusCreated)
-	_ = json.NewEncoder(writer).Encode(appender.Appended{Offset: offset})
+	_ = json.NewEncoder(writer).Encode(appender.AppendResponse{Offset: offset})
 }
 
 func (log *Log) handleRead(writer http.ResponseWriter, request *http.Request) {
