--- a/appender/appender.go
+++ b/appender/appender.go
@@ -42,13 +42,13 @@
 
 // Appender reads and appends records of the streams of one log.
 type Appender struct {
-	base   string
-	client *http.Client
+	baseURL string
+	client  *http.Client
 }
 
 // New returns a client of the log at address, a host and port.
 func New(address string) *Appender {
-	return &Appender{base: "http://" + address, client: &http.Client{}}
+	return &Appender{baseURL: "http://" + address, client: &http.Client{}}
 }
 
 // Append adds data to stream and returns its offset; after an error the append may still have taken effect.
@@ -68,8 +68,8 @@
 
 // Read returns the records of stream from offset from on, waiting up to wait for the first one.
 func (appender *Appender) Read(ctx context.Context, stream string, from int64, wait time.Duration) (Page, error) {
-	target := fmt.Sprintf("%s?from=%d&wait-ms=%d&max-bytes=%d", appender.url(stream), from, wait.Milliseconds(), maxPageBytes)
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
+	readURL := fmt.Sprintf("%s?from=%d&wait-ms=%d&max-bytes=%d", appender.url(stream), from, wait.Milliseconds(), maxPageBytes)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, readURL, nil)
 	if err != nil {
 		return Page{}, eris.Wrap(err, "preparing a read")
 	}
@@ -81,10 +81,10 @@
 }
 
 func (appender *Appender) url(stream string) string {
-	return appender.base + "/streams/" + url.PathEscape(stream) + "/records"
+	return appender.baseURL + "/streams/" + url.PathEscape(stream) + "/records"
 }
 
-func (appender *Appender) do(request *http.Request, status int, into any) error {
+func (appender *Appender) do(request *http.Request, wantStatus int, result any) error {
 	response, err := appender.client.Do(request)
 	if err != nil {
 		return eris.Wrap(err, "calling the log")
@@ -97,8 +97,8 @@
 	if len(body) > MaxResponseBytes {
 		return eris.Errorf("the log's response exceeds %d bytes", MaxResponseBytes)
 	}
-	if response.StatusCode != status {
+	if response.StatusCode != wantStatus {
 		return eris.Errorf("the log answered %s", response.Status)
 	}
-	return eris.Wrap(json.Unmarshal(body, into), "decoding the log's response")
+	return eris.Wrap(json.Unmarshal(body, result), "decoding the log's response")
 }
--- a/bundler/bundle.go
+++ b/bundler/bundle.go
@@ -53,7 +53,7 @@
 	address       string
 	slots         int
 	rack          string
-	size          placer.Resources
+	resources     placer.Resources
 }
 
 // Name returns the target's name, unique in the bundle.
@@ -75,7 +75,7 @@
 func (target Target) Rack() string { return target.rack }
 
 // Resources returns a worker's size; it is zero for a runner.
-func (target Target) Resources() placer.Resources { return target.size }
+func (target Target) Resources() placer.Resources { return target.resources }
 
 // Kind is a kind of task with the limits that it runs under.
 type Kind struct {
@@ -85,7 +85,7 @@
 	maxTasks    int
 	maxInFlight int
 	runTime     time.Duration
-	size        placer.Resources
+	resources   placer.Resources
 }
 
 // Name returns the kind's name.
@@ -107,7 +107,7 @@
 func (kind Kind) RunTime() time.Duration { return kind.runTime }
 
 // Resources returns the declared size of one task on a worker, which may be far off.
-func (kind Kind) Resources() placer.Resources { return kind.size }
+func (kind Kind) Resources() placer.Resources { return kind.resources }
 
 // Team is a group of callers with a quota.
 type Team struct {
--- a/bundler/bundler.go
+++ b/bundler/bundler.go
@@ -129,13 +129,13 @@
 		}
 		bundler.skipTo(entry.Offset)
 		bundler.next = entry.Offset + 1
-		events = append(events, bundler.take(entry, now)...)
+		events = append(events, bundler.applyEntry(entry, now)...)
 	}
-	if bundler.connected() && bundler.next >= page.Next {
-		bundler.show()
+	if bundler.contiguous() && bundler.next >= page.Next {
+		bundler.activate()
 	}
 	if bundler.snapshot.Load() != nil {
-		bundler.show()
+		bundler.activate()
 	}
 	return events
 }
@@ -150,7 +150,7 @@
 	if bundler.current != nil && offer.Offset < bundler.current.offset {
 		if _, err := bundler.open(offer.Record); err == nil {
 			// The peer serves with an older bundle, so this newer one may serve although the end of the log is not read.
-			bundler.show()
+			bundler.activate()
 		}
 		return nil, eris.Errorf("the peer's bundle at offset %d is older than that at offset %d", offer.Offset, bundler.current.offset)
 	}
@@ -159,7 +159,7 @@
 		return nil, err
 	}
 	// A peer serves with this bundle, so an instance that has not reached the end of the log may do so too.
-	bundler.show()
+	bundler.activate()
 	return events, nil
 }
 
@@ -173,7 +173,7 @@
 	return Offer{Record: bundler.current.record, Offset: bundler.current.offset, Through: bundler.through}, true
 }
 
-func (bundler *Bundler) connected() bool { return bundler.start <= bundler.through+1 }
+func (bundler *Bundler) contiguous() bool { return bundler.start <= bundler.through+1 }
 
 // skipTo notes that the entries before offset can no longer be read.
 func (bundler *Bundler) skipTo(offset int64) {
@@ -183,57 +183,57 @@
 	}
 }
 
-// show makes the current bundle the one in force.
-func (bundler *Bundler) show() {
+// activate makes the current bundle the one in force.
+func (bundler *Bundler) activate() {
 	if bundler.current != nil && bundler.snapshot.Load() != bundler.current {
 		bundler.snapshot.Store(bundler.current)
 	}
 }
 
-func (bundler *Bundler) take(entry Entry, now time.Time) []Event {
+func (bundler *Bundler) applyEntry(entry Entry, now time.Time) []Event {
 	if entry.Offset <= bundler.through {
 		return nil
 	}
 	record, err := DecodeRecord(entry.Data)
-	connected := bundler.connected()
-	if connected {
+	contiguous := bundler.contiguous()
+	if contiguous {
 		bundler.through = entry.Offset
 	}
 	switch {
 	case err != nil:
-		return []Event{ignored(entry.Offset, record, err)}
+		return []Event{ignoredEvent(entry.Offset, record, err)}
 	case record.Renewal != nil && record.Renewal.Through >= entry.Offset:
-		return []Event{ignored(entry.Offset, record, eris.New("the renewal claims to know records after itself"))}
+		return []Event{ignoredEvent(entry.Offset, record, eris.New("the renewal claims to know records after itself"))}
 	case record.Renewal != nil:
-		return bundler.renew(entry.Offset, record, now)
-	case connected:
+		return bundler.applyRenewal(entry.Offset, record, now)
+	case contiguous:
 		return []Event{bundler.replace(entry.Offset, record, now)}
 	default:
-		bundler.wait(entry.Offset, record)
+		bundler.addPending(entry.Offset, record)
 		return []Event{{Offset: entry.Offset, Decision: DecisionWaiting, Record: record}}
 	}
 }
 
 // replace puts the record in force if it replaces the bundle in force.
 func (bundler *Bundler) replace(offset int64, record Record, now time.Time) Event {
-	bundle, err := bundler.check(record)
+	bundle, err := bundler.checkReplacement(record)
 	if err != nil {
-		return ignored(offset, record, err)
+		return ignoredEvent(offset, record, err)
 	}
 	bundler.current = &Snapshot{bundle: bundle, record: record, offset: offset}
 	bundler.renewedAt = now
 	return Event{Offset: offset, Decision: DecisionInForce, Record: record}
 }
 
-// check returns the record's bundle if it may replace the current one; the cheap tests come first.
-func (bundler *Bundler) check(record Record) (*Bundle, error) {
+// checkReplacement returns the record's bundle if it may replace the current one; the cheap tests come first.
+func (bundler *Bundler) checkReplacement(record Record) (*Bundle, error) {
 	offset, version := int64(noOffset), int64(0)
 	var inForce *Bundle
 	if bundler.current != nil {
 		offset, version, inForce = bundler.current.offset, bundler.current.record.Version, bundler.current.bundle
 	}
-	if record.replaces() != offset {
-		return nil, eris.Errorf("it replaces %s, but %s is in force", describeOffset(record.replaces()), describeOffset(offset))
+	if record.replacedOffset() != offset {
+		return nil, eris.Errorf("it replaces %s, but %s is in force", describeOffset(record.replacedOffset()), describeOffset(offset))
 	}
 	if record.Version <= version {
 		return nil, eris.Errorf("version %d is not above version %d, which is in force", record.Version, version)
@@ -245,16 +245,16 @@
 	return bundle, lintError(bundle, inForce)
 }
 
-func (bundler *Bundler) renew(offset int64, record Record, now time.Time) []Event {
+func (bundler *Bundler) applyRenewal(offset int64, record Record, now time.Time) []Event {
 	if current := bundler.current; current != nil && record.Renewal.Offset == current.offset && record.Text == current.record.Text {
 		bundler.renewedAt = now
-		return append([]Event{{Offset: offset, Decision: DecisionRenewal, Record: record}}, bundler.extend(record.Renewal.Through, now)...)
+		return append([]Event{{Offset: offset, Decision: DecisionRenewal, Record: record}}, bundler.extendThrough(record.Renewal.Through, now)...)
 	}
 	renewal := *record.Renewal
 	record.Renewal = nil
 	events, err := bundler.adopt(record, renewal, now)
 	if err != nil {
-		return []Event{ignored(offset, record, err)}
+		return []Event{ignoredEvent(offset, record, err)}
 	}
 	bundler.renewedAt = now
 	return append([]Event{{Offset: offset, Decision: DecisionRenewal, Record: record}}, events...)
@@ -268,7 +268,7 @@
 		if record.Text != current.record.Text {
 			return nil, eris.Errorf("the text differs from the one in force from offset %d", current.offset)
 		}
-		return bundler.extend(renewal.Through, now), nil
+		return bundler.extendThrough(renewal.Through, now), nil
 	}
 	if renewal.Offset <= bundler.through {
 		return nil, eris.Errorf("offset %d has been read and is not that of the bundle in force", renewal.Offset)
@@ -276,7 +276,7 @@
 	if current != nil && record.Version <= current.record.Version {
 		return nil, eris.Errorf("version %d is not above version %d, which is in force", record.Version, current.record.Version)
 	}
-	if record.replaces() >= renewal.Offset || record.Renewal != nil {
+	if record.replacedOffset() >= renewal.Offset || record.Renewal != nil {
 		return nil, eris.New("the record contradicts its offset")
 	}
 	bundle, err := bundler.open(record)
@@ -286,21 +286,21 @@
 	bundler.current = &Snapshot{bundle: bundle, record: record, offset: renewal.Offset}
 	bundler.through = renewal.Through
 	events := []Event{{Offset: renewal.Offset, Decision: DecisionInForce, Record: record}}
-	return append(events, bundler.connect(now)...), nil
+	return append(events, bundler.applyPending(now)...), nil
 }
 
-// extend notes that nothing up to through replaced the current bundle.
-func (bundler *Bundler) extend(through int64, now time.Time) []Event {
+// extendThrough notes that nothing up to through replaced the current bundle.
+func (bundler *Bundler) extendThrough(through int64, now time.Time) []Event {
 	if through <= bundler.through {
 		return nil
 	}
 	bundler.through = through
-	return bundler.connect(now)
+	return bundler.applyPending(now)
 }
 
-// connect decides the waiting records once nothing is missing between through and them.
-func (bundler *Bundler) connect(now time.Time) []Event {
-	if !bundler.connected() {
+// applyPending decides the waiting records once nothing is missing between through and them.
+func (bundler *Bundler) applyPending(now time.Time) []Event {
+	if !bundler.contiguous() {
 		return nil
 	}
 	var events []Event
@@ -316,8 +316,8 @@
 	return events
 }
 
-// wait keeps the record until the chain is connected; of too many, the oldest are dropped as if the log had been trimmed.
-func (bundler *Bundler) wait(offset int64, record Record) {
+// addPending keeps the record until the chain is connected; of too many, the oldest are dropped as if the log had been trimmed.
+func (bundler *Bundler) addPending(offset int64, record Record) {
 	bundler.pending = append(bundler.pending, pendingRecord{offset: offset, record: record})
 	bundler.pendingBytes += len(record.Text)
 	for bundler.pendingBytes > maxPendingBytes {
--- a/bundler/composer.go
+++ b/bundler/composer.go
@@ -19,8 +19,8 @@
 	composed atomic.Pointer[Bundle]
 
 	mu sync.Mutex
-	// commonUsed and partUsed are the snapshots in composed.
-	commonUsed, partUsed *Snapshot
+	// composedCommon and partUsed are the snapshots in composed.
+	composedCommon, composedPart *Snapshot
 }
 
 // NewComposer returns a composer for an instance in a failure domain that accepts signatures by keys.
@@ -48,10 +48,10 @@
 	if !split {
 		part = nil
 	}
-	if split && part == nil || common == composer.commonUsed && part == composer.partUsed {
+	if split && part == nil || common == composer.composedCommon && part == composer.composedPart {
 		return
 	}
-	composer.commonUsed, composer.partUsed = common, part
+	composer.composedCommon, composer.composedPart = common, part
 	bundle := common.bundle
 	if split {
 		bundle = Compose(bundle, part.bundle)
@@ -78,7 +78,7 @@
 	return &composed
 }
 
-func (bundle *Bundle) composed() bool { return bundle.partVersion > 0 }
+func (bundle *Bundle) isComposed() bool { return bundle.partVersion > 0 }
 
 // LintPart returns what is doubtful about a part under the common bundle in force; no finding keeps it from being in
 // force, because a reader of one stream cannot know the other.
--- a/bundler/diff.go
+++ b/bundler/diff.go
@@ -21,8 +21,8 @@
 	if before.version != after.version {
 		lines = append(lines, fmt.Sprintf("version: from %d to %d", before.version, after.version))
 	}
-	lines = append(lines, changes("policy", before.policy.fields(), after.policy.fields())...)
-	lines = append(lines, changes("retention", before.retention.fields(), after.retention.fields())...)
+	lines = append(lines, changedLines("policy", before.policy.fields(), after.policy.fields())...)
+	lines = append(lines, changedLines("retention", before.retention.fields(), after.retention.fields())...)
 	lines = append(lines, diffMaps("failure domain", before.domains, after.domains)...)
 	lines = append(lines, diffMaps("service", before.services, after.services)...)
 	lines = append(lines, diffMaps("kind", before.kinds, after.kinds)...)
@@ -31,12 +31,12 @@
 	return append(lines, diffTargets(before.targets, after.targets)...)
 }
 
-type described interface {
+type diffable interface {
 	comparable
 	fields() []field
 }
 
-func diffMaps[V described](class string, before, after map[string]V) []string {
+func diffMaps[V diffable](class string, before, after map[string]V) []string {
 	var lines []string
 	names := maps.Clone(after)
 	maps.Copy(names, before)
@@ -45,11 +45,11 @@
 		current, hasNew := after[name]
 		switch {
 		case !hadOld:
-			lines = append(lines, added(class, name, current.fields()))
+			lines = append(lines, addedLine(class, name, current.fields()))
 		case !hasNew:
 			lines = append(lines, class+" "+name+" removed")
 		case old != current:
-			lines = append(lines, changes(class+" "+name, old.fields(), current.fields())...)
+			lines = append(lines, changedLines(class+" "+name, old.fields(), current.fields())...)
 		}
 	}
 	return lines
@@ -64,11 +64,11 @@
 			lines = append(lines, "target "+before[0].name+" removed from "+before[0].failureDomain)
 			before = before[1:]
 		case len(before) == 0 || after[0].name < before[0].name:
-			lines = append(lines, added("target", after[0].name, after[0].fields()))
+			lines = append(lines, addedLine("target", after[0].name, after[0].fields()))
 			after = after[1:]
 		default:
 			if before[0] != after[0] {
-				lines = append(lines, changes("target "+after[0].name, before[0].fields(), after[0].fields())...)
+				lines = append(lines, changedLines("target "+after[0].name, before[0].fields(), after[0].fields())...)
 			}
 			before, after = before[1:], after[1:]
 		}
@@ -76,7 +76,7 @@
 	return lines
 }
 
-func added(class, name string, fields []field) string {
+func addedLine(class, name string, fields []field) string {
 	var parts []string
 	for _, field := range fields {
 		// Runners have no rack and no size.
@@ -87,7 +87,7 @@
 	return class + " " + name + " added (" + strings.Join(parts, ", ") + ")"
 }
 
-func changes(title string, before, after []field) []string {
+func changedLines(title string, before, after []field) []string {
 	var lines []string
 	for i, field := range after {
 		if before[i] != field {
@@ -97,14 +97,14 @@
 	return lines
 }
 
-func number(name string, value int) field { return field{name, fmt.Sprint(value)} }
+func numberField(name string, value int) field { return field{name, fmt.Sprint(value)} }
 
 func (policy Policy) fields() []field {
-	return []field{number("response-time-weight", policy.responseTimeWeight), number("wasted-message-weight", policy.wastedMessageWeight)}
+	return []field{numberField("response-time-weight", policy.responseTimeWeight), numberField("wasted-message-weight", policy.wastedMessageWeight)}
 }
 
 func (retention Retention) fields() []field {
-	return []field{number("log-seconds", int(retention.log.Seconds()))}
+	return []field{numberField("log-seconds", int(retention.log.Seconds()))}
 }
 
 func (domain FailureDomain) fields() []field {
@@ -113,11 +113,11 @@
 
 func (service Service) fields() []field { return []field{{"protocol", string(service.protocol)}} }
 
-func (team Team) fields() []field { return []field{number("max-in-flight", team.maxInFlight)} }
+func (team Team) fields() []field { return []field{numberField("max-in-flight", team.maxInFlight)} }
 
 func (objective Objective) fields() []field {
 	return []field{
-		number("within-ms", int(objective.within.Milliseconds())),
+		numberField("within-ms", int(objective.within.Milliseconds())),
 		{"target-percent", fmt.Sprint(objective.targetPercent)},
 	}
 }
@@ -126,10 +126,10 @@
 	return append([]field{
 		{"service", kind.service},
 		{"repeatable", fmt.Sprint(kind.repeatable)},
-		number("max-tasks", kind.maxTasks),
-		number("max-in-flight", kind.maxInFlight),
-		number("run-ms", int(kind.runTime.Milliseconds())),
-	}, sizeFields(kind.size)...)
+		numberField("max-tasks", kind.maxTasks),
+		numberField("max-in-flight", kind.maxInFlight),
+		numberField("run-ms", int(kind.runTime.Milliseconds())),
+	}, resourceFields(kind.resources)...)
 }
 
 func (target Target) fields() []field {
@@ -137,13 +137,13 @@
 		{"failure-domain", target.failureDomain},
 		{"service", target.service},
 		{"address", target.address},
-		number("slots", target.slots),
+		numberField("slots", target.slots),
 		{"rack", target.rack},
-	}, sizeFields(target.size)...)
+	}, resourceFields(target.resources)...)
 }
 
-func sizeFields(resources placer.Resources) []field {
+func resourceFields(resources placer.Resources) []field {
 	return []field{
-		number("milli-cores", int(resources.MilliCores)), number("memory-mb", int(resources.MemoryMB)), number("accelerators", int(resources.Accelerators)),
+		numberField("milli-cores", int(resources.MilliCores)), numberField("memory-mb", int(resources.MemoryMB)), numberField("accelerators", int(resources.Accelerators)),
 	}
 }
--- a/bundler/event.go
+++ b/bundler/event.go
@@ -48,7 +48,7 @@
 	return name
 }
 
-func ignored(offset int64, record Record, err error) Event {
+func ignoredEvent(offset int64, record Record, err error) Event {
 	return Event{Offset: offset, Decision: DecisionIgnored, Record: record, Reason: eris.ToString(err, false)}
 }
 
--- a/bundler/lint.go
+++ b/bundler/lint.go
@@ -12,8 +12,8 @@
 	"github.com/hyssoplift/hyssoplift/placer"
 )
 
-// maxLintWeight is the largest policy weight, a percentage.
-const maxLintWeight = 100
+// maxPolicyWeight is the largest policy weight, a percentage.
+const maxPolicyWeight = 100
 
 // Severity says whether a finding keeps a bundle from being in force.
 type Severity string
@@ -59,21 +59,21 @@
 	if bundle.part != "" {
 		linter.checkPart()
 		linter.checkVersion(inForce)
-		return linter.sorted()
+		return linter.sortedFindings()
 	}
 	linter.checkDomains()
 	linter.checkTargets()
 	linter.checkKinds()
-	linter.checkSizes()
+	linter.checkResources()
 	linter.checkLimits()
 	linter.checkObjectives()
 	linter.checkVersion(inForce)
-	linter.checkRemoval(inForce)
-	return linter.sorted()
+	linter.checkRemovedDomains(inForce)
+	return linter.sortedFindings()
 }
 
-// sorted returns the findings, errors first.
-func (linter *linter) sorted() []Finding {
+// sortedFindings returns the findings, errors first.
+func (linter *linter) sortedFindings() []Finding {
 	slices.SortStableFunc(linter.findings, func(a, b Finding) int { return cmp.Compare(a.severity, b.severity) })
 	return linter.findings
 }
@@ -94,7 +94,7 @@
 		if !ok {
 			linter.fail("[target %s] failure-domain: %q has no section, but still has this target", target.name, target.failureDomain)
 		}
-		if domain.split && !linter.bundle.composed() {
+		if domain.split && !linter.bundle.isComposed() {
 			linter.fail("[target %s] failure-domain: %q is split, so its targets belong in its own part", target.name, target.failureDomain)
 		}
 	}
@@ -123,22 +123,22 @@
 	linter.checkSlots()
 }
 
-// hidden reports whether the failure domain's targets are in a part that is not at hand.
-func (linter *linter) hidden(domain FailureDomain) bool {
-	return domain.split && !linter.bundle.composed()
+// targetsUnknown reports whether the failure domain's targets are in a part that is not at hand.
+func (linter *linter) targetsUnknown(domain FailureDomain) bool {
+	return domain.split && !linter.bundle.isComposed()
 }
 
-func (linter *linter) someHidden() bool {
-	return slices.ContainsFunc(slices.Collect(maps.Values(linter.bundle.domains)), linter.hidden)
+func (linter *linter) anyTargetsUnknown() bool {
+	return slices.ContainsFunc(slices.Collect(maps.Values(linter.bundle.domains)), linter.targetsUnknown)
 }
 
 // checkKinds finds kinds without a target. Of split failure domains, only a composed bundle shows the targets.
 func (linter *linter) checkKinds() {
-	type place struct{ domain, service string }
-	served := make(map[place]bool)
+	type domainService struct{ domain, service string }
+	served := make(map[domainService]bool)
 	services := make(map[string]bool)
 	for _, target := range linter.bundle.targets {
-		served[place{target.failureDomain, target.service}] = true
+		served[domainService{target.failureDomain, target.service}] = true
 		if !linter.bundle.domains[target.failureDomain].leaving {
 			services[target.service] = true
 		}
@@ -146,39 +146,39 @@
 	for _, name := range slices.Sorted(maps.Keys(linter.bundle.kinds)) {
 		service := linter.bundle.kinds[name].service
 		if !services[service] {
-			if !linter.someHidden() {
+			if !linter.anyTargetsUnknown() {
 				linter.fail("[kind %s] service: %q has no target in a failure domain that stays", name, service)
 			}
 			continue
 		}
 		for _, domain := range linter.bundle.failureDomains {
 			entry := linter.bundle.domains[domain]
-			if !entry.leaving && !linter.hidden(entry) && !served[place{domain, service}] {
+			if !entry.leaving && !linter.targetsUnknown(entry) && !served[domainService{domain, service}] {
 				linter.warn("[kind %s] service: %q has no target in failure domain %s; its jobs spill over", name, service, domain)
 			}
 		}
 	}
 }
 
-// checkSizes finds kinds whose declared size no worker has: every job of such a kind would be refused.
-func (linter *linter) checkSizes() {
-	if linter.someHidden() {
+// checkResources finds kinds whose declared size no worker has: every job of such a kind would be refused.
+func (linter *linter) checkResources() {
+	if linter.anyTargetsUnknown() {
 		return
 	}
 	largest := make(map[string]placer.Resources)
 	for _, target := range linter.bundle.targets {
-		largest[target.service] = largest[target.service].Maximum(target.size)
+		largest[target.service] = largest[target.service].Maximum(target.resources)
 	}
 	for _, name := range slices.Sorted(maps.Keys(linter.bundle.kinds)) {
 		kind := linter.bundle.kinds[name]
-		known, ok := largest[kind.service]
+		limit, ok := largest[kind.service]
 		if !ok || linter.bundle.services[kind.service].protocol != ProtocolWorker {
 			continue
 		}
 		switch {
-		case kind.size == placer.Resources{}:
+		case kind.resources == placer.Resources{}:
 			linter.fail("[kind %s] milli-cores: a kind that runs on workers needs a size", name)
-		case !kind.size.Fits(known):
+		case !kind.resources.Fits(limit):
 			linter.fail("[kind %s]: its size is larger than any worker of service %q", name, kind.service)
 		}
 	}
@@ -200,11 +200,11 @@
 		}
 	}
 	response, wasted := linter.bundle.policy.responseTimeWeight, linter.bundle.policy.wastedMessageWeight
-	if response > maxLintWeight {
-		linter.fail("[policy] response-time-weight: %d is out of range, allowed are 0 to %d", response, maxLintWeight)
+	if response > maxPolicyWeight {
+		linter.fail("[policy] response-time-weight: %d is out of range, allowed are 0 to %d", response, maxPolicyWeight)
 	}
-	if wasted > maxLintWeight {
-		linter.fail("[policy] wasted-message-weight: %d is out of range, allowed are 0 to %d", wasted, maxLintWeight)
+	if wasted > maxPolicyWeight {
+		linter.fail("[policy] wasted-message-weight: %d is out of range, allowed are 0 to %d", wasted, maxPolicyWeight)
 	}
 	if response == 0 && wasted == 0 {
 		linter.fail("[policy]: both weights are 0, so no choice of target is better than another")
@@ -234,8 +234,8 @@
 	}
 }
 
-// checkRemoval finds failure domains that the bundle in force still gives new keys to.
-func (linter *linter) checkRemoval(inForce *Bundle) {
+// checkRemovedDomains finds failure domains that the bundle in force still gives new keys to.
+func (linter *linter) checkRemovedDomains(inForce *Bundle) {
 	if inForce == nil {
 		return
 	}
@@ -248,14 +248,14 @@
 
 // lintError returns an error that names everything that keeps bundle from replacing inForce.
 func lintError(bundle, inForce *Bundle) error {
-	var faults []string
+	var problems []string
 	for _, finding := range Lint(bundle, inForce) {
 		if finding.severity == SeverityError {
-			faults = append(faults, finding.text)
+			problems = append(problems, finding.text)
 		}
 	}
-	if len(faults) == 0 {
+	if len(problems) == 0 {
 		return nil
 	}
-	return eris.Errorf("the bundle would break: %s", strings.Join(faults, "; "))
+	return eris.Errorf("the bundle would break: %s", strings.Join(problems, "; "))
 }
--- a/bundler/parse.go
+++ b/bundler/parse.go
@@ -63,7 +63,7 @@
 	return reader.section.values[i], true
 }
 
-func (reader *reader) text(key string) string {
+func (reader *reader) requiredText(key string) string {
 	value, ok := reader.lookup(key)
 	if !ok || value == "" {
 		reader.fail(key, "is missing")
@@ -91,7 +91,7 @@
 }
 
 func (reader *reader) percent(key string) float64 {
-	value := reader.text(key)
+	value := reader.requiredText(key)
 	number, err := strconv.ParseFloat(value, 64)
 	if err != nil || !(number >= 0 && number <= 100) {
 		reader.fail(key, "got %q, allowed are 0 to 100", value)
@@ -135,7 +135,7 @@
 // parseText returns a bundle whose names and addresses are substrings of text.
 func parseText(text string) (*Bundle, error) {
 	parser := newParser()
-	if err := scan(text, parser.add); err != nil {
+	if err := scanSections(text, parser.add); err != nil {
 		return nil, eris.Wrap(err, "reading the bundle")
 	}
 	return parser.close()
@@ -168,7 +168,7 @@
 			return eris.Errorf("line %d: %s: allowed is one section without a name", section.line, section.title())
 		}
 		parser.seen[section.class] = true
-		return parser.addSingle(reader)
+		return parser.addUnnamed(reader)
 	}
 	if section.name == "" {
 		return eris.Errorf("line %d: %s: a name is missing", section.line, section.title())
@@ -176,7 +176,7 @@
 	return parser.addNamed(reader, section.name)
 }
 
-func (parser *parser) addSingle(reader *reader) error {
+func (parser *parser) addUnnamed(reader *reader) error {
 	bundle := parser.bundle
 	switch reader.section.class {
 	case "bundle":
@@ -199,30 +199,30 @@
 	case "failure-domain":
 		bundle.failureDomains = append(bundle.failureDomains, name)
 		domain := FailureDomain{name: name, leaving: reader.boolean("leaving", "false"), split: reader.boolean("split", "false")}
-		put(reader, bundle.domains, name, domain)
+		setOnce(reader, bundle.domains, name, domain)
 		return reader.close("leaving", "split")
 	case "service":
 		protocol := reader.choice("protocol", string(ProtocolRunner), string(ProtocolRunner), string(ProtocolWorker))
-		put(reader, bundle.services, name, Service{name: name, protocol: Protocol(protocol)})
+		setOnce(reader, bundle.services, name, Service{name: name, protocol: Protocol(protocol)})
 		return reader.close("protocol")
 	case "target":
 		bundle.targets = append(bundle.targets, readTarget(reader, name))
 		return reader.close("failure-domain", "service", "address", "slots", "rack", "milli-cores", "memory-mb", "accelerators")
 	case "kind":
-		put(reader, bundle.kinds, name, readKind(reader, name))
+		setOnce(reader, bundle.kinds, name, readKind(reader, name))
 		return reader.close("service", "repeatable", "max-tasks", "max-in-flight", "run-ms", "milli-cores", "memory-mb", "accelerators")
 	case "team":
-		put(reader, bundle.teams, name, Team{name: name, maxInFlight: int(reader.number("max-in-flight", required, 0, maxInFlight))})
+		setOnce(reader, bundle.teams, name, Team{name: name, maxInFlight: int(reader.number("max-in-flight", required, 0, maxInFlight))})
 		return reader.close("max-in-flight")
 	case "objective":
 		within := time.Duration(reader.number("within-ms", required, 0, maxRunMS)) * time.Millisecond
-		put(reader, bundle.objectives, name, Objective{kind: name, within: within, targetPercent: reader.percent("target-percent")})
+		setOnce(reader, bundle.objectives, name, Objective{kind: name, within: within, targetPercent: reader.percent("target-percent")})
 		return reader.close("within-ms", "target-percent")
 	}
 	return eris.Errorf("line %d: %s: is not a known section", reader.section.line, reader.section.title())
 }
 
-func put[V any](reader *reader, values map[string]V, name string, value V) {
+func setOnce[V any](reader *reader, values map[string]V, name string, value V) {
 	if _, ok := values[name]; ok {
 		reader.fail("section", "is given twice")
 	}
@@ -232,21 +232,21 @@
 func readTarget(reader *reader, name string) Target {
 	target := Target{
 		name:          name,
-		failureDomain: reader.text("failure-domain"),
-		service:       reader.text("service"),
-		address:       reader.text("address"),
+		failureDomain: reader.requiredText("failure-domain"),
+		service:       reader.requiredText("service"),
+		address:       reader.requiredText("address"),
 		slots:         int(reader.number("slots", required, 0, maxSlots)),
 	}
 	target.rack, _ = reader.lookup("rack")
-	target.size = readSize(reader)
+	target.resources = readResources(reader)
 	if _, _, err := net.SplitHostPort(target.address); err != nil {
 		reader.fail("address", "got %q, expected host:port", target.address)
 	}
 	return target
 }
 
-// readSize returns the size of a worker or of a task on a worker; runners have none.
-func readSize(reader *reader) placer.Resources {
+// readResources returns the size of a worker or of a task on a worker; runners have none.
+func readResources(reader *reader) placer.Resources {
 	return placer.Resources{
 		MilliCores:   reader.number("milli-cores", 0, 0, maxMilliCores),
 		MemoryMB:     reader.number("memory-mb", 0, 0, maxMemoryMB),
@@ -257,12 +257,12 @@
 func readKind(reader *reader, name string) Kind {
 	return Kind{
 		name:        name,
-		service:     reader.text("service"),
+		service:     reader.requiredText("service"),
 		repeatable:  reader.boolean("repeatable", ""),
 		maxTasks:    int(reader.number("max-tasks", dispatcher.MaxTasks, 0, dispatcher.MaxTasks)),
 		maxInFlight: int(reader.number("max-in-flight", maxInFlight, 0, maxInFlight)),
 		runTime:     time.Duration(reader.number("run-ms", defaultRunMS, 1, maxRunMS)) * time.Millisecond,
-		size:        readSize(reader),
+		resources:   readResources(reader),
 	}
 }
 
--- a/bundler/parse_test.go
+++ b/bundler/parse_test.go
@@ -77,14 +77,14 @@
 
 // Guards against bundles that parse but would break, and against lint that stops sound ones.
 func TestLint(t *testing.T) {
-	two := bundleText(1, "two", "[failure-domain srt]")
+	twoDomains := bundleText(1, "two", "[failure-domain srt]")
 	tests := []struct {
 		name, before, after, want string
 	}{
 		{"sound", bundleText(1, ""), bundleText(2, ""), ""},
 		{"first", "", bundleText(1, ""), ""},
 		{"no target for a kind", "", bundleText(1, "", "[kind x]\nservice = none\nrepeatable = true"), `[kind x] service: "none" has no target`},
-		{"kind without a target in one failure domain", "", two, "warning: [kind loop-check] service: \"loops\" has no target in failure domain srt"},
+		{"kind without a target in one failure domain", "", twoDomains, "warning: [kind loop-check] service: \"loops\" has no target in failure domain srt"},
 		{"kind limit of 0", "", bundleText(1, "", "[kind x]\nservice = loops\nrepeatable = true\nmax-in-flight = 0"), "[kind x] max-in-flight: 0"},
 		{"task limit of 0", "", bundleText(1, "", "[kind x]\nservice = loops\nrepeatable = true\nmax-tasks = 0"), "[kind x] max-tasks: 0"},
 		{"team limit of 0", "", bundleText(1, "", "[team x]\nmax-in-flight = 0"), "[team x] max-in-flight: 0"},
@@ -97,8 +97,8 @@
 		{"objective of no time", "", strings.ReplaceAll(bundleText(1, ""), "within-ms = 400", "within-ms = 0"), "within-ms: 0 cannot be met"},
 		{"objective below the run time", "", strings.ReplaceAll(bundleText(1, ""), "within-ms = 400", "within-ms = 100"), "warning: [objective loop-check] within-ms"},
 		{"removed with targets", "", strings.ReplaceAll(bundleText(1, ""), "[failure-domain hanoi-a]", "[failure-domain srt]"), `"hanoi-a" has no section, but still has this target`},
-		{"removed while it may hold keys", two, bundleText(2, ""), "failure domain srt is removed but may still hold keys"},
-		{"removed after leaving", two + "\nleaving = true", bundleText(2, ""), ""},
+		{"removed while it may hold keys", twoDomains, bundleText(2, ""), "failure domain srt is removed but may still hold keys"},
+		{"removed after leaving", twoDomains + "\nleaving = true", bundleText(2, ""), ""},
 		{"all leaving", "", strings.ReplaceAll(bundleText(1, ""), "[failure-domain hanoi-a]", "[failure-domain hanoi-a]\nleaving = true"), "every failure domain is leaving"},
 		{"version stays", bundleText(2, ""), bundleText(2, ""), "version: 2 is not above 2"},
 		{"kind on workers without a size", "", bundleText(1, "", workers, "[kind plan]\nservice = plans\nrepeatable = true"), "[kind plan] milli-cores: a kind that runs on workers needs a size"},
@@ -170,7 +170,7 @@
 			return
 		}
 		again, err := DecodeRecord(encode(record))
-		if err != nil || again.Text != record.Text || again.Version != record.Version || again.replaces() != record.replaces() {
+		if err != nil || again.Text != record.Text || again.Version != record.Version || again.replacedOffset() != record.replacedOffset() {
 			t.Errorf("decoding again: got %+v, %v, want %+v", again, err, record)
 		}
 		bundler := New(testKeys)
--- a/bundler/publication.go
+++ b/bundler/publication.go
@@ -41,7 +41,7 @@
 func (bundler *Bundler) Publish(record Record) (*Publication, error) {
 	bundler.mu.Lock()
 	defer bundler.mu.Unlock()
-	if !bundler.connected() {
+	if !bundler.contiguous() {
 		return nil, eris.New("the log was trimmed and holds no renewal of the bundle in force yet: wait for the instances to renew it")
 	}
 	bundle, err := bundler.open(record)
@@ -73,8 +73,8 @@
 		if event.Decision != DecisionInForce {
 			continue
 		}
-		own := publication.record
-		if event.Record.Text == own.Text && event.Record.Author == own.Author && event.Record.Approver == own.Approver {
+		ownRecord := publication.record
+		if event.Record.Text == ownRecord.Text && event.Record.Author == ownRecord.Author && event.Record.Approver == ownRecord.Approver {
 			return Published{offset: event.Offset}, true
 		}
 		return Conflict{offset: event.Offset, version: event.Record.Version, author: event.Record.Author}, true
--- a/bundler/record.go
+++ b/bundler/record.go
@@ -106,8 +106,8 @@
 	return bundle, nil
 }
 
-// replaces returns the offset that the record replaces, or noOffset.
-func (record Record) replaces() int64 {
+// replacedOffset returns the offset that the record replaces, or noOffset.
+func (record Record) replacedOffset() int64 {
 	if record.Replaces == nil {
 		return noOffset
 	}
--- a/bundler/renewal.go
+++ b/bundler/renewal.go
@@ -10,8 +10,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// renewalsPerRetention is the number of time windows in the log's retention; a renewal may fail in all but one.
-const renewalsPerRetention = 8
+// renewalWindowsPerRetention is the number of time windows in the log's retention; a renewal may fail in all but one.
+const renewalWindowsPerRetention = 8
 
 // RenewalDue reports whether the instance must append Renewal now. Each time window is shared out by rendezvous
 // hashing: an instance's hash is its turn in the first half of the window, and the one with the lowest hash comes first. It
@@ -19,22 +19,22 @@
 func (bundler *Bundler) RenewalDue(now time.Time, failureDomain, instance string) bool {
 	bundler.mu.Lock()
 	defer bundler.mu.Unlock()
-	if bundler.snapshot.Load() == nil || !bundler.connected() {
+	if bundler.snapshot.Load() == nil || !bundler.contiguous() {
 		return false
 	}
-	length := bundler.current.bundle.retention.log / renewalsPerRetention
+	windowLength := bundler.current.bundle.retention.log / renewalWindowsPerRetention
 	// Truncate counts from a fixed moment, so all instances share the windows up to their clock offset.
-	window := now.Truncate(length)
-	if !bundler.renewedAt.Before(window) {
+	windowStart := now.Truncate(windowLength)
+	if !bundler.renewedAt.Before(windowStart) {
 		return false
 	}
-	return !now.Before(window.Add(renewalTurn(window, length/2, failureDomain, instance)))
+	return !now.Before(windowStart.Add(renewalDelay(windowStart, windowLength/2, failureDomain, instance)))
 }
 
-func renewalTurn(window time.Time, length time.Duration, failureDomain, instance string) time.Duration {
-	sum := sha256.Sum256([]byte(strconv.FormatInt(window.UnixNano(), 10) + "\x00" + failureDomain + "\x00" + instance))
+func renewalDelay(windowStart time.Time, maxDelay time.Duration, failureDomain, instance string) time.Duration {
+	sum := sha256.Sum256([]byte(strconv.FormatInt(windowStart.UnixNano(), 10) + "\x00" + failureDomain + "\x00" + instance))
 	share := float64(binary.BigEndian.Uint64(sum[:8])) / math.MaxUint64
-	return time.Duration(share * float64(length))
+	return time.Duration(share * float64(maxDelay))
 }
 
 // Renewal returns the record that renews the bundle in force, or an error if none is.
--- a/bundler/scan.go
+++ b/bundler/scan.go
@@ -27,9 +27,9 @@
 	return "[" + section.class + " " + section.name + "]"
 }
 
-// scan calls visit with each section of text in order. The section is reused between calls. Sections and keys may
+// scanSections calls visit with each section of text in order. The section is reused between calls. Sections and keys may
 // not repeat: of two equal targets, an operator could not see which one counts.
-func scan(text string, visit func(*section) error) error {
+func scanSections(text string, visit func(*section) error) error {
 	if !utf8.ValidString(text) {
 		return eris.New("the bundle is not UTF-8")
 	}
@@ -41,29 +41,29 @@
 		switch {
 		case content == "" || content[0] == '#' || content[0] == ';':
 		case content[0] == '[':
-			if err := finish(current, visit); err != nil {
+			if err := flush(current, visit); err != nil {
 				return err
 			}
-			if err := current.open(content, line); err != nil {
+			if err := current.parseHeader(content, line); err != nil {
 				return err
 			}
 		default:
-			if err := current.put(content, line); err != nil {
+			if err := current.addKey(content, line); err != nil {
 				return err
 			}
 		}
 	}
-	return finish(current, visit)
+	return flush(current, visit)
 }
 
-func finish(section *section, visit func(*section) error) error {
+func flush(section *section, visit func(*section) error) error {
 	if section.class == "" {
 		return nil
 	}
 	return visit(section)
 }
 
-func (section *section) open(content string, line int) error {
+func (section *section) parseHeader(content string, line int) error {
 	if content[len(content)-1] != ']' {
 		return eris.Errorf("line %d: got %q, expected a section such as [kind NAME]", line, content)
 	}
@@ -76,7 +76,7 @@
 	return nil
 }
 
-func (section *section) put(content string, line int) error {
+func (section *section) addKey(content string, line int) error {
 	key, value, ok := strings.Cut(content, "=")
 	if !ok || section.class == "" {
 		return eris.Errorf("line %d: got %q, expected key = value inside a section", line, content)
--- a/bundler/schedule_test.go
+++ b/bundler/schedule_test.go
@@ -8,270 +8,270 @@
 )
 
 const (
-	tick         = 250 * time.Millisecond
-	ticks        = 2400 // ten minutes of virtual time, ten times the log's retention
-	retention    = 60 * time.Second
-	inForceBound = 10 * time.Second
+	tickInterval       = 250 * time.Millisecond
+	tickCount          = 2400 // ten minutes of virtual time, ten times the log's retention
+	simulatedRetention = 60 * time.Second
+	inForceBound       = 10 * time.Second
 )
 
-// stored is one record of the simulated log; sound is false if it must never come into force.
-type stored struct {
-	data     []byte
-	record   Record
-	at       time.Time
-	sound    bool
-	inForce  bool
-	replaces int64
+// logRecord is one record of the simulated log; sound is false if it must never come into force.
+type logRecord struct {
+	data           []byte
+	record         Record
+	at             time.Time
+	valid          bool
+	inForce        bool
+	replacedOffset int64
 }
 
-// member is one simulated instance.
-type member struct {
+// instance is one simulated instance.
+type instance struct {
 	domain, name string
-	follower     follower
-	shown        int64
-	// fresh is since when an up-to-date source can be heard without a break.
-	fresh time.Time
+	consumer     consumer
+	lastOffset   int64
+	// reachableSince is since when an up-to-date source can be heard without a break.
+	reachableSince time.Time
 }
 
-// world is a log, three failure domains of three instances, and operators that race.
-type world struct {
-	random   *rand.Rand
-	make     func() follower
-	now      time.Time
-	log      []stored
-	earliest int64
-	head     int64
-	headAt   time.Time
-	members  []*member
-	// logDown, logCut and linksCut hold when a fault ends.
-	logDown    time.Time
-	logCut     map[string]time.Time
-	linksCut   map[string]time.Time
-	violations []string
-	operators  []*publisher
+// simulation is a log, three failure domains of three instances, and operators that race.
+type simulation struct {
+	random        *rand.Rand
+	make          func() consumer
+	now           time.Time
+	log           []logRecord
+	earliest      int64
+	inForceOffset int64
+	inForceSince  time.Time
+	instances     []*instance
+	// logDownUntil, logCut and linksCut hold when a fault ends.
+	logDownUntil  time.Time
+	logCutUntil   map[string]time.Time
+	linksCutUntil map[string]time.Time
+	violations    []string
+	operators     []*simulatedOperator
 	// accepted counts the bundles that came into force, and beaten the publications whose operators were told of another.
-	accepted, beaten int
+	accepted, conflicts int
 }
 
-func newWorld(seed uint64, make_ func() follower) *world {
-	world := &world{
-		random: rand.New(rand.NewPCG(seed, 1)), make: make_, now: start, head: noOffset,
-		logCut: make(map[string]time.Time), linksCut: make(map[string]time.Time),
+func newSimulation(seed uint64, newConsumer func() consumer) *simulation {
+	simulation := &simulation{
+		random: rand.New(rand.NewPCG(seed, 1)), make: newConsumer, now: start, inForceOffset: noOffset,
+		logCutUntil: make(map[string]time.Time), linksCutUntil: make(map[string]time.Time),
 	}
 	for _, domain := range []string{"ahd", "srt", "vdr"} {
-		world.operators = append(world.operators, &publisher{bundler: New(testKeys)})
+		simulation.operators = append(simulation.operators, &simulatedOperator{bundler: New(testKeys)})
 		for i := range 3 {
-			world.members = append(world.members, &member{domain: domain, name: fmt.Sprint(i), follower: make_(), shown: noOffset})
+			simulation.instances = append(simulation.instances, &instance{domain: domain, name: fmt.Sprint(i), consumer: newConsumer(), lastOffset: noOffset})
 		}
 	}
-	return world
+	return simulation
 }
 
-func (world *world) chance(perMinute float64) bool {
-	return world.random.Float64() < perMinute*tick.Minutes()
+func (simulation *simulation) chance(perMinute float64) bool {
+	return simulation.random.Float64() < perMinute*tickInterval.Minutes()
 }
 
-func (world *world) until(seconds int) time.Time {
-	return world.now.Add(time.Duration(1+world.random.IntN(seconds)) * time.Second)
+func (simulation *simulation) randomTimeWithin(seconds int) time.Time {
+	return simulation.now.Add(time.Duration(1+simulation.random.IntN(seconds)) * time.Second)
 }
 
 // append adds a record and keeps the reference: the chain of sound records, by the whole history of the log.
-func (world *world) append(record Record, data []byte, sound bool) {
-	offset := int64(len(world.log))
-	entry := stored{data: data, record: record, at: world.now, sound: sound, replaces: record.replaces()}
+func (simulation *simulation) append(record Record, data []byte, valid bool) {
+	offset := int64(len(simulation.log))
+	entry := logRecord{data: data, record: record, at: simulation.now, valid: valid, replacedOffset: record.replacedOffset()}
 	version := int64(0)
-	if world.head >= 0 {
-		version = world.log[world.head].record.Version
+	if simulation.inForceOffset >= 0 {
+		version = simulation.log[simulation.inForceOffset].record.Version
 	}
-	if sound && entry.replaces == world.head && record.Version > version {
+	if valid && entry.replacedOffset == simulation.inForceOffset && record.Version > version {
 		entry.inForce = true
-		world.head, world.headAt = offset, world.now
-		world.accepted++
+		simulation.inForceOffset, simulation.inForceSince = offset, simulation.now
+		simulation.accepted++
 	}
-	world.log = append(world.log, entry)
+	simulation.log = append(simulation.log, entry)
 }
 
-func (world *world) hearsLog(member *member) bool {
-	return !world.now.Before(world.logDown) && !world.now.Before(world.logCut[member.domain])
+func (simulation *simulation) canReadLog(instance *instance) bool {
+	return !simulation.now.Before(simulation.logDownUntil) && !simulation.now.Before(simulation.logCutUntil[instance.domain])
 }
 
-// publisher is an operator who reads the log, publishes with a delay in which others may win, and reads on.
-type publisher struct {
+// simulatedOperator is an operator who reads the log, publishes with a delay in which others may win, and reads on.
+type simulatedOperator struct {
 	bundler     *Bundler
 	publication *Publication
 	due         time.Time
 }
 
-func (world *world) operate(operator *publisher) {
-	page := Page{Earliest: world.earliest, Next: int64(len(world.log))}
-	for offset := max(operator.bundler.NextOffset(), world.earliest); offset < page.Next; offset++ {
-		page.Entries = append(page.Entries, Entry{Offset: offset, Data: world.log[offset].data})
+func (simulation *simulation) stepOperator(operator *simulatedOperator) {
+	page := Page{Earliest: simulation.earliest, Next: int64(len(simulation.log))}
+	for offset := max(operator.bundler.NextOffset(), simulation.earliest); offset < page.Next; offset++ {
+		page.Entries = append(page.Entries, Entry{Offset: offset, Data: simulation.log[offset].data})
 	}
-	events := operator.bundler.ApplyPage(page, world.now)
+	events := operator.bundler.ApplyPage(page, simulation.now)
 	switch {
-	case operator.publication == nil && world.chance(4):
-		version := int64(1 + world.random.IntN(2))
+	case operator.publication == nil && simulation.chance(4):
+		version := int64(1 + simulation.random.IntN(2))
 		if snapshot := operator.bundler.Snapshot(); snapshot != nil {
 			version += snapshot.Bundle().Version()
 		}
-		publication, err := operator.bundler.Publish(publishRecord(version, noOffset, fmt.Sprint(len(world.log), world.random.Int())))
+		publication, err := operator.bundler.Publish(publishRecord(version, noOffset, fmt.Sprint(len(simulation.log), simulation.random.Int())))
 		if err != nil {
-			world.violations = append(world.violations, "an operator cannot publish: "+err.Error())
+			simulation.violations = append(simulation.violations, "an operator cannot publish: "+err.Error())
 			return
 		}
-		operator.publication, operator.due = publication, world.until(2)
+		operator.publication, operator.due = publication, simulation.randomTimeWithin(2)
 	case operator.publication != nil:
 		if outcome, ok := operator.publication.Observe(events); ok {
-			world.judge(operator.publication, outcome)
+			simulation.checkOutcome(operator.publication, outcome)
 			operator.publication = nil
-		} else if !world.now.Before(operator.due) {
-			world.append(operator.publication.record, operator.publication.Data(), true)
-			if world.random.IntN(4) == 0 { // the answer is late, and the operator appends again
-				world.append(operator.publication.record, operator.publication.Data(), true)
+		} else if !simulation.now.Before(operator.due) {
+			simulation.append(operator.publication.record, operator.publication.Data(), true)
+			if simulation.random.IntN(4) == 0 { // the answer is late, and the operator appends again
+				simulation.append(operator.publication.record, operator.publication.Data(), true)
 			}
 		}
 	}
 }
 
-// judge compares what an operator is told with what came into force.
-func (world *world) judge(publication *Publication, outcome Outcome) {
-	won := false
-	for _, entry := range world.log {
-		won = won || entry.inForce && entry.record.Text == publication.record.Text
+// checkOutcome compares what an operator is told with what came into force.
+func (simulation *simulation) checkOutcome(publication *Publication, outcome Outcome) {
+	published := false
+	for _, entry := range simulation.log {
+		published = published || entry.inForce && entry.record.Text == publication.record.Text
 	}
 	if _, ok := outcome.(Conflict); ok {
-		world.beaten++
+		simulation.conflicts++
 	}
-	if _, ok := outcome.(Published); ok != won {
-		world.violations = append(world.violations, fmt.Sprintf("an operator is told %v, but it came into force: %t", outcome, won))
+	if _, ok := outcome.(Published); ok != published {
+		simulation.violations = append(simulation.violations, fmt.Sprintf("an operator is told %v, but it came into force: %t", outcome, published))
 	}
 }
 
-// disturb appends a record that must not come into force.
-func (world *world) disturb() {
-	record := publishRecord(1, world.head, "junk")
-	if world.head >= 0 {
-		record = publishRecord(world.log[world.head].record.Version+1, world.head, "junk")
+// appendInvalid appends a record that must not come into force.
+func (simulation *simulation) appendInvalid() {
+	record := publishRecord(1, simulation.inForceOffset, "junk")
+	if simulation.inForceOffset >= 0 {
+		record = publishRecord(simulation.log[simulation.inForceOffset].record.Version+1, simulation.inForceOffset, "junk")
 	}
-	switch world.random.IntN(4) {
+	switch simulation.random.IntN(4) {
 	case 0:
 		data := encode(record)
-		world.append(Record{}, data[:world.random.IntN(len(data))], false)
+		simulation.append(Record{}, data[:simulation.random.IntN(len(data))], false)
 	case 1:
 		record.Text += "# forged\n"
-		world.append(record, encode(record), false)
+		simulation.append(record, encode(record), false)
 	case 2: // a loser or an old record is appended again
-		if len(world.log) > 0 {
-			old := world.log[world.random.IntN(len(world.log))]
-			world.append(old.record, old.data, old.sound)
+		if len(simulation.log) > 0 {
+			old := simulation.log[simulation.random.IntN(len(simulation.log))]
+			simulation.append(old.record, old.data, old.valid)
 		}
 	default:
-		record = signed(bundleText(record.Version, "broken", "[team none]\nmax-in-flight = 0"), world.head)
-		world.append(record, encode(record), false)
+		record = signed(bundleText(record.Version, "broken", "[team none]\nmax-in-flight = 0"), simulation.inForceOffset)
+		simulation.append(record, encode(record), false)
 	}
 }
 
-func (world *world) fail() {
-	if world.chance(1) {
-		world.logDown = world.until(25)
+func (simulation *simulation) injectFaults() {
+	if simulation.chance(1) {
+		simulation.logDownUntil = simulation.randomTimeWithin(25)
 	}
-	if world.chance(2) { // ahd stays connected, so that somebody renews
-		world.logCut[[]string{"srt", "vdr"}[world.random.IntN(2)]] = world.until(90)
+	if simulation.chance(2) { // ahd stays connected, so that somebody renews
+		simulation.logCutUntil[[]string{"srt", "vdr"}[simulation.random.IntN(2)]] = simulation.randomTimeWithin(90)
 	}
-	if world.chance(2) {
-		world.linksCut[[]string{"ahd", "srt", "vdr"}[world.random.IntN(3)]] = world.until(40)
+	if simulation.chance(2) {
+		simulation.linksCutUntil[[]string{"ahd", "srt", "vdr"}[simulation.random.IntN(3)]] = simulation.randomTimeWithin(40)
 	}
-	if world.chance(4) {
-		member := world.members[world.random.IntN(len(world.members))]
-		member.follower, member.shown, member.fresh = world.make(), noOffset, time.Time{}
+	if simulation.chance(4) {
+		instance := simulation.instances[simulation.random.IntN(len(simulation.instances))]
+		instance.consumer, instance.lastOffset, instance.reachableSince = simulation.make(), noOffset, time.Time{}
 	}
 }
 
-func (world *world) run() {
-	for range ticks {
-		world.now = world.now.Add(tick)
-		world.fail()
-		if !world.now.Before(world.logDown) {
-			for _, operator := range world.operators {
-				world.operate(operator)
+func (simulation *simulation) run() {
+	for range tickCount {
+		simulation.now = simulation.now.Add(tickInterval)
+		simulation.injectFaults()
+		if !simulation.now.Before(simulation.logDownUntil) {
+			for _, operator := range simulation.operators {
+				simulation.stepOperator(operator)
 			}
-			if world.chance(6) {
-				world.disturb()
+			if simulation.chance(6) {
+				simulation.appendInvalid()
 			}
 		}
-		for world.earliest < int64(len(world.log)) && world.log[world.earliest].at.Before(world.now.Add(-retention)) {
-			world.earliest++
+		for simulation.earliest < int64(len(simulation.log)) && simulation.log[simulation.earliest].at.Before(simulation.now.Add(-simulatedRetention)) {
+			simulation.earliest++
 		}
-		for _, member := range world.members {
-			world.step(member)
-			world.check(member)
+		for _, instance := range simulation.instances {
+			simulation.stepInstance(instance)
+			simulation.checkInstance(instance)
 		}
 	}
 }
 
-func (world *world) step(member *member) {
-	if world.hearsLog(member) {
-		page := Page{Earliest: world.earliest, Next: int64(len(world.log))}
+func (simulation *simulation) stepInstance(instance *instance) {
+	if simulation.canReadLog(instance) {
+		page := Page{Earliest: simulation.earliest, Next: int64(len(simulation.log))}
 		// Short pages show a reader in the middle of the log.
-		for offset := max(member.follower.NextOffset(), world.earliest); offset < page.Next && len(page.Entries) < 5; offset++ {
-			page.Entries = append(page.Entries, Entry{Offset: offset, Data: world.log[offset].data})
+		for offset := max(instance.consumer.NextOffset(), simulation.earliest); offset < page.Next && len(page.Entries) < 5; offset++ {
+			page.Entries = append(page.Entries, Entry{Offset: offset, Data: simulation.log[offset].data})
 		}
-		member.follower.ApplyPage(page, world.now)
-		if real, ok := member.follower.(*Bundler); ok && real.RenewalDue(world.now, member.domain, member.name) {
-			data, err := real.Renewal()
+		instance.consumer.ApplyPage(page, simulation.now)
+		if bundler, ok := instance.consumer.(*Bundler); ok && bundler.RenewalDue(simulation.now, instance.domain, instance.name) {
+			data, err := bundler.Renewal()
 			if err != nil {
 				panic(err)
 			}
 			record, _ := DecodeRecord(data)
-			world.append(record, data, false)
+			simulation.append(record, data, false)
 		}
 	}
-	peer := world.members[world.random.IntN(len(world.members))]
-	if peer != member && peer.domain == member.domain && !world.now.Before(world.linksCut[member.domain]) {
-		if offer, ok := peer.follower.Offer(); ok {
-			_, _ = member.follower.HandleOffer(offer, world.now)
+	peer := simulation.instances[simulation.random.IntN(len(simulation.instances))]
+	if peer != instance && peer.domain == instance.domain && !simulation.now.Before(simulation.linksCutUntil[instance.domain]) {
+		if offer, ok := peer.consumer.Offer(); ok {
+			_, _ = instance.consumer.HandleOffer(offer, simulation.now)
 		}
 	}
 }
 
-func (world *world) violate(member *member, format string, args ...any) {
-	world.violations = append(world.violations, fmt.Sprintf("%s %s-%s: ", world.now.Sub(start), member.domain, member.name)+fmt.Sprintf(format, args...))
+func (simulation *simulation) addViolation(instance *instance, format string, args ...any) {
+	simulation.violations = append(simulation.violations, fmt.Sprintf("%s %s-%s: ", simulation.now.Sub(start), instance.domain, instance.name)+fmt.Sprintf(format, args...))
 }
 
-func (world *world) check(member *member) {
-	offer, ok := member.follower.Offer()
+func (simulation *simulation) checkInstance(instance *instance) {
+	offer, ok := instance.consumer.Offer()
 	if ok {
 		switch {
-		case offer.Offset < member.shown:
-			world.violate(member, "reverted from offset %d to %d", member.shown, offer.Offset)
-		case !world.log[offer.Offset].inForce || world.log[offer.Offset].record.Text != offer.Record.Text:
-			world.violate(member, "offset %d was never in force", offer.Offset)
+		case offer.Offset < instance.lastOffset:
+			simulation.addViolation(instance, "reverted from offset %d to %d", instance.lastOffset, offer.Offset)
+		case !simulation.log[offer.Offset].inForce || simulation.log[offer.Offset].record.Text != offer.Record.Text:
+			simulation.addViolation(instance, "offset %d was never in force", offer.Offset)
 		}
-		member.shown = offer.Offset
+		instance.lastOffset = offer.Offset
 	}
-	if !world.hearsCurrent(member) {
-		member.fresh = time.Time{}
+	if !simulation.canReachCurrent(instance) {
+		instance.reachableSince = time.Time{}
 		return
 	}
-	if member.fresh.IsZero() {
-		member.fresh = world.now
+	if instance.reachableSince.IsZero() {
+		instance.reachableSince = simulation.now
 	}
-	if late := world.now.Add(-inForceBound); member.fresh.Before(late) && world.headAt.Before(late) && (!ok || offer.Offset != world.head) {
-		world.violate(member, "offset %d is not in force %s after it could be heard", world.head, inForceBound)
+	if latest := simulation.now.Add(-inForceBound); instance.reachableSince.Before(latest) && simulation.inForceSince.Before(latest) && (!ok || offer.Offset != simulation.inForceOffset) {
+		simulation.addViolation(instance, "offset %d is not in force %s after it could be heard", simulation.inForceOffset, inForceBound)
 	}
 }
 
-// hearsCurrent reports whether the log, or a peer that is up to date, can be heard now.
-func (world *world) hearsCurrent(member *member) bool {
-	if world.head < 0 {
+// canReachCurrent reports whether the log, or a peer that is up to date, can be heard now.
+func (simulation *simulation) canReachCurrent(instance *instance) bool {
+	if simulation.inForceOffset < 0 {
 		return false
 	}
-	if world.hearsLog(member) {
+	if simulation.canReadLog(instance) {
 		return true
 	}
-	for _, peer := range world.members {
-		if peer != member && peer.domain == member.domain && !world.now.Before(world.linksCut[member.domain]) {
-			if offer, ok := peer.follower.Offer(); ok && offer.Offset == world.head {
+	for _, peer := range simulation.instances {
+		if peer != instance && peer.domain == instance.domain && !simulation.now.Before(simulation.linksCutUntil[instance.domain]) {
+			if offer, ok := peer.consumer.Offer(); ok && offer.Offset == simulation.inForceOffset {
 				return true
 			}
 		}
@@ -282,26 +282,26 @@
 // Guards the promise bundle-in-force under random faults, over several readers and operators with fixed seeds: nothing
 // reverts, nothing but the chain comes into force, and it does within 10 s. The naive version must break it.
 func TestRandomSchedules(t *testing.T) {
-	seeds, naiveViolations, accepted, beaten := uint64(20), 0, 0, 0
+	seeds, naiveViolations, accepted, conflicts := uint64(20), 0, 0, 0
 	if testing.Short() {
 		seeds = 3
 	}
 	for seed := range seeds {
-		world := newWorld(seed, func() follower { return New(testKeys) })
-		world.run()
-		accepted, beaten = accepted+world.accepted, beaten+world.beaten
-		if len(world.violations) > 0 {
-			t.Errorf("seed %d: %d violations, first: %s", seed, len(world.violations), world.violations[0])
+		simulation := newSimulation(seed, func() consumer { return New(testKeys) })
+		simulation.run()
+		accepted, conflicts = accepted+simulation.accepted, conflicts+simulation.conflicts
+		if len(simulation.violations) > 0 {
+			t.Errorf("seed %d: %d violations, first: %s", seed, len(simulation.violations), simulation.violations[0])
 		}
-		simple := newWorld(seed, func() follower { return &naive{} })
-		simple.run()
-		if len(simple.violations) == 0 {
+		naiveSimulation := newSimulation(seed, func() consumer { return &naive{} })
+		naiveSimulation.run()
+		if len(naiveSimulation.violations) == 0 {
 			t.Errorf("seed %d: the naive version passes, so the schedule shows nothing", seed)
 		}
-		naiveViolations += len(simple.violations)
+		naiveViolations += len(naiveSimulation.violations)
 	}
-	t.Logf("%d seeds, %d bundles accepted, %d publications beaten, violations of the naive version: %d", seeds, accepted, beaten, naiveViolations)
-	if accepted < 20*int(seeds) || beaten < 5*int(seeds) {
-		t.Errorf("%d bundles accepted and %d beaten are too few to show anything", accepted, beaten)
+	t.Logf("%d seeds, %d bundles accepted, %d publications beaten, violations of the naive version: %d", seeds, accepted, conflicts, naiveViolations)
+	if accepted < 20*int(seeds) || conflicts < 5*int(seeds) {
+		t.Errorf("%d bundles accepted and %d beaten are too few to show anything", accepted, conflicts)
 	}
 }
--- a/bundler/support_test.go
+++ b/bundler/support_test.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// operator returns a signer with a fixed key.
-func operator(name string) (Signer, string) {
+// testSigner returns a signer with a fixed key.
+func testSigner(name string) (Signer, string) {
 	key := ed25519.NewKeyFromSeed(bytes.Repeat([]byte(name[:1]), ed25519.SeedSize))
 	return NewSigner(name, key), FormatKey(name, key.Public().(ed25519.PublicKey))
 }
 
 var (
-	linh, linhKey = operator("linh")
-	asha, ashaKey = operator("asha")
-	mallory, _    = operator("mallory")
+	linh, linhKey = testSigner("linh")
+	asha, ashaKey = testSigner("asha")
+	mallory, _    = testSigner("mallory")
 	testKeys, _   = ParseKeys(linhKey + "," + ashaKey)
 	start         = time.Unix(1_800_000_000, 0)
 )
@@ -88,8 +88,8 @@
 	return page
 }
 
-// follower is what the cases run: the bundler, or the naive version that they must expose.
-type follower interface {
+// consumer is what the cases run: the bundler, or the naive version that they must expose.
+type consumer interface {
 	NextOffset() int64
 	ApplyPage(Page, time.Time) []Event
 	HandleOffer(Offer, time.Time) ([]Event, error)
@@ -125,9 +125,9 @@
 
 func (naive *naive) Offer() (Offer, bool) { return naive.offer, naive.known }
 
-// inForce returns the note of the bundle in force, or an empty string.
-func inForce(follower follower) string {
-	offer, ok := follower.Offer()
+// inForceNote returns the note of the bundle in force, or an empty string.
+func inForceNote(consumer consumer) string {
+	offer, ok := consumer.Offer()
 	if !ok {
 		return ""
 	}
