--- a/appender/appender.go
+++ b/appender/appender.go
@@ -13,11 +13,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// MaxResponseBytes bounds what is read of one response of the log.
+// MaxResponseBytes limits the body that is read of one response of the log.
 const MaxResponseBytes = 16 << 20
 
-// maxPageBytes is the sum of record sizes asked for in one page. In base64 a page grows by a third, and the log
-// may exceed the bound by one record, so a page stays below MaxResponseBytes for records of up to 4 MB.
+// maxPageBytes is the limit on the total record size that a read requests. Base64 adds a third, and the log may
+// exceed the limit by one record, so a page stays below MaxResponseBytes for records of up to 4 MB.
 const maxPageBytes = 4 << 20
 
 // Record is one record of a stream.
@@ -26,38 +26,39 @@
 	Data   []byte `json:"data"`
 }
 
-// Page is a run of consecutive records of one stream.
+// Page holds consecutive records of one stream, as returned by one read.
 type Page struct {
-	// Earliest is the offset of the oldest record that the log still holds; 0 means that nothing was trimmed.
+	// Earliest is the offset of the oldest record that the log still holds; 0 means that no record was trimmed.
 	Earliest int64 `json:"earliest"`
-	// Next is the offset that the next append will get.
+	// Next is the offset that the next appended record will get.
 	Next    int64    `json:"next"`
 	Records []Record `json:"records"`
 }
 
-// AppendResponse is the log's answer to an append.
+// AppendResponse is the body of the log's response to an append.
 type AppendResponse struct {
 	Offset int64 `json:"offset"`
 }
 
-// Appender reads and appends records of the streams of one log.
+// Appender is a client that appends records to the streams of one log and reads them.
 type Appender struct {
 	baseURL string
 	client  *http.Client
 }
 
-// New returns a client of the log at address, a host and port.
+// New returns a client of the log at address, in the form host:port.
 func New(address string) *Appender {
 	return &Appender{baseURL: "http://" + address, client: &http.Client{}}
 }
 
-// Append adds data to stream and returns its offset; after an error the append may still have taken effect.
+// Append appends data to stream as one record and returns its offset. After an error, the record may still have
+// been appended.
 func (appender *Appender) Append(ctx context.Context, stream string, data []byte) (int64, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, appender.url(stream), bytes.NewReader(data))
 	if err != nil {
-		return 0, eris.Wrap(err, "preparing an append")
+		return 0, eris.Wrap(err, "creating the append request")
 	}
-	// Without GetBody, net/http cannot send the append a second time on its own.
+	// Without GetBody, net/http cannot resend the request by itself, which could append the record twice.
 	request.GetBody = nil
 	var response AppendResponse
 	if err := appender.do(request, http.StatusCreated, &response); err != nil {
@@ -66,12 +67,13 @@
 	return response.Offset, nil
 }
 
-// Read returns the records of stream from offset from on, waiting up to wait for the first one.
+// Read returns the records of stream from the given offset onward. If there are none yet, the log waits up to wait for
+// the first one.
 func (appender *Appender) Read(ctx context.Context, stream string, from int64, wait time.Duration) (Page, error) {
 	readURL := fmt.Sprintf("%s?from=%d&wait-ms=%d&max-bytes=%d", appender.url(stream), from, wait.Milliseconds(), maxPageBytes)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, readURL, nil)
 	if err != nil {
-		return Page{}, eris.Wrap(err, "preparing a read")
+		return Page{}, eris.Wrap(err, "creating the read request")
 	}
 	var page Page
 	if err := appender.do(request, http.StatusOK, &page); err != nil {
--- a/appender/appender_test.go
+++ b/appender/appender_test.go
@@ -12,7 +12,8 @@
 	"github.com/hyssoplift/hyssoplift/emulator"
 )
 
-// Guards against a stream that cannot be read any more once its records exceed one response.
+// Guards against a reader that fails on a stream whose records exceed the size limit of one response: 300 records of
+// 87 kB have to be read page by page.
 func TestLongStreamIsReadInPages(t *testing.T) {
 	is := is.New(t)
 	log := emulator.NewLog()
@@ -27,9 +28,9 @@
 	for next < records {
 		page, err := client.Read(context.Background(), "bundles", next, 0)
 		is.NoErr(err)
-		is.True(len(page.Records) > 0) // every page makes progress
+		is.True(len(page.Records) > 0) // otherwise the loop would not end
 		for _, record := range page.Records {
-			is.Equal(record.Offset, next) // no record is skipped or read twice
+			is.Equal(record.Offset, next) // no record is skipped or repeated
 			next++
 		}
 	}
--- a/appender/bench_test.go
+++ b/appender/bench_test.go
@@ -22,7 +22,8 @@
 	return float64(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// benchLog returns a client of a log stand-in; the figures include the stand-in's work in the same process.
+// benchLog returns a client of an emulated log. The log runs in the same process, so the measured CPU time and
+// allocations include its work.
 func benchLog(b *testing.B) (*appender.Appender, *emulator.Log) {
 	log := emulator.NewLog()
 	server := httptest.NewServer(log)
--- a/appender/doc.go
+++ b/appender/doc.go
@@ -1,2 +1,2 @@
-// Package appender is the HTTP client of the platform's append-only log.
+// Package appender implements an HTTP client of the platform's append-only log.
 package appender
