--- a/bundler/bench_test.go
+++ b/bundler/bench_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// sizes are the numbers of targets that the benchmarks run with.
+// sizes holds the numbers of targets that the benchmarks run with.
 var sizes = []int{50, 500, 5_000, 22_000}
 
-// largeText returns a bundle with the given number of targets over 27 failure domains, and 120 teams.
+// largeText returns a bundle with the given number of targets in 27 failure domains, 12 kinds and 120 teams.
 func largeText(version int64, targets int) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "[bundle]\nversion = %d\n", version)
@@ -75,7 +75,7 @@
 	})
 }
 
-// BenchmarkVerify checks the two signatures.
+// BenchmarkVerify verifies the two signatures of a bundle.
 func BenchmarkVerify(b *testing.B) {
 	eachSize(b, func(b *testing.B, text string) {
 		record := signed(text, 0)
@@ -97,7 +97,7 @@
 	})
 }
 
-// BenchmarkFold takes one change: decoding, signatures, parsing and lint.
+// BenchmarkFold applies one change: it decodes, verifies, parses and lints a record.
 func BenchmarkFold(b *testing.B) {
 	eachSize(b, func(b *testing.B, text string) {
 		bundler := New(testKeys)
@@ -115,7 +115,7 @@
 	})
 }
 
-// BenchmarkParts takes one change of the common part, or of one of 27 parts, of a bundle that is split.
+// BenchmarkParts applies one change to the common part, or to one of the 27 parts, of a split bundle.
 func BenchmarkParts(b *testing.B) {
 	for _, size := range sizes {
 		var common, part strings.Builder
@@ -154,7 +154,7 @@
 	}
 }
 
-// BenchmarkDay folds the 9,500 changes of a day at the target scale's rate, on a bundle of 50 targets.
+// BenchmarkDay applies the 9,500 changes of one day at the target scale to a bundle with 50 targets.
 func BenchmarkDay(b *testing.B) {
 	const changes = 9_500
 	entries := make([]Entry, changes)
--- a/bundler/bundle.go
+++ b/bundler/bundle.go
@@ -6,18 +6,18 @@
 	"github.com/hyssoplift/hyssoplift/placer"
 )
 
-// Protocol is how the targets of a service are called.
+// Protocol is the way in which the targets of a service run tasks.
 type Protocol string
 
-// Protocols of a service.
+// The protocols of a service.
 const (
-	// ProtocolRunner is a task per HTTP request.
+	// ProtocolRunner runs each task as one HTTP request.
 	ProtocolRunner Protocol = "runner"
-	// ProtocolWorker is a task under a lease.
+	// ProtocolWorker runs each task under a lease that an instance renews.
 	ProtocolWorker Protocol = "worker"
 )
 
-// FailureDomain is a part of the platform that fails on its own.
+// FailureDomain is a part of the platform that fails independently of the others.
 type FailureDomain struct {
 	name    string
 	leaving bool
@@ -27,13 +27,14 @@
 // Name returns the failure domain's name.
 func (domain FailureDomain) Name() string { return domain.name }
 
-// Leaving reports whether the next bundle may remove the failure domain; no new keys are homed there.
+// Leaving reports whether the next bundle may remove the failure domain. It must not become the home of new keys.
 func (domain FailureDomain) Leaving() bool { return domain.leaving }
 
-// Split reports whether the failure domain's targets are published as a part of their own, on PartStream.
+// Split reports whether the failure domain's targets are published as a part of their own, on the stream that
+// PartStream returns.
 func (domain FailureDomain) Split() bool { return domain.split }
 
-// Service is a group of targets that run the same kinds.
+// Service is a group of targets that run the same kinds of tasks.
 type Service struct {
 	name     string
 	protocol Protocol
@@ -42,7 +43,7 @@
 // Name returns the service's name.
 func (service Service) Name() string { return service.name }
 
-// Protocol returns how the service's targets are called.
+// Protocol returns the protocol of the service's targets.
 func (service Service) Protocol() Protocol { return service.protocol }
 
 // Target is a runner or worker that runs tasks of one service.
@@ -68,16 +69,16 @@
 // Address returns the target's host and port.
 func (target Target) Address() string { return target.address }
 
-// Slots returns how many tasks the target runs at once; a worker's size is the tighter bound.
+// Slots returns how many tasks the target runs at once. For a worker, its resources are the tighter limit.
 func (target Target) Slots() int { return target.slots }
 
-// Rack returns the rack that a worker is in, or an empty string.
+// Rack returns the rack of a worker, or an empty string.
 func (target Target) Rack() string { return target.rack }
 
-// Resources returns a worker's size; it is zero for a runner.
+// Resources returns the resources of a worker; they are zero for a runner.
 func (target Target) Resources() placer.Resources { return target.resources }
 
-// Kind is a kind of task with the limits that it runs under.
+// Kind describes a kind of task and its limits.
 type Kind struct {
 	name        string
 	service     string
@@ -94,7 +95,8 @@
 // Service returns the service whose targets run the kind.
 func (kind Kind) Service() string { return kind.service }
 
-// Repeatable reports whether a task of this kind may run again after it provably never started.
+// Repeatable reports whether tasks of the kind may run again if their job is resubmitted after its key has expired.
+// Tasks of other kinds run at most once.
 func (kind Kind) Repeatable() bool { return kind.repeatable }
 
 // MaxTasks returns the largest number of tasks in one job of the kind.
@@ -103,10 +105,10 @@
 // MaxInFlight returns how many tasks of the kind may run at once per instance.
 func (kind Kind) MaxInFlight() int { return kind.maxInFlight }
 
-// RunTime returns the declared run time of one task, which may be far off.
+// RunTime returns the declared run time of one task. The actual run time may differ widely.
 func (kind Kind) RunTime() time.Duration { return kind.runTime }
 
-// Resources returns the declared size of one task on a worker, which may be far off.
+// Resources returns the declared resources of one task on a worker. The actual usage may differ widely.
 func (kind Kind) Resources() placer.Resources { return kind.resources }
 
 // Team is a group of callers with a quota.
@@ -121,29 +123,29 @@
 // MaxInFlight returns how many tasks of the team may run at once per instance.
 func (team Team) MaxInFlight() int { return team.maxInFlight }
 
-// Policy weighs the two metrics against each other.
+// Policy holds the weights of response time and wasted messages, which routing trades off against each other.
 type Policy struct {
 	responseTimeWeight  int
 	wastedMessageWeight int
 }
 
-// ResponseTimeWeight returns the weight of response time against the ideal, 0 to 100.
+// ResponseTimeWeight returns the weight of the response time relative to the ideal one, 0 to 100.
 func (policy Policy) ResponseTimeWeight() int { return policy.responseTimeWeight }
 
 // WastedMessageWeight returns the weight of wasted messages, 0 to 100.
 func (policy Policy) WastedMessageWeight() int { return policy.wastedMessageWeight }
 
-// Objective is the service level that a kind is measured against.
+// Objective is the service level objective of a kind.
 type Objective struct {
 	kind          string
 	within        time.Duration
 	targetPercent float64
 }
 
-// Kind returns the name of the kind.
+// Kind returns the name of the kind that the objective applies to.
 func (objective Objective) Kind() string { return objective.kind }
 
-// Within returns the time in which an answer counts as good.
+// Within returns the response time up to which an answer counts as good.
 func (objective Objective) Within() time.Duration { return objective.within }
 
 // TargetPercent returns the share of answers that must be good, in percent.
@@ -152,15 +154,15 @@
 // Retention holds the periods for which the platform keeps records.
 type Retention struct{ log time.Duration }
 
-// Log returns how long the platform's log retains a record; renewals are spaced by it.
+// Log returns how long the platform's log retains a record. The interval between renewals is derived from it.
 func (retention Retention) Log() time.Duration { return retention.log }
 
-// Bundle is one immutable version of the configuration.
+// Bundle is one version of the configuration. It is immutable.
 type Bundle struct {
 	version int64
 	// part is the failure domain whose targets the bundle holds, or empty for the common part.
 	part string
-	// partVersion is set in a composed bundle, in which the targets of split failure domains are present.
+	// partVersion is the version of the part that Compose added last, or 0 in a bundle that was not composed.
 	partVersion    int64
 	failureDomains []string
 	domains        map[string]FailureDomain
@@ -173,7 +175,7 @@
 	retention      Retention
 }
 
-// Version returns the bundle's version number; it rises with each accepted bundle.
+// Version returns the bundle's version number, which increases with each bundle that comes into force.
 func (bundle *Bundle) Version() int64 { return bundle.version }
 
 // Part returns the failure domain whose targets the bundle holds, or an empty string for the common part.
@@ -182,7 +184,7 @@
 // PartVersion returns the version of the part that Compose added last, or 0.
 func (bundle *Bundle) PartVersion() int64 { return bundle.partVersion }
 
-// FailureDomains returns the names of the failure domains, sorted; callers must not change them.
+// FailureDomains returns the names of the failure domains, sorted; callers must not modify the slice.
 func (bundle *Bundle) FailureDomains() []string { return bundle.failureDomains }
 
 // FailureDomain returns the failure domain named name.
@@ -191,13 +193,13 @@
 	return domain, ok
 }
 
-// Service returns the service named name; one without a section of its own uses ProtocolRunner.
+// Service returns the service named name. A service without a section of its own uses ProtocolRunner.
 func (bundle *Bundle) Service(name string) (Service, bool) {
 	service, ok := bundle.services[name]
 	return service, ok
 }
 
-// Targets returns all targets, sorted by name; callers must not change them.
+// Targets returns all targets, sorted by name; callers must not modify the slice.
 func (bundle *Bundle) Targets() []Target { return bundle.targets }
 
 // Kind returns the kind named name.
@@ -212,14 +214,14 @@
 	return team, ok
 }
 
-// Objective returns the objective of the kind named kind.
+// Objective returns the objective of the given kind.
 func (bundle *Bundle) Objective(kind string) (Objective, bool) {
 	objective, ok := bundle.objectives[kind]
 	return objective, ok
 }
 
-// Policy returns the weights of the two metrics.
+// Policy returns the weights of response time and wasted messages.
 func (bundle *Bundle) Policy() Policy { return bundle.policy }
 
-// Retention returns the periods for which state is kept.
+// Retention returns the periods for which the platform keeps records.
 func (bundle *Bundle) Retention() Retention { return bundle.retention }
--- a/bundler/bundler.go
+++ b/bundler/bundler.go
@@ -9,31 +9,33 @@
 )
 
 const (
-	// noOffset stands for the offset before the first record.
+	// noOffset is the offset before the first record; it means that there is no record.
 	noOffset = -1
-	// maxPendingBytes bounds the records that wait for a renewal; an instance has 64 MB in all.
+	// maxPendingBytes limits the text of the records that wait for a renewal; an instance has 64 MB of memory in total.
 	maxPendingBytes = 16 << 20
 )
 
-// Entry is one record of the log's stream of bundles.
+// Entry is one record of a bundle stream, not yet decoded.
 type Entry struct {
 	Offset int64
 	Data   []byte
 }
 
-// Page is a run of consecutive entries.
+// Page holds consecutive entries of a bundle stream.
 type Page struct {
 	// Earliest is the offset of the oldest record that the log still holds.
 	Earliest int64
-	// Next is the offset that the next append will get.
+	// Next is the offset that the next appended record will get.
 	Next    int64
 	Entries []Entry
 }
 
-// Offer is a bundle that a peer has in force.
+// Offer is the bundle that an instance has in force, as it is sent to a peer.
 type Offer struct {
-	Record  Record
-	Offset  int64
+	Record Record
+	// Offset is the offset of the record that published the bundle.
+	Offset int64
+	// Through is the last offset up to which no record replaced the bundle.
 	Through int64
 }
 
@@ -44,7 +46,7 @@
 	offset int64
 }
 
-// Bundle returns the parsed bundle.
+// Bundle returns the bundle in force.
 func (snapshot *Snapshot) Bundle() *Bundle { return snapshot.bundle }
 
 // Offset returns the offset of the record that published the bundle.
@@ -53,21 +55,22 @@
 // Author returns the name of the operator who signed as author.
 func (snapshot *Snapshot) Author() string { return snapshot.record.Author }
 
-// Text returns the signed text.
+// Text returns the signed text of the bundle.
 func (snapshot *Snapshot) Text() string { return snapshot.record.Text }
 
 // Approver returns the name of the operator who signed as approver.
 func (snapshot *Snapshot) Approver() string { return snapshot.record.Approver }
 
-// Bundler folds the records of the log and the offers of peers into the bundle in force.
+// Bundler determines the bundle in force from the records of the log and the offers of peers.
 //
-// It knows a bundle, published at an offset, and that no record up to through replaced it. Entries [start, next)
-// have been read without a gap. The chain is connected if start is at most through+1; then through is at least
-// next-1, and the next entry decides by itself. A chain that is not connected misses trimmed records, one of which
-// may have replaced the bundle: publish records wait until a renewal or a peer connects it.
+// It holds the current bundle and its offset, and knows that no record up to through replaced it. The entries in
+// [start, next) have been read without a gap. They are contiguous with through if start is at most through+1; then
+// through is at least next-1, and whether the next entry replaces the bundle depends on that entry alone. Otherwise,
+// records between through and start have been trimmed, and one of them may have replaced the bundle: records that
+// publish a bundle stay pending until a renewal or a peer closes the gap.
 type Bundler struct {
 	keys Keys
-	// part is the failure domain whose part is followed, or empty for the common part.
+	// part is the failure domain whose part is read, or empty for the common part.
 	part     string
 	snapshot atomic.Pointer[Snapshot]
 
@@ -77,28 +80,31 @@
 	start   int64
 	next    int64
 	pending []pendingRecord
-	// pendingBytes is the sum of the text sizes in pending.
+	// pendingBytes is the total text size of the records in pending.
 	pendingBytes int
-	renewedAt    time.Time
+	// renewedAt is when the current bundle or its last renewal was read from the log.
+	renewedAt time.Time
 }
 
+// pendingRecord is a record that cannot be applied until the gap before it is closed.
 type pendingRecord struct {
 	offset int64
 	record Record
 }
 
-// New returns a bundler of the common part, without a bundle in force, that accepts signatures by keys.
+// New returns a bundler for the common part that accepts signatures by keys. It has no bundle in force yet.
 func New(keys Keys) *Bundler { return NewPart(keys, "") }
 
-// NewPart returns a bundler of the part of a split failure domain.
+// NewPart returns a bundler for the part of a split failure domain.
 func NewPart(keys Keys, failureDomain string) *Bundler {
 	return &Bundler{keys: keys, part: failureDomain, through: noOffset}
 }
 
-// Stream returns the stream of the log that the bundler must be given.
+// Stream returns the stream of the log whose pages the bundler applies.
 func (bundler *Bundler) Stream() string { return PartStream(bundler.part) }
 
-// open returns the proved bundle of record. The signed text names its part, so that it counts on one stream only.
+// open verifies record and returns its bundle. The signed text names its part, so that a record is valid on one stream
+// only.
 func (bundler *Bundler) open(record Record) (*Bundle, error) {
 	bundle, err := record.Open(bundler.keys)
 	if err == nil && bundle.part != bundler.part {
@@ -107,17 +113,17 @@
 	return bundle, err
 }
 
-// Snapshot returns the bundle in force, or nil if none is proved; it never blocks.
+// Snapshot returns the bundle in force, or nil if there is none yet. It never blocks.
 func (bundler *Bundler) Snapshot() *Snapshot { return bundler.snapshot.Load() }
 
-// NextOffset returns the offset from which the log must be read next.
+// NextOffset returns the offset at which the next page must start.
 func (bundler *Bundler) NextOffset() int64 {
 	bundler.mu.Lock()
 	defer bundler.mu.Unlock()
 	return bundler.next
 }
 
-// ApplyPage takes a page read from the offset Next and returns what became of its records.
+// ApplyPage applies a page read from NextOffset and returns the decisions on its records.
 func (bundler *Bundler) ApplyPage(page Page, now time.Time) []Event {
 	bundler.mu.Lock()
 	defer bundler.mu.Unlock()
@@ -140,16 +146,18 @@
 	return events
 }
 
-// HandleOffer takes an offer of a peer and returns an error if it is older than the bundle in force or not proved.
+// HandleOffer applies an offer of a peer. It returns an error if the offered bundle is older than the bundle in force or
+// fails verification.
 func (bundler *Bundler) HandleOffer(offer Offer, now time.Time) ([]Event, error) {
 	bundler.mu.Lock()
 	defer bundler.mu.Unlock()
 	if offer.Offset < 0 || offer.Through < offer.Offset {
-		return nil, eris.New("the offer's offsets contradict each other")
+		return nil, eris.New("the offer's offsets are inconsistent")
 	}
 	if bundler.current != nil && offer.Offset < bundler.current.offset {
 		if _, err := bundler.open(offer.Record); err == nil {
-			// The peer serves with an older bundle, so this newer one may serve although the end of the log is not read.
+			// The peer has an older bundle in force, so this newer one may come into force before the end of the log is
+			// read.
 			bundler.activate()
 		}
 		return nil, eris.Errorf("the peer's bundle at offset %d is older than that at offset %d", offer.Offset, bundler.current.offset)
@@ -158,12 +166,12 @@
 	if err != nil {
 		return nil, err
 	}
-	// A peer serves with this bundle, so an instance that has not reached the end of the log may do so too.
+	// The peer has this bundle in force, so it may come into force here before the end of the log is read.
 	bundler.activate()
 	return events, nil
 }
 
-// Offer returns what a peer needs to take over the bundle in force, and false if none is.
+// Offer returns the bundle in force as an offer to peers, or false if there is none.
 func (bundler *Bundler) Offer() (Offer, bool) {
 	bundler.mu.Lock()
 	defer bundler.mu.Unlock()
@@ -173,9 +181,11 @@
 	return Offer{Record: bundler.current.record, Offset: bundler.current.offset, Through: bundler.through}, true
 }
 
+// contiguous reports whether no record is missing between through and the entries that have been read.
 func (bundler *Bundler) contiguous() bool { return bundler.start <= bundler.through+1 }
 
-// skipTo notes that the entries before offset can no longer be read.
+// skipTo continues reading at offset if the entries before it have been trimmed. Pending records are dropped, because
+// records are missing after them.
 func (bundler *Bundler) skipTo(offset int64) {
 	if offset > bundler.next {
 		bundler.start, bundler.next = offset, offset
@@ -183,13 +193,14 @@
 	}
 }
 
-// activate makes the current bundle the one in force.
+// activate puts the current bundle in force.
 func (bundler *Bundler) activate() {
 	if bundler.current != nil && bundler.snapshot.Load() != bundler.current {
 		bundler.snapshot.Store(bundler.current)
 	}
 }
 
+// applyEntry applies the next entry of the log.
 func (bundler *Bundler) applyEntry(entry Entry, now time.Time) []Event {
 	if entry.Offset <= bundler.through {
 		return nil
@@ -203,7 +214,7 @@
 	case err != nil:
 		return []Event{ignoredEvent(entry.Offset, record, err)}
 	case record.Renewal != nil && record.Renewal.Through >= entry.Offset:
-		return []Event{ignoredEvent(entry.Offset, record, eris.New("the renewal claims to know records after itself"))}
+		return []Event{ignoredEvent(entry.Offset, record, eris.New("the renewal refers to records after itself"))}
 	case record.Renewal != nil:
 		return bundler.applyRenewal(entry.Offset, record, now)
 	case contiguous:
@@ -214,7 +225,7 @@
 	}
 }
 
-// replace puts the record in force if it replaces the bundle in force.
+// replace makes the record's bundle the current one if the record replaces the current bundle.
 func (bundler *Bundler) replace(offset int64, record Record, now time.Time) Event {
 	bundle, err := bundler.checkReplacement(record)
 	if err != nil {
@@ -225,7 +236,7 @@
 	return Event{Offset: offset, Decision: DecisionInForce, Record: record}
 }
 
-// checkReplacement returns the record's bundle if it may replace the current one; the cheap tests come first.
+// checkReplacement returns the record's bundle if it may replace the current one. The cheap checks come first.
 func (bundler *Bundler) checkReplacement(record Record) (*Bundle, error) {
 	offset, version := int64(noOffset), int64(0)
 	var inForce *Bundle
@@ -245,6 +256,7 @@
 	return bundle, lintError(bundle, inForce)
 }
 
+// applyRenewal applies a record that renews the current bundle, or a later bundle whose own record has been trimmed.
 func (bundler *Bundler) applyRenewal(offset int64, record Record, now time.Time) []Event {
 	if current := bundler.current; current != nil && record.Renewal.Offset == current.offset && record.Text == current.record.Text {
 		bundler.renewedAt = now
@@ -260,8 +272,8 @@
 	return append([]Event{{Offset: offset, Decision: DecisionRenewal, Record: record}}, events...)
 }
 
-// adopt takes over a bundle that is in force elsewhere. Lint does not apply: whoever had it in force had its
-// predecessor, and a reader that refused it would have no way back.
+// adopt takes over a bundle that is in force on another instance. Lint is not applied: that instance checked the bundle
+// against its predecessor, and a reader that rejected it could not accept any later bundle either.
 func (bundler *Bundler) adopt(record Record, renewal Renewal, now time.Time) ([]Event, error) {
 	current := bundler.current
 	if current != nil && renewal.Offset == current.offset {
@@ -277,7 +289,7 @@
 		return nil, eris.Errorf("version %d is not above version %d, which is in force", record.Version, current.record.Version)
 	}
 	if record.replacedOffset() >= renewal.Offset || record.Renewal != nil {
-		return nil, eris.New("the record contradicts its offset")
+		return nil, eris.New("the record is inconsistent with its offset")
 	}
 	bundle, err := bundler.open(record)
 	if err != nil {
@@ -289,7 +301,7 @@
 	return append(events, bundler.applyPending(now)...), nil
 }
 
-// extendThrough notes that nothing up to through replaced the current bundle.
+// extendThrough records that no record up to through replaced the current bundle.
 func (bundler *Bundler) extendThrough(through int64, now time.Time) []Event {
 	if through <= bundler.through {
 		return nil
@@ -298,7 +310,7 @@
 	return bundler.applyPending(now)
 }
 
-// applyPending decides the waiting records once nothing is missing between through and them.
+// applyPending applies the pending records if no record is missing between through and them.
 func (bundler *Bundler) applyPending(now time.Time) []Event {
 	if !bundler.contiguous() {
 		return nil
@@ -311,12 +323,13 @@
 	}
 	bundler.pending, bundler.pendingBytes = nil, 0
 	bundler.through = max(bundler.through, bundler.next-1)
-	// Entries up to through are known not to matter, so they need not be read.
+	// Entries up to through did not replace the bundle, so they need not be read.
 	bundler.next = bundler.through + 1
 	return events
 }
 
-// addPending keeps the record until the chain is connected; of too many, the oldest are dropped as if the log had been trimmed.
+// addPending keeps the record until the gap before it is closed. Above maxPendingBytes, the oldest records are dropped
+// as if they had been trimmed from the log.
 func (bundler *Bundler) addPending(offset int64, record Record) {
 	bundler.pending = append(bundler.pending, pendingRecord{offset: offset, record: record})
 	bundler.pendingBytes += len(record.Text)
--- a/bundler/composer.go
+++ b/bundler/composer.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 )
 
-// Composer joins the common part with the part of one failure domain. At the target scale a bundle has 2.3 MB and
-// changes 9,500 times a day, so that an instance reads the targets of its own failure domain only.
+// Composer combines the common part with the part of one failure domain. At the target scale a bundle has 2.3 MB and
+// changes 9,500 times a day, so an instance reads only the targets of its own failure domain.
 type Composer struct {
 	domain string
 	common *Bundler
@@ -19,24 +19,25 @@
 	composed atomic.Pointer[Bundle]
 
 	mu sync.Mutex
-	// composedCommon and partUsed are the snapshots in composed.
+	// composedCommon and composedPart are the snapshots that composed was built from.
 	composedCommon, composedPart *Snapshot
 }
 
-// NewComposer returns a composer for an instance in a failure domain that accepts signatures by keys.
+// NewComposer returns a composer for an instance in failureDomain that accepts signatures by keys.
 func NewComposer(keys Keys, failureDomain string) *Composer {
 	return &Composer{domain: failureDomain, common: New(keys), part: NewPart(keys, failureDomain)}
 }
 
-// Bundlers returns the bundlers to feed, each from its own stream and by offers of peers that have the same part.
+// Bundlers returns the bundlers of the common part and of the failure domain's part. The caller passes each the pages
+// of its stream and the offers of peers that have the same part.
 func (composer *Composer) Bundlers() []*Bundler { return []*Bundler{composer.common, composer.part} }
 
-// Bundle returns the bundle in force, or nil if none is proved; it never blocks.
+// Bundle returns the bundle in force, or nil if there is none yet. It never blocks.
 func (composer *Composer) Bundle() *Bundle { return composer.composed.Load() }
 
-// Compose takes over what the bundlers have in force, and calls changed with a new bundle in force; calls do not
-// overlap, so that none brings an older bundle. While the common part says that the failure domain is split and its own
-// part is missing, the bundle before stays: a bundle without targets would refuse every job.
+// Compose combines the bundles that the bundlers have in force and calls changed if the result is new. Calls of changed
+// do not overlap, so a later call never passes an older bundle. While the common part says that the failure domain is
+// split but its part is missing, the previous bundle stays in force: a bundle without targets would refuse every job.
 func (composer *Composer) Compose(changed func(*Bundle)) {
 	composer.mu.Lock()
 	defer composer.mu.Unlock()
@@ -60,7 +61,7 @@
 	changed(bundle)
 }
 
-// Compose returns the common bundle with the targets of parts added.
+// Compose returns a copy of the common bundle with the targets of parts added.
 func Compose(common *Bundle, parts ...*Bundle) *Bundle {
 	composed := *common
 	composed.targets = slices.Clone(common.targets)
@@ -80,8 +81,8 @@
 
 func (bundle *Bundle) isComposed() bool { return bundle.partVersion > 0 }
 
-// LintPart returns what is doubtful about a part under the common bundle in force; no finding keeps it from being in
-// force, because a reader of one stream cannot know the other.
+// LintPart checks a part against the common bundle in force and returns warnings only: whether a part comes into force
+// cannot depend on the common bundle, because the records of one stream are applied without reading the other.
 func LintPart(part, common *Bundle) []Finding {
 	linter := &linter{bundle: part}
 	if !common.domains[part.part].split {
@@ -102,7 +103,8 @@
 	return linter.findings
 }
 
-// LintParts returns what would break if common replaced inForce while parts, by failure domain, are in force.
+// LintParts returns the findings on common as a replacement of inForce while parts, keyed by failure domain, are in
+// force.
 func LintParts(common, inForce *Bundle, parts map[string]*Bundle) []Finding {
 	var present []*Bundle
 	var findings []Finding
@@ -119,7 +121,7 @@
 	if len(findings) > 0 || len(present) == 0 {
 		return append(findings, Lint(common, inForce)...)
 	}
-	// Targets of a split failure domain in the common part show only before composing, missing ones only after it.
+	// Targets that wrongly remain in the common part are found only before composing, and missing targets only after it.
 	findings = Lint(common, inForce)
 	for _, finding := range Lint(Compose(common, present...), inForce) {
 		if !slices.Contains(findings, finding) {
--- a/bundler/composer_test.go
+++ b/bundler/composer_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// splitText returns a common bundle whose failure domain hanoi-a is split.
+// splitText returns the text of a common part whose failure domain hanoi-a is split.
 func splitText(version int64) string {
 	text := strings.ReplaceAll(bundleText(version, "split"), "[failure-domain hanoi-a]", "[failure-domain hanoi-a]\nsplit = true")
 	before, rest, _ := strings.Cut(text, "[target")
@@ -16,13 +16,14 @@
 	return before + "[kind" + after
 }
 
+// partText returns the text of a failure domain's part with one target.
 func partText(version int64, domain, target string) string {
 	return fmt.Sprintf("[bundle]\nversion = %d\npart = %s\n[retention]\nlog-seconds = 60\n[target %s]\nfailure-domain = %s\nservice = loops\naddress = 127.0.0.1:9\nslots = 8\n",
 		version, domain, target, domain)
 }
 
-// Guards against an instance that serves without targets while its part is missing, that takes the part of another
-// failure domain, or that goes back to an older combination.
+// Guards against a composer that puts a bundle without targets in force while the part is missing, uses the part of
+// another failure domain, or returns to an older combination of common part and part.
 func TestComposer(t *testing.T) {
 	is := is.New(t)
 	composer := NewComposer(testKeys, "hanoi-a")
@@ -40,21 +41,21 @@
 	}
 	is.Equal(compose(), "")
 	common.ApplyPage(page(0, v1), start)
-	is.Equal(compose(), "1/0 runner-1") // an unsplit bundle needs no part
+	is.Equal(compose(), "1/0 runner-1") // without a split, no part is needed
 	common.ApplyPage(page(1, signed(splitText(2), 0)), start)
-	is.Equal(compose(), "1/0 runner-1") // the bundle before stays until the part is there
+	is.Equal(compose(), "1/0 runner-1") // the previous bundle stays in force until the part is read
 	part.ApplyPage(page(0, signed(partText(5, "srt", "foreign"), noOffset), signed(partText(1, "hanoi-a", "w-1"), noOffset)), start)
 	is.Equal(compose(), "2/1 w-1")
 	part.ApplyPage(page(2, signed(partText(2, "hanoi-a", "w-2"), 1)), start)
 	is.Equal(compose(), "2/2 w-2")
 	_, err := common.HandleOffer(Offer{Record: signed(partText(9, "hanoi-a", "w-9"), noOffset), Offset: 50, Through: 50}, start)
-	is.True(err != nil) // a part does not count as a common bundle
+	is.True(err != nil) // a part is not accepted as the common part
 	is.Equal(compose(), "2/2 w-2")
 	common.ApplyPage(page(2, signed(bundleText(3, "joined"), 1)), start)
-	is.Equal(compose(), "3/0 runner-1") // joined again
+	is.Equal(compose(), "3/0 runner-1") // no longer split
 }
 
-// Guards against a split that leaves a failure domain without targets, and against parts that hold anything else.
+// Guards against a split that leaves a failure domain without targets, and against parts that hold more than targets.
 func TestLintParts(t *testing.T) {
 	is := is.New(t)
 	common, part := mustParse(t, splitText(2)), mustParse(t, partText(1, "hanoi-a", "w-1"))
@@ -67,7 +68,7 @@
 	other := mustParse(t, strings.ReplaceAll(partText(1, "hanoi-a", "w-1"), "loops", "quotes"))
 	findings := LintParts(common, nil, map[string]*Bundle{"hanoi-a": other})
 	is.True(len(findings) == 1 && strings.Contains(findings[0].String(), `error: [kind loop-check] service: "loops" has no target`))
-	is.Equal(len(LintPart(other, mustParse(t, bundleText(1, "")))), 2) // not split yet, and no target for the kind
+	is.Equal(len(LintPart(other, mustParse(t, bundleText(1, "")))), 2) // the failure domain is not split yet, and the kind has no target
 	inside := mustParse(t, strings.ReplaceAll(bundleText(1, ""), "[failure-domain hanoi-a]", "[failure-domain hanoi-a]\nsplit = true"))
 	is.True(strings.Contains(fmt.Sprint(Lint(inside, nil)), "is split, so its targets belong in its own part"))
 	foreign := mustParse(t, strings.ReplaceAll(partText(1, "hanoi-a", "w-1"), "part = hanoi-a", "part = srt"))
--- a/bundler/diff.go
+++ b/bundler/diff.go
@@ -9,10 +9,11 @@
 	"github.com/hyssoplift/hyssoplift/placer"
 )
 
-// field is one value of a section, as an operator reads it.
+// field is one value of a section as printed for an operator.
 type field struct{ name, value string }
 
-// Diff returns the changes from before to after, one line each, ordered by section; before may be nil.
+// Diff returns the changes from before to after, one per line, ordered by section. A nil before is treated as an empty
+// bundle.
 func Diff(before, after *Bundle) []string {
 	if before == nil {
 		before = newParser().bundle
@@ -55,7 +56,7 @@
 	return lines
 }
 
-// diffTargets merges two sorted lists, so that unchanged targets cost no allocation.
+// diffTargets compares two sorted lists in one pass, so that unchanged targets cause no allocation.
 func diffTargets(before, after []Target) []string {
 	var lines []string
 	for len(before) > 0 || len(after) > 0 {
@@ -79,7 +80,7 @@
 func addedLine(class, name string, fields []field) string {
 	var parts []string
 	for _, field := range fields {
-		// Runners have no rack and no size.
+		// Runners have no rack and no resources.
 		if field.value != "" && field.value != "0" {
 			parts = append(parts, field.name+" "+field.value)
 		}
--- a/bundler/doc.go
+++ b/bundler/doc.go
@@ -1,11 +1,13 @@
-// Package bundler defines the configuration bundle: its INI format, its checks
-// and which published bundle is in force; it performs no I/O.
+// Package bundler parses, checks and signs configuration bundles, and decides which of the published bundles is in
+// force. It performs no I/O.
 //
-// A bundle in force is known by the offset of its record and by an offset through, up to which no record replaced it.
-// A reader that has every later record can go on from there; one that misses some waits for a renewal or a peer,
-// which carry a later through. Without it, a reader of a trimmed log could not tell a winner from a loser that outlived
-// the winner.
+// The bundle in force is identified by the offset of its record. A second offset, through, states that no record up to
+// it replaced the bundle. A reader that has every record after through can continue from there. A reader that misses
+// some of them waits for a renewal in the log or for a peer, which carry a later through. Without through, a reader of
+// a trimmed log could not tell whether a record that it still finds came into force or lost against a record that has
+// been trimmed.
 //
-// A large bundle is split: the common part is published on one stream and the targets of each failure domain on
-// another, each with its own versions, signatures and renewals. An instance reads the common part and its own.
+// A large bundle can be split: the common part is published on one stream and the targets of each split failure domain
+// on a stream of their own. Each stream has its own versions, signatures and renewals. An instance reads the common
+// part and the part of its own failure domain.
 package bundler
--- a/bundler/event.go
+++ b/bundler/event.go
@@ -6,27 +6,28 @@
 	"github.com/rotisserie/eris"
 )
 
-// Decision is what became of a record.
+// Decision is the effect of a record on the bundle in force.
 type Decision string
 
-// Verdicts on a record.
+// The decisions on a record.
 const (
-	// DecisionInForce means that the record replaced the bundle in force.
+	// DecisionInForce means that the record's bundle came into force.
 	DecisionInForce Decision = "in force"
-	// DecisionRenewal means that the record repeats the bundle in force.
+	// DecisionRenewal means that the record renewed the bundle in force.
 	DecisionRenewal Decision = "renewal"
-	// DecisionWaiting means that trimmed records must be accounted for first.
+	// DecisionWaiting means that the record is pending: records before it have been trimmed, and a renewal or a peer must
+	// first show whether one of them came into force.
 	DecisionWaiting Decision = "waiting"
 	// DecisionIgnored means that the record has no effect.
 	DecisionIgnored Decision = "ignored"
 )
 
-// Event is the verdict on the record at one offset.
+// Event is the decision on the record at an offset.
 type Event struct {
 	Offset   int64
 	Decision Decision
 	Record   Record
-	// Reason says why a record is ignored.
+	// Reason says why the record is ignored; otherwise it is empty.
 	Reason string
 }
 
@@ -40,7 +41,7 @@
 	return line
 }
 
-// signerName returns name, or a word for the missing signer of a record that could not be decoded.
+// signerName returns name, or a placeholder if the record could not be decoded and has no signer.
 func signerName(name string) string {
 	if name == "" {
 		return "nobody"
--- a/bundler/fold_test.go
+++ b/bundler/fold_test.go
@@ -15,7 +15,7 @@
 	v3      = publishRecord(3, 1, "v3")
 )
 
-// step gives a follower one input and names the bundle that must be in force after it.
+// step is one input to a consumer, and the note of the bundle that must be in force after it.
 type step struct {
 	page  Page
 	offer *Offer
@@ -30,7 +30,7 @@
 	return step{page: page(earliest, records...), want: want}
 }
 
-// partialPageStep is a page that does not reach the end of the log.
+// partialPageStep returns a step with a page that does not reach the end of the log.
 func partialPageStep(want string, earliest, next int64, records ...Record) step {
 	step := pageStep(want, earliest, records...)
 	step.page.Next = next
@@ -47,6 +47,7 @@
 	return record
 }
 
+// recordStep returns a step with one record that must leave v1 in force.
 func recordStep(offset int64, record Record) step {
 	return rawRecordStep("v1", offset, string(encode(record)))
 }
@@ -127,6 +128,7 @@
 	return step
 }
 
+// runSteps runs steps until one fails. It returns the index of that step and the bundle in force, or -1.
 func runSteps(consumer consumer, steps []step) (int, string) {
 	for i, step := range steps {
 		if step.offer != nil {
@@ -148,7 +150,8 @@
 	return -1, ""
 }
 
-// Guards against a bundle in force that no chain of records, renewal or peer proves; the naive version fails each case.
+// Guards against a bundle that is in force although neither the records of the log nor a renewal or a peer confirm it.
+// The naive consumer must fail every case.
 func TestInForce(t *testing.T) {
 	for _, test := range inForceCases {
 		t.Run(test.name, func(t *testing.T) {
@@ -156,13 +159,13 @@
 				t.Errorf("step %d: got %q, want %q", i, got, test.steps[i].want)
 			}
 			if i, _ := runSteps(&naive{}, test.steps); i < 0 {
-				t.Error("the naive version passes, so the case shows nothing")
+				t.Error("the naive consumer passes, so the case tests nothing")
 			}
 		})
 	}
 }
 
-// Guards against an operator who is not told, or is told wrongly, which version won a race.
+// Guards against a publication that reports no outcome or the wrong one when two operators publish at the same time.
 func TestPublicationRace(t *testing.T) {
 	is := is.New(t)
 	bundler := New(testKeys)
@@ -172,17 +175,17 @@
 	loser, err := bundler.Publish(v2Loser)
 	is.NoErr(err)
 	_, ok := winner.Observe(nil)
-	is.True(!ok) // nothing read yet
+	is.True(!ok) // no events yet
 	events := bundler.ApplyPage(Page{Next: 3, Entries: []Entry{{Offset: 1, Data: winner.Data()}, {Offset: 2, Data: loser.Data()}}}, start)
 	published, _ := winner.Observe(events)
 	is.Equal(published, Published{offset: 1})
 	conflict, _ := loser.Observe(events)
 	is.Equal(conflict, Conflict{offset: 1, version: 2, author: "linh"})
 	_, err = bundler.Publish(v2Loser)
-	is.True(err != nil && strings.Contains(err.Error(), "2 is not above 2, the version in force")) // the loser must be rebased
+	is.True(err != nil && strings.Contains(err.Error(), "2 is not above 2, the version in force")) // the losing version must be rebased
 }
 
-// Guards against a request that sees two bundles because a switch changes the one that it holds.
+// Guards against a request that sees two bundles because a new bundle in force changes the snapshot that it holds.
 func TestSnapshotOutlivesSwitch(t *testing.T) {
 	is := is.New(t)
 	bundler := New(testKeys)
@@ -196,7 +199,8 @@
 	is.Equal(bundler.Snapshot().Bundle().Version(), int64(2))
 }
 
-// Guards against windows in which no instance renews, all do, or the first one's death prevents a renewal.
+// Guards against time windows in which no instance renews, all instances renew, or the bundle is not renewed because the
+// first instance failed.
 func TestRenewalTurns(t *testing.T) {
 	is := is.New(t)
 	names := []string{"a", "b", "c", "d", "e", "f"}
@@ -217,12 +221,12 @@
 					}
 				}
 			}
-			is.True(count >= due) // a turn once come stays until a renewal is read
+			is.True(count >= due) // once due, an instance stays due until it reads a renewal
 			due = count
 		}
-		is.Equal(due, len(names)) // every instance would take over in time
+		is.Equal(due, len(names)) // every instance would take over within the window
 		bundler.ApplyPage(page(1, renewal(v1, 0, 0)), windowStart.Add(time.Second))
-		is.True(!bundler.RenewalDue(windowStart.Add(windowLength-1), "ahd", "a")) // the renewal serves the window
+		is.True(!bundler.RenewalDue(windowStart.Add(windowLength-1), "ahd", "a")) // one renewal is enough for the window
 	}
-	is.Equal(len(first), len(names)) // the work is shared
+	is.Equal(len(first), len(names)) // each instance was first in some window
 }
--- a/bundler/keys.go
+++ b/bundler/keys.go
@@ -8,22 +8,22 @@
 	"github.com/rotisserie/eris"
 )
 
-// Role is the part that a signer has in a bundle. The role is signed along with the text, so that an author's
-// signature cannot be presented as an approval.
+// Role is the role in which an operator signs a bundle. The role is signed together with the text, so that an author's
+// signature cannot be used as an approval.
 type Role string
 
-// Roles of a signer.
+// The roles of a signer.
 const (
 	// RoleAuthor is the operator who wrote the bundle.
 	RoleAuthor Role = "author"
-	// RoleApprover is the operator who checked it, and is not its author.
+	// RoleApprover is the operator who approved the bundle. It must not be the author.
 	RoleApprover Role = "approver"
 )
 
-// Keys are the public keys of the operators who may sign bundles.
+// Keys holds the public keys of the operators who may sign bundles.
 type Keys struct{ keys map[string]ed25519.PublicKey }
 
-// ParseKeys returns the keys in text, written as NAME:BASE64,NAME:BASE64; names and keys must not repeat.
+// ParseKeys parses keys of the form NAME:BASE64,NAME:BASE64. Neither a name nor a key may repeat.
 func ParseKeys(text string) (Keys, error) {
 	keys := Keys{keys: make(map[string]ed25519.PublicKey)}
 	owners := make(map[string]string)
@@ -36,7 +36,7 @@
 		if _, ok := keys.keys[name]; ok {
 			return Keys{}, eris.Errorf("name %q is given twice", name)
 		}
-		// Under two names, one operator could both write and approve a bundle.
+		// With two names for one key, a single operator could both write and approve a bundle.
 		if owner, ok := owners[string(key)]; ok {
 			return Keys{}, eris.Errorf("%q and %q have the same key", owner, name)
 		}
@@ -46,7 +46,7 @@
 	return keys, nil
 }
 
-// FormatKey returns the public key of name as ParseKeys reads it.
+// FormatKey returns the public key of name in the form that ParseKeys accepts.
 func FormatKey(name string, key ed25519.PublicKey) string {
 	return name + ":" + base64.StdEncoding.EncodeToString(key)
 }
@@ -56,7 +56,7 @@
 	return ed25519.Sign(key, signedBytes(role, text))
 }
 
-// Verify returns an error unless signature is that of name over text in the given role.
+// Verify returns an error unless signature is the signature of text by name in the given role.
 func (keys Keys) Verify(name string, role Role, text string, signature []byte) error {
 	key, ok := keys.keys[name]
 	if !ok {
@@ -78,10 +78,11 @@
 	key  ed25519.PrivateKey
 }
 
-// NewSigner returns the signer called name in the setting bundle-keys.
+// NewSigner returns a signer. The setting bundle-keys must list its public key under name.
 func NewSigner(name string, key ed25519.PrivateKey) Signer { return Signer{name: name, key: key} }
 
-// SignAsAuthor returns a record of text that still needs an approver, or an error if the text does not parse.
+// SignAsAuthor returns a record of text, signed by the author but not yet approved. It returns an error if the text
+// does not parse.
 func (signer Signer) SignAsAuthor(text string) (Record, error) {
 	bundle, err := parseText(text)
 	if err != nil {
@@ -91,7 +92,7 @@
 	return Record{Version: bundle.version, Author: signer.name, Signatures: Signatures{Author: signature}, Text: text}, nil
 }
 
-// Approve returns the record with the signer's approval, or an error unless keys prove author and approver.
+// Approve returns the record with the signer's approval. It returns an error unless both signatures match keys.
 func (signer Signer) Approve(record Record, keys Keys) (Record, error) {
 	record.Approver = signer.name
 	record.Signatures.Approver = Sign(signer.key, RoleApprover, record.Text)
--- a/bundler/lint.go
+++ b/bundler/lint.go
@@ -12,34 +12,35 @@
 	"github.com/hyssoplift/hyssoplift/placer"
 )
 
-// maxPolicyWeight is the largest policy weight, a percentage.
+// maxPolicyWeight is the largest weight in a policy, in percent.
 const maxPolicyWeight = 100
 
-// Severity says whether a finding keeps a bundle from being in force.
+// Severity says whether a finding keeps a bundle from coming into force.
 type Severity string
 
-// Severities of a finding.
+// The severities of a finding.
 const (
-	// SeverityError marks a bundle that would break; no instance takes it. Every reader applies the same errors to the
-	// same chain of records, so a release that adds or drops one must reach all instances before a bundle relies on it.
+	// SeverityError marks a bundle that would not work; no instance puts it in force. All readers must apply the same
+	// errors to the same records, so a release that adds or removes one must run on all instances before a bundle relies
+	// on it.
 	SeverityError Severity = "error"
 	// SeverityWarning marks something that is probably a mistake.
 	SeverityWarning Severity = "warning"
 )
 
-// Finding is one thing that lint found.
+// Finding is an error or a warning about a bundle.
 type Finding struct {
 	severity Severity
 	text     string
 }
 
-// Severity returns whether the finding keeps the bundle from being in force.
+// Severity says whether the finding keeps the bundle from coming into force.
 func (finding Finding) Severity() Severity { return finding.severity }
 
 // String returns the finding as one line for an operator.
 func (finding Finding) String() string { return string(finding.severity) + ": " + finding.text }
 
-// linter collects the findings of one bundle.
+// linter collects the findings on one bundle.
 type linter struct {
 	bundle   *Bundle
 	findings []Finding
@@ -53,7 +54,7 @@
 	linter.findings = append(linter.findings, Finding{severity: SeverityWarning, text: fmt.Sprintf(format, args...)})
 }
 
-// Lint returns what would break or is doubtful if bundle replaced inForce, which may be nil; errors come first.
+// Lint returns the findings on bundle as a replacement of inForce, which may be nil. Errors come first.
 func Lint(bundle, inForce *Bundle) []Finding {
 	linter := &linter{bundle: bundle}
 	if bundle.part != "" {
@@ -87,7 +88,7 @@
 	linter.fail("every failure domain is leaving: no new key would have a home")
 }
 
-// checkTargets finds targets that no instance could use.
+// checkTargets reports targets that no instance could use.
 func (linter *linter) checkTargets() {
 	for _, target := range linter.bundle.targets {
 		domain, ok := linter.bundle.domains[target.failureDomain]
@@ -123,7 +124,7 @@
 	linter.checkSlots()
 }
 
-// targetsUnknown reports whether the failure domain's targets are in a part that is not at hand.
+// targetsUnknown reports whether the failure domain's targets are in a part that has not been added to the bundle.
 func (linter *linter) targetsUnknown(domain FailureDomain) bool {
 	return domain.split && !linter.bundle.isComposed()
 }
@@ -132,7 +133,8 @@
 	return slices.ContainsFunc(slices.Collect(maps.Values(linter.bundle.domains)), linter.targetsUnknown)
 }
 
-// checkKinds finds kinds without a target. Of split failure domains, only a composed bundle shows the targets.
+// checkKinds reports kinds without a target. It skips split failure domains unless the bundle is composed, because only
+// then are their targets known.
 func (linter *linter) checkKinds() {
 	type domainService struct{ domain, service string }
 	served := make(map[domainService]bool)
@@ -160,7 +162,8 @@
 	}
 }
 
-// checkResources finds kinds whose declared size no worker has: every job of such a kind would be refused.
+// checkResources reports kinds whose declared resources exceed those of every worker: all jobs of such a kind would be
+// refused.
 func (linter *linter) checkResources() {
 	if linter.anyTargetsUnknown() {
 		return
@@ -234,7 +237,7 @@
 	}
 }
 
-// checkRemovedDomains finds failure domains that the bundle in force still gives new keys to.
+// checkRemovedDomains reports removed failure domains that get new keys under the bundle in force.
 func (linter *linter) checkRemovedDomains(inForce *Bundle) {
 	if inForce == nil {
 		return
@@ -246,7 +249,7 @@
 	}
 }
 
-// lintError returns an error that names everything that keeps bundle from replacing inForce.
+// lintError returns an error with the text of every error that lint finds in bundle as a replacement of inForce, or nil.
 func lintError(bundle, inForce *Bundle) error {
 	var problems []string
 	for _, finding := range Lint(bundle, inForce) {
--- a/bundler/parse.go
+++ b/bundler/parse.go
@@ -14,7 +14,7 @@
 	"github.com/hyssoplift/hyssoplift/placer"
 )
 
-// Bounds of bundle values. Lint applies narrower ones where a value parses but cannot be served.
+// Limits on values in a bundle. Lint applies narrower limits to values that parse but cannot work.
 const (
 	maxSlots        = 4096
 	maxMilliCores   = 10_000_000
@@ -23,30 +23,32 @@
 	maxInFlight     = 1_000_000
 	maxRunMS        = 600_000
 	maxWeight       = 1_000_000
-	// minRetentionSeconds leaves 7.5 s between two renewals, enough for a slow log.
+	// minRetentionSeconds results in 7.5 s between two renewals, which is enough for a slow log.
 	minRetentionSeconds = 60
 	maxRetentionSeconds = 30 * 24 * 3600
-	// maxVersion is the largest whole number that every JSON reader keeps exact.
+	// maxVersion is the largest integer up to which every JSON reader represents all integers exactly.
 	maxVersion = 1 << 53
 )
 
-// Values of settings that a bundle leaves out.
+// Defaults of values that a bundle omits.
 const (
 	defaultRunMS      = 200
 	defaultWeight     = 50
 	defaultLogSeconds = 7 * 24 * 3600
 )
 
-// required as a fallback makes a number mandatory.
+// required is passed instead of a default to make a number mandatory.
 const required = -1
 
-// reader reads the keys of one section and keeps the first fault.
+// reader reads the values of one section and keeps the first error.
 type reader struct {
 	section *section
-	used    int
-	err     error
+	// used is the number of keys that have been looked up.
+	used int
+	err  error
 }
 
+// fail records an error about key unless an earlier one is recorded.
 func (reader *reader) fail(key, format string, args ...any) {
 	if reader.err == nil {
 		reader.err = eris.Errorf("line %d: %s %s: %s",
@@ -117,6 +119,7 @@
 	return reader.choice(key, fallback, "true", "false") == "true"
 }
 
+// close returns the first error of the section. A key that is not in known is an error.
 func (reader *reader) close(known ...string) error {
 	if reader.err != nil || reader.used == len(reader.section.keys) {
 		return reader.err
@@ -129,10 +132,10 @@
 	return reader.err
 }
 
-// Parse returns the bundle in text, or an error that names the line, section, key and value at fault.
+// Parse parses a bundle. The error names the line, section, key and value that are invalid.
 func Parse(text []byte) (*Bundle, error) { return parseText(string(text)) }
 
-// parseText returns a bundle whose names and addresses are substrings of text.
+// parseText is like Parse. The names and addresses in the bundle share the memory of text.
 func parseText(text string) (*Bundle, error) {
 	parser := newParser()
 	if err := scanSections(text, parser.add); err != nil {
@@ -141,10 +144,10 @@
 	return parser.close()
 }
 
-// parser collects the sections of one bundle.
+// parser builds a bundle from its sections.
 type parser struct {
 	bundle *Bundle
-	// seen holds the classes of sections that occur once.
+	// seen holds the classes of the unnamed sections read so far, each of which may occur once.
 	seen map[string]bool
 }
 
@@ -222,6 +225,7 @@
 	return eris.Errorf("line %d: %s: is not a known section", reader.section.line, reader.section.title())
 }
 
+// setOnce stores value under name. A name may not repeat, because an operator could not see which section applies.
 func setOnce[V any](reader *reader, values map[string]V, name string, value V) {
 	if _, ok := values[name]; ok {
 		reader.fail("section", "is given twice")
@@ -245,7 +249,7 @@
 	return target
 }
 
-// readResources returns the size of a worker or of a task on a worker; runners have none.
+// readResources returns the resources of a worker or of a task on a worker; runners have none.
 func readResources(reader *reader) placer.Resources {
 	return placer.Resources{
 		MilliCores:   reader.number("milli-cores", 0, 0, maxMilliCores),
@@ -280,6 +284,7 @@
 	return nil
 }
 
+// close completes the bundle after the last section.
 func (parser *parser) close() (*Bundle, error) {
 	bundle := parser.bundle
 	if bundle.version == 0 {
--- a/bundler/parse_test.go
+++ b/bundler/parse_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-// Guards against values that are lost or misread, and defaults that change unnoticed.
+// Guards against values that are dropped or misread, and against unintended changes of defaults.
 func TestParse(t *testing.T) {
 	is := is.New(t)
 	bundle := mustParse(t, bundleText(7, "all sections", `
@@ -38,8 +38,8 @@
 	is.Equal(bundle.Retention(), Retention{time.Minute})
 }
 
-// Guards against bundles that come into force although a value is misspelt, repeated or out of bounds, and against
-// messages that do not name the place.
+// Guards against a parser that accepts unknown, repeated or out-of-range values, and against errors that do not name the
+// line and key.
 func TestParseErrors(t *testing.T) {
 	tests := []struct{ text, want string }{
 		{"", "[bundle] version: is missing"},
@@ -71,11 +71,11 @@
 	}
 }
 
-// workers is a service whose only worker has 32 cores and 128 GB.
+// workers is a service with one worker, which has 32 cores and 128 GB of memory.
 const workers = "[service plans]\nprotocol = worker\n[target worker-1]\nfailure-domain = hanoi-a\nservice = plans\n" +
 	"address = 127.0.0.1:3\nslots = 32\nrack = rack-1\nmilli-cores = 32000\nmemory-mb = 131072"
 
-// Guards against bundles that parse but would break, and against lint that stops sound ones.
+// Guards against bundles that parse but would not work, and against findings on valid bundles.
 func TestLint(t *testing.T) {
 	twoDomains := bundleText(1, "two", "[failure-domain srt]")
 	tests := []struct {
@@ -119,7 +119,7 @@
 	}
 }
 
-// Guards against a change that the approver does not see.
+// Guards against a change that is missing from the diff that the approver reads.
 func TestDiff(t *testing.T) {
 	is := is.New(t)
 	before := mustParse(t, bundleText(1, "", "[service old]", "[target a]\nfailure-domain = hanoi-a\nservice = loops\naddress = 127.0.0.1:2\nslots = 1"))
@@ -138,10 +138,10 @@
 		"target runner-1: slots from 8 to 9",
 	})
 	is.Equal(Diff(before, before), nil)
-	is.Equal(len(Diff(nil, before)), 10) // everything is new
+	is.Equal(len(Diff(nil, before)), 10) // all sections are new
 }
 
-// Guards against a parser that stops the process, or reads a bundle that diff and lint cannot handle.
+// Guards against a parser that panics, or that accepts a bundle on which Diff or Lint fails.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(bundleText(1, "seed", "[failure-domain srt]\nleaving = true", "[service x]\nprotocol = worker", "[policy]\nresponse-time-weight = 3")))
 	f.Add([]byte("[bundle]\r\nversion = 1\r\n[failure-domain a]\r\n; comment"))
@@ -158,7 +158,8 @@
 	})
 }
 
-// Guards against a decoder that stops the process or takes a record that its encoder would not write again.
+// Guards against a decoder that panics or accepts a record that does not survive encoding, and against a bundle in force
+// that nobody signed.
 func FuzzDecodeRecord(f *testing.F) {
 	f.Add(encode(v2))
 	f.Add(encode(renewal(v2, 1, 4)))
@@ -182,7 +183,7 @@
 	})
 }
 
-// Guards against an operator's page that shows a bundle which no longer parses.
+// Guards against an example in the operators' documentation that no longer parses or has lint findings.
 func TestOperatorsPage(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("..", "docs", "operators.md"))
 	if err != nil {
--- a/bundler/publication.go
+++ b/bundler/publication.go
@@ -6,19 +6,19 @@
 	"github.com/rotisserie/eris"
 )
 
-// Publication is one attempt to replace the bundle in force.
+// Publication is an attempt to replace the bundle in force.
 type Publication struct {
 	record Record
 	data   []byte
 }
 
-// Outcome is what became of a publication: Won or Beaten.
+// Outcome is the outcome of a publication: Published or Conflict.
 type Outcome interface{ isOutcome() }
 
-// Published means that the published bundle came into force at an offset.
+// Published means that the bundle came into force.
 type Published struct{ offset int64 }
 
-// Conflict means that another bundle replaced the one that the publication wanted to replace.
+// Conflict means that another bundle replaced the one that the publication was to replace.
 type Conflict struct {
 	offset  int64
 	version int64
@@ -28,16 +28,16 @@
 func (Published) isOutcome() {}
 func (Conflict) isOutcome()  {}
 
-// Offset returns the offset of the bundle in force.
+// Offset returns the offset at which the bundle was published.
 func (published Published) Offset() int64 { return published.offset }
 
-// String returns which version won, for an operator.
+// String describes the bundle that came into force instead, for an operator.
 func (conflict Conflict) String() string {
 	return fmt.Sprintf("version %d by %s at offset %d came first", conflict.version, conflict.author, conflict.offset)
 }
 
-// Publish checks a signed record against the bundle in force and returns the publication that replaces it; the
-// error names everything that keeps it from being in force. The bundler must have read to the end of the log.
+// Publish checks a signed record against the bundle in force and returns a publication that replaces that bundle. If the
+// record cannot come into force, the error lists all reasons. The bundler must have read up to the end of the log.
 func (bundler *Bundler) Publish(record Record) (*Publication, error) {
 	bundler.mu.Lock()
 	defer bundler.mu.Unlock()
@@ -63,11 +63,11 @@
 	return publication, err
 }
 
-// Data returns the record to append.
+// Data returns the encoded record to append to the log.
 func (publication *Publication) Data() []byte { return publication.data }
 
-// Observe returns the outcome if events, all that followed the call of Publish, decide it. It recognizes the publication by text and signers, so the answer to
-// the append is not needed.
+// Observe returns the outcome if it follows from events, which must be all events since the call of Publish. It
+// recognizes the publication by its text and signers, so the log's response to the append is not needed.
 func (publication *Publication) Observe(events []Event) (Outcome, bool) {
 	for _, event := range events {
 		if event.Decision != DecisionInForce {
--- a/bundler/record.go
+++ b/bundler/record.go
@@ -7,10 +7,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// Stream is the stream of the log that common bundles are published on.
+// Stream is the stream of the log on which the common part is published.
 const Stream = "bundles"
 
-// PartStream returns the stream of the part of a split failure domain; an empty name means the common part.
+// PartStream returns the stream of the part of a split failure domain, or that of the common part for an empty name.
 func PartStream(failureDomain string) string {
 	if failureDomain == "" {
 		return Stream
@@ -18,33 +18,33 @@
 	return Stream + "-" + failureDomain
 }
 
-// MaxRecordBytes bounds an encoded record; the log client reads at most 16 MiB per response, in which the
-// record is base64.
+// MaxRecordBytes limits an encoded record. The log client reads at most 16 MiB per response, which holds the record in
+// base64.
 const MaxRecordBytes = 8 << 20
 
-// Signatures are the two signatures over the text of a bundle.
+// Signatures holds the two signatures of the text of a bundle.
 type Signatures struct {
 	Author   []byte `json:"author"`
 	Approver []byte `json:"approver"`
 }
 
-// Record is a signed bundle as it stands in the log: published, or renewed.
+// Record is a signed bundle as stored in the log, either published or renewed.
 type Record struct {
 	Version int64 `json:"version"`
-	// Replaces is the offset of the bundle that this one replaces, or nil for the first.
+	// Replaces is the offset of the bundle that this one replaces, or nil for the first bundle.
 	Replaces   *int64     `json:"replaces"`
 	Author     string     `json:"author"`
 	Approver   string     `json:"approver"`
 	Signatures Signatures `json:"signatures"`
-	// Renewal is set if the record repeats one that is in force already.
+	// Renewal is set if the record repeats a bundle that is already in force.
 	Renewal *Renewal `json:"renewal,omitempty"`
-	// Text is the signed text, byte by byte.
+	// Text is the exact text that was signed.
 	Text string `json:"text"`
 }
 
-// Renewal says which record is repeated and how far its appender had read.
+// Renewal identifies the repeated record and states up to which offset the instance that renewed it had read.
 type Renewal struct {
-	// Offset is that of the original record.
+	// Offset is the offset of the original record.
 	Offset int64 `json:"offset"`
 	// Through is the last offset up to which no record replaced the original. A reader needs it to tell whether a
 	// trimmed record could have replaced the original.
@@ -65,7 +65,7 @@
 	return bytes.TrimSuffix(buffer.Bytes(), []byte("\n")), nil
 }
 
-// DecodeRecord returns the record in data; a cut or extended one is an error.
+// DecodeRecord decodes data. It returns an error if data is truncated or has trailing bytes.
 func DecodeRecord(data []byte) (Record, error) {
 	var record Record
 	if len(data) > MaxRecordBytes {
@@ -80,12 +80,12 @@
 		return record, eris.New("the bundle record has bytes after its end")
 	}
 	if renewal := record.Renewal; renewal != nil && (renewal.Offset < 0 || renewal.Through < renewal.Offset) {
-		return record, eris.New("the renewal's offsets contradict each other")
+		return record, eris.New("the renewal's offsets are inconsistent")
 	}
 	return record, nil
 }
 
-// Open checks the signatures of the record and returns its bundle.
+// Open verifies the signatures of the record and returns its bundle.
 func (record Record) Open(keys Keys) (*Bundle, error) {
 	if record.Author == record.Approver {
 		return nil, eris.Errorf("author and approver are both %q", record.Author)
@@ -106,7 +106,7 @@
 	return bundle, nil
 }
 
-// replacedOffset returns the offset that the record replaces, or noOffset.
+// replacedOffset returns the offset of the bundle that the record replaces, or noOffset.
 func (record Record) replacedOffset() int64 {
 	if record.Replaces == nil {
 		return noOffset
--- a/bundler/scan.go
+++ b/bundler/scan.go
@@ -7,10 +7,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxKeys bounds the keys of one section, which are searched one by one; no section has more than six.
+// maxKeys limits the keys of one section, which are searched linearly. No section has more than eight known keys.
 const maxKeys = 16
 
-// section is one section of the INI text, with its keys in order.
+// section is one section of the INI text. Its header is [class] or [class name]; keys and values are in text order.
 type section struct {
 	line   int
 	class  string
@@ -19,7 +19,7 @@
 	values []string
 }
 
-// title returns the section's header for messages.
+// title returns the section's header, for messages.
 func (section *section) title() string {
 	if section.name == "" {
 		return "[" + section.class + "]"
@@ -27,8 +27,8 @@
 	return "[" + section.class + " " + section.name + "]"
 }
 
-// scanSections calls visit with each section of text in order. The section is reused between calls. Sections and keys may
-// not repeat: of two equal targets, an operator could not see which one counts.
+// scanSections calls visit for each section of text, in order. The section is reused between calls. A key may not repeat
+// within a section, because an operator could not see which of its values applies.
 func scanSections(text string, visit func(*section) error) error {
 	if !utf8.ValidString(text) {
 		return eris.New("the bundle is not UTF-8")
@@ -56,6 +56,7 @@
 	return flush(current, visit)
 }
 
+// flush calls visit for section, unless no section has been read yet.
 func flush(section *section, visit func(*section) error) error {
 	if section.class == "" {
 		return nil
--- a/bundler/schedule_test.go
+++ b/bundler/schedule_test.go
@@ -9,12 +9,13 @@
 
 const (
 	tickInterval       = 250 * time.Millisecond
-	tickCount          = 2400 // ten minutes of virtual time, ten times the log's retention
+	tickCount          = 2400 // ten minutes of simulated time, ten times the log's retention
 	simulatedRetention = 60 * time.Second
 	inForceBound       = 10 * time.Second
 )
 
-// logRecord is one record of the simulated log; sound is false if it must never come into force.
+// logRecord is one record of the simulated log. If valid is false, it must never come into force; inForce says whether it
+// did according to the reference.
 type logRecord struct {
 	data           []byte
 	record         Record
@@ -24,16 +25,17 @@
 	replacedOffset int64
 }
 
-// instance is one simulated instance.
+// instance is one instance in the simulation. lastOffset is the offset of the bundle that it last had in force.
 type instance struct {
 	domain, name string
 	consumer     consumer
 	lastOffset   int64
-	// reachableSince is since when an up-to-date source can be heard without a break.
+	// reachableSince is the time since which the current bundle has been reachable without interruption, or zero.
 	reachableSince time.Time
 }
 
-// simulation is a log, three failure domains of three instances, and operators that race.
+// simulation runs a log, three instances in each of three failure domains, and three operators that publish
+// concurrently. inForceOffset and inForceSince are the reference for the bundle in force.
 type simulation struct {
 	random        *rand.Rand
 	make          func() consumer
@@ -43,13 +45,14 @@
 	inForceOffset int64
 	inForceSince  time.Time
 	instances     []*instance
-	// logDownUntil, logCut and linksCut hold when a fault ends.
+	// logDownUntil is when the log is available again. logCutUntil and linksCutUntil hold, by failure domain, when its
+	// connections to the log and between its instances are restored.
 	logDownUntil  time.Time
 	logCutUntil   map[string]time.Time
 	linksCutUntil map[string]time.Time
 	violations    []string
 	operators     []*simulatedOperator
-	// accepted counts the bundles that came into force, and beaten the publications whose operators were told of another.
+	// accepted counts the bundles that came into force, and conflicts the publications whose outcome was Conflict.
 	accepted, conflicts int
 }
 
@@ -75,7 +78,8 @@
 	return simulation.now.Add(time.Duration(1+simulation.random.IntN(seconds)) * time.Second)
 }
 
-// append adds a record and keeps the reference: the chain of sound records, by the whole history of the log.
+// append adds a record to the log and updates the reference, which is derived from the whole history of the log: a valid
+// record comes into force if it replaces the bundle in force and has a higher version.
 func (simulation *simulation) append(record Record, data []byte, valid bool) {
 	offset := int64(len(simulation.log))
 	entry := logRecord{data: data, record: record, at: simulation.now, valid: valid, replacedOffset: record.replacedOffset()}
@@ -95,7 +99,8 @@
 	return !simulation.now.Before(simulation.logDownUntil) && !simulation.now.Before(simulation.logCutUntil[instance.domain])
 }
 
-// simulatedOperator is an operator who reads the log, publishes with a delay in which others may win, and reads on.
+// simulatedOperator is an operator who reads the log, prepares a publication, appends it after a delay in which another
+// publication may come first, and reads on until the outcome is known.
 type simulatedOperator struct {
 	bundler     *Bundler
 	publication *Publication
@@ -126,14 +131,14 @@
 			operator.publication = nil
 		} else if !simulation.now.Before(operator.due) {
 			simulation.append(operator.publication.record, operator.publication.Data(), true)
-			if simulation.random.IntN(4) == 0 { // the answer is late, and the operator appends again
+			if simulation.random.IntN(4) == 0 { // the response is late, and the operator appends again
 				simulation.append(operator.publication.record, operator.publication.Data(), true)
 			}
 		}
 	}
 }
 
-// checkOutcome compares what an operator is told with what came into force.
+// checkOutcome compares the outcome that an operator gets with the reference.
 func (simulation *simulation) checkOutcome(publication *Publication, outcome Outcome) {
 	published := false
 	for _, entry := range simulation.log {
@@ -143,11 +148,11 @@
 		simulation.conflicts++
 	}
 	if _, ok := outcome.(Published); ok != published {
-		simulation.violations = append(simulation.violations, fmt.Sprintf("an operator is told %v, but it came into force: %t", outcome, published))
+		simulation.violations = append(simulation.violations, fmt.Sprintf("an operator got the outcome %v, but whether the bundle came into force is %t", outcome, published))
 	}
 }
 
-// appendInvalid appends a record that must not come into force.
+// appendInvalid appends a record that must not come into force: truncated, forged, repeated, or rejected by lint.
 func (simulation *simulation) appendInvalid() {
 	record := publishRecord(1, simulation.inForceOffset, "junk")
 	if simulation.inForceOffset >= 0 {
@@ -160,7 +165,7 @@
 	case 1:
 		record.Text += "# forged\n"
 		simulation.append(record, encode(record), false)
-	case 2: // a loser or an old record is appended again
+	case 2: // an old record is appended again, or one that lost a race
 		if len(simulation.log) > 0 {
 			old := simulation.log[simulation.random.IntN(len(simulation.log))]
 			simulation.append(old.record, old.data, old.valid)
@@ -175,7 +180,7 @@
 	if simulation.chance(1) {
 		simulation.logDownUntil = simulation.randomTimeWithin(25)
 	}
-	if simulation.chance(2) { // ahd stays connected, so that somebody renews
+	if simulation.chance(2) { // ahd stays connected to the log, so that an instance can renew the bundle
 		simulation.logCutUntil[[]string{"srt", "vdr"}[simulation.random.IntN(2)]] = simulation.randomTimeWithin(90)
 	}
 	if simulation.chance(2) {
@@ -212,7 +217,7 @@
 func (simulation *simulation) stepInstance(instance *instance) {
 	if simulation.canReadLog(instance) {
 		page := Page{Earliest: simulation.earliest, Next: int64(len(simulation.log))}
-		// Short pages show a reader in the middle of the log.
+		// Short pages produce readers that have not reached the end of the log.
 		for offset := max(instance.consumer.NextOffset(), simulation.earliest); offset < page.Next && len(page.Entries) < 5; offset++ {
 			page.Entries = append(page.Entries, Entry{Offset: offset, Data: simulation.log[offset].data})
 		}
@@ -257,11 +262,11 @@
 		instance.reachableSince = simulation.now
 	}
 	if latest := simulation.now.Add(-inForceBound); instance.reachableSince.Before(latest) && simulation.inForceSince.Before(latest) && (!ok || offer.Offset != simulation.inForceOffset) {
-		simulation.addViolation(instance, "offset %d is not in force %s after it could be heard", simulation.inForceOffset, inForceBound)
+		simulation.addViolation(instance, "offset %d is not in force %s after it became reachable", simulation.inForceOffset, inForceBound)
 	}
 }
 
-// canReachCurrent reports whether the log, or a peer that is up to date, can be heard now.
+// canReachCurrent reports whether the instance can read the log or reach a peer that has the current bundle in force.
 func (simulation *simulation) canReachCurrent(instance *instance) bool {
 	if simulation.inForceOffset < 0 {
 		return false
@@ -279,8 +284,9 @@
 	return false
 }
 
-// Guards the promise bundle-in-force under random faults, over several readers and operators with fixed seeds: nothing
-// reverts, nothing but the chain comes into force, and it does within 10 s. The naive version must break it.
+// Guards against violations of the guarantee bundle-in-force under random faults, with several instances and operators
+// and fixed seeds: no instance reverts to an older bundle, only the bundles of the reference come into force, and they
+// do so within 10 s. The naive consumer must violate this.
 func TestRandomSchedules(t *testing.T) {
 	seeds, naiveViolations, accepted, conflicts := uint64(20), 0, 0, 0
 	if testing.Short() {
@@ -296,12 +302,12 @@
 		naiveSimulation := newSimulation(seed, func() consumer { return &naive{} })
 		naiveSimulation.run()
 		if len(naiveSimulation.violations) == 0 {
-			t.Errorf("seed %d: the naive version passes, so the schedule shows nothing", seed)
+			t.Errorf("seed %d: the naive consumer passes, so the schedule tests nothing", seed)
 		}
 		naiveViolations += len(naiveSimulation.violations)
 	}
-	t.Logf("%d seeds, %d bundles accepted, %d publications beaten, violations of the naive version: %d", seeds, accepted, conflicts, naiveViolations)
+	t.Logf("%d seeds, %d bundles accepted, %d publications with a conflict, %d violations by the naive consumer", seeds, accepted, conflicts, naiveViolations)
 	if accepted < 20*int(seeds) || conflicts < 5*int(seeds) {
-		t.Errorf("%d bundles accepted and %d beaten are too few to show anything", accepted, conflicts)
+		t.Errorf("too few bundles accepted or conflicts to test anything: %d and %d", accepted, conflicts)
 	}
 }
--- a/bundler/support_test.go
+++ b/bundler/support_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// testSigner returns a signer with a fixed key.
+// testSigner returns a signer with a fixed key, and its public key in the form that ParseKeys accepts.
 func testSigner(name string) (Signer, string) {
 	key := ed25519.NewKeyFromSeed(bytes.Repeat([]byte(name[:1]), ed25519.SeedSize))
 	return NewSigner(name, key), FormatKey(name, key.Public().(ed25519.PublicKey))
@@ -23,7 +23,7 @@
 	start         = time.Unix(1_800_000_000, 0)
 )
 
-// bundleText returns a bundle that lint accepts; note tells bundles of one version apart.
+// bundleText returns the text of a bundle without lint findings; note distinguishes bundles with the same version.
 func bundleText(version int64, note string, extra ...string) string {
 	return fmt.Sprintf(`# %s
 [bundle]
@@ -47,7 +47,7 @@
 `, note, version) + strings.Join(extra, "\n")
 }
 
-// signed returns the record of text that replaces the record at an offset.
+// signed returns the signed record of text that replaces the record at the offset replaces.
 func signed(text string, replaces int64) Record {
 	record, err := linh.SignAsAuthor(text)
 	if err == nil {
@@ -79,7 +79,7 @@
 	return data
 }
 
-// page returns records from the offset earliest on as a page that ends the log.
+// page returns a page of records that starts at the offset earliest and reaches the end of the log.
 func page(earliest int64, records ...Record) Page {
 	page := Page{Earliest: earliest, Next: earliest + int64(len(records))}
 	for i, record := range records {
@@ -88,7 +88,7 @@
 	return page
 }
 
-// consumer is what the cases run: the bundler, or the naive version that they must expose.
+// consumer is the interface under test. Bundler implements it, and naive, which the tests must catch.
 type consumer interface {
 	NextOffset() int64
 	ApplyPage(Page, time.Time) []Event
@@ -96,7 +96,7 @@
 	Offer() (Offer, bool)
 }
 
-// naive puts the newest record that parses in force, from the log or from a peer.
+// naive is a faulty consumer: it puts every record that parses in force, whether it comes from the log or from a peer.
 type naive struct {
 	next  int64
 	offer Offer
@@ -125,7 +125,7 @@
 
 func (naive *naive) Offer() (Offer, bool) { return naive.offer, naive.known }
 
-// inForceNote returns the note of the bundle in force, or an empty string.
+// inForceNote returns the note of the bundle in force, or an empty string if there is none.
 func inForceNote(consumer consumer) string {
 	offer, ok := consumer.Offer()
 	if !ok {
