--- a/accountant/hourly_test.go
+++ b/accountant/hourly_test.go
@@ -34,7 +34,7 @@
 		}
 		for range 300 {
 			now = now.Add(time.Duration(1+random.IntN(12)) * time.Minute)
-			log.SetFault([]emulator.LogFault{emulator.LogHealthy, emulator.LogHealthy, emulator.LogLosesAnswers, emulator.LogDown}[random.IntN(4)])
+			log.SetFault([]emulator.LogFault{emulator.LogHealthy, emulator.LogHealthy, emulator.LogLosesResponses, emulator.LogDown}[random.IntN(4)])
 			for i, accountant := range accountants {
 				accountant.Record(answer(dispatcher.Complete{}, time.Duration(random.IntN(1000))*time.Millisecond), now)
 				_ = accountant.flushAll(context.Background(), now, false)
@@ -101,7 +101,7 @@
 		now := time.Unix(1_800_000_000, 0).Truncate(time.Hour).Add(time.Duration(hour)*time.Hour + 59*time.Minute)
 		best, name := now, ""
 		for i := range 6 {
-			turn := reporter.SumTurn(now, "local", fmt.Sprint(i))
+			turn := reporter.SumAppendTime(now, "local", fmt.Sprint(i))
 			is.True(!turn.Before(now.Truncate(time.Hour)) && turn.Sub(now.Truncate(time.Hour)) <= 30*time.Minute)
 			if turn.Before(best) {
 				best, name = turn, fmt.Sprint(i)
