--- a/bundler/schedule_test.go
+++ b/bundler/schedule_test.go
@@ -37,7 +37,8 @@
 // simulation runs a log, three instances in each of three failure domains, and three operators that publish
 // concurrently. inForceOffset and inForceSince are the reference for the bundle in force.
 type simulation struct {
-	random        *rand.Rand
+	random *rand.Rand
+	// make returns a new consumer for an instance.
 	make          func() consumer
 	now           time.Time
 	log           []logRecord
