--- a/accountant/accountant_test.go
+++ b/accountant/accountant_test.go
@@ -24,14 +24,14 @@
 func newTestAccountant(log *appender.Appender, incarnation string, now time.Time) *Accountant {
 	objective, _ := reporter.NewObjective(500*time.Millisecond, 99)
 	config := reporter.Config{
-		Domain: "local", Instance: "entry-1", Incarnation: incarnation, Retention: 10 * time.Minute, MaxClaims: 1000, MaxSeries: 1000,
+		Domain: "local", Instance: "entry-1", Incarnation: incarnation, Retention: 10 * time.Minute, MaxKeys: 1000, MaxSeries: 1000,
 		Objectives: map[string]reporter.Objective{"check": objective},
 	}
 	return &Accountant{Reporter: reporter.New(config, now), log: log, logger: hclog.NewNullLogger()}
 }
 
 func answer(outcome dispatcher.Outcome, took time.Duration) reporter.Answer {
-	return reporter.NewAnswer(dispatcher.NewJob("", "check", "demo", time.Time{}, nil), outcome, took, reporter.Own)
+	return reporter.NewAnswer(dispatcher.NewJob("", "check", "demo", time.Time{}, nil), outcome, took, reporter.KeyOwner)
 }
 
 // Guards against counts that are lost over an outage, counted twice after a lost answer, or wrong after a restart, and
@@ -84,12 +84,12 @@
 	server := httptest.NewServer(log)
 	defer server.Close()
 	client := appender.New(strings.TrimPrefix(server.URL, "http://"))
-	config := reporter.Config{Domain: "local", Instance: "entry-1", Incarnation: "run-1", MaxSeries: 1 << 20, MaxClaims: 1, Retention: time.Minute}
+	config := reporter.Config{Domain: "local", Instance: "entry-1", Incarnation: "run-1", MaxSeries: 1 << 20, MaxKeys: 1, Retention: time.Minute}
 	accountant := New(config, client, hclog.NewNullLogger())
 	start := time.Now()
 	for i := range 30_000 {
 		job := dispatcher.NewJob("", "check", fmt.Sprint(i%15_000), time.Time{}, nil)
-		accountant.Record(reporter.NewAnswer(job, dispatcher.Complete{}, 0, reporter.Own), start.Add(time.Duration(i/15_000)*time.Minute))
+		accountant.Record(reporter.NewAnswer(job, dispatcher.Complete{}, 0, reporter.KeyOwner), start.Add(time.Duration(i/15_000)*time.Minute))
 	}
 	accountant.stop()
 	accountant.done.Wait()
--- a/accountant/bench_test.go
+++ b/accountant/bench_test.go
@@ -46,7 +46,7 @@
 	for i := range benchInstances {
 		world.reporters = append(world.reporters, reporter.New(reporter.Config{
 			Domain: "local", Instance: fmt.Sprint(i), Incarnation: fmt.Sprint("run-", i),
-			Retention: time.Minute, MaxClaims: 1, MaxSeries: 1 << 14,
+			Retention: time.Minute, MaxKeys: 1, MaxSeries: 1 << 14,
 		}, world.now))
 	}
 	return world
@@ -59,7 +59,7 @@
 	for _, counter := range world.reporters {
 		for i := range world.series {
 			job := dispatcher.NewJob("", fmt.Sprint("kind-", i/120), fmt.Sprint("team-", i%120), time.Time{}, nil)
-			counter.Record(reporter.NewAnswer(job, dispatcher.Complete{}, 0, reporter.Own), at)
+			counter.Record(reporter.NewAnswer(job, dispatcher.Complete{}, 0, reporter.KeyOwner), at)
 		}
 		batch, _ := counter.Batch(world.now, false)
 		data, err := batch.Encode()
--- a/accountant/cursor.go
+++ b/accountant/cursor.go
@@ -23,7 +23,7 @@
 // cursor adds sums and minute records to a ledger in the order of the offsets in stream burn.
 type cursor struct {
 	log    *appender.Appender
-	ledger *reporter.Ledger
+	ledger *reporter.Aggregator
 	// next is the offset in stream burn through which everything is in the ledger or no longer in the log.
 	next      int64
 	nextHours int64 // the offset of the next record of stream burn-hours
@@ -54,7 +54,7 @@
 	}
 }
 
-func (cursor *cursor) addSum(ctx context.Context, sum reporter.Sum, now time.Time) error {
+func (cursor *cursor) addSum(ctx context.Context, sum reporter.HourlySum, now time.Time) error {
 	if sum.From() < cursor.next {
 		return nil
 	}
@@ -84,7 +84,7 @@
 // readMinutes adds the minute records from cursor.next to before until.
 func (cursor *cursor) readMinutes(ctx context.Context, now time.Time, until int64) error {
 	return cursor.readRecords(ctx, until, func(record appender.Record) bool {
-		batch, err := reporter.Decode(record.Data)
+		batch, err := reporter.DecodeBatch(record.Data)
 		if err != nil {
 			cursor.ledger.AddUnreadable()
 		} else {
--- a/accountant/hourly.go
+++ b/accountant/hourly.go
@@ -25,7 +25,7 @@
 	log              *appender.Appender
 	domain, instance string
 
-	summer *reporter.Summer
+	summer *reporter.SumBuilder
 	cursor cursor
 	// pending is an encoded sum of which the append's answer is not known; it ends before pendingNext.
 	pending     []byte
@@ -40,15 +40,15 @@
 
 // reset forgets all coverage, so that the next attempt reads every sum again.
 func (hourly *hourly) reset() {
-	hourly.summer = reporter.NewSummer()
-	hourly.cursor = cursor{log: hourly.log, ledger: hourly.summer.Ledger, hour: hourly.cursor.hour}
+	hourly.summer = reporter.NewSumBuilder()
+	hourly.cursor = cursor{log: hourly.log, ledger: hourly.summer.Aggregator, hour: hourly.cursor.hour}
 	hourly.pending = nil
 }
 
 // run appends the sums of the hour of now if it is the instance's turn and no other instance has done so.
 func (hourly *hourly) run(ctx context.Context, now time.Time) error {
 	hour := now.Truncate(time.Hour)
-	if !hourly.cursor.hour.Before(hour) || now.Before(reporter.SumTurn(now, hourly.domain, hourly.instance)) {
+	if !hourly.cursor.hour.Before(hour) || now.Before(reporter.SumAppendTime(now, hourly.domain, hourly.instance)) {
 		return nil
 	}
 	if _, err := hourly.settle(ctx, now); err != nil || !hourly.cursor.hour.Before(hour) {
@@ -99,7 +99,7 @@
 		hourly.reset()
 		return false, err
 	}
-	hourly.summer.Forget(now)
+	hourly.summer.Prune(now)
 	return ours, nil
 }
 
@@ -126,7 +126,7 @@
 	if from < 0 {
 		return false, nil
 	}
-	sum, _ := hourly.summer.Cut(now)
+	sum, _ := hourly.summer.Build(now)
 	hourly.summer.Begin(sum.Next())
 	data, err := sum.Encode()
 	if err == nil {
--- a/accountant/hourly_test.go
+++ b/accountant/hourly_test.go
@@ -101,7 +101,7 @@
 		now := time.Unix(1_800_000_000, 0).Truncate(time.Hour).Add(time.Duration(hour)*time.Hour + 59*time.Minute)
 		best, name := now, ""
 		for i := range 6 {
-			turn := reporter.SumTurn(now, "local", fmt.Sprint(i))
+			turn := reporter.SumAppendTime(now, "local", fmt.Sprint(i))
 			is.True(!turn.Before(now.Truncate(time.Hour)) && turn.Sub(now.Truncate(time.Hour)) <= 30*time.Minute)
 			if turn.Before(best) {
 				best, name = turn, fmt.Sprint(i)
--- a/accountant/reader.go
+++ b/accountant/reader.go
@@ -28,7 +28,7 @@
 
 // NewReader returns a reader of the burn records in log.
 func NewReader(log *appender.Appender) *Reader {
-	return &Reader{cursor: cursor{log: log, ledger: reporter.NewLedger()}}
+	return &Reader{cursor: cursor{log: log, ledger: reporter.NewAggregator()}}
 }
 
 // SetObjective sets the objective of a kind for which no record brings one.
@@ -44,7 +44,7 @@
 	reader.mu.Lock()
 	defer reader.mu.Unlock()
 	err := reader.readOn(ctx, now)
-	reader.cursor.ledger.Forget(now)
+	reader.cursor.ledger.Prune(now)
 	return reader.cursor.ledger.Report(now), err
 }
 
@@ -53,7 +53,7 @@
 	reader.mu.Lock()
 	defer reader.mu.Unlock()
 	err := reader.readOn(ctx, now)
-	reader.cursor.ledger.Forget(now)
+	reader.cursor.ledger.Prune(now)
 	return err
 }
 
--- a/reporter/answer.go
+++ b/reporter/answer.go
@@ -88,23 +88,23 @@
 	return series
 }
 
-// Other stands for the kinds or teams beyond the bound on series; no request can use it as a name, because
+// OtherName stands for the kinds or teams beyond the bound on series; no request can use it as a name, because
 // names have no spaces.
-const Other = "(all other)"
+const OtherName = "(all other)"
 
 // Grant says how it was decided which instance counts a request.
 type Grant int
 
 // Decisions about the count of a request.
 const (
-	// Own means that this instance owns the key, or issued it for itself alone.
-	Own Grant = iota
+	// KeyOwner means that this instance owns the key, or issued it for itself alone.
+	KeyOwner Grant = iota
 	// Granted means that the owner of the key granted the count to this instance.
 	Granted
 	// Denied means that the owner granted the count to another instance.
 	Denied
-	// Unasked means that the owner could not be reached.
-	Unasked
+	// Undecided means that the owner could not be reached.
+	Undecided
 )
 
 // Answer is one answer that has reached its caller.
@@ -125,7 +125,7 @@
 
 // classify returns the class of answer under an objective, of which there may be none.
 func (answer Answer) classify(objective Objective, known bool) Class {
-	if answer.grant == Unasked {
+	if answer.grant == Undecided {
 		return Unclaimed
 	}
 	switch answer.outcome.(type) {
--- a/reporter/batch.go
+++ b/reporter/batch.go
@@ -97,8 +97,8 @@
 	return seal(data, counts), eris.Wrap(err, "encoding a burn record")
 }
 
-// Decode returns the batch in a record of stream burn, or an error if any part of it is out of bounds.
-func Decode(data []byte) (Batch, error) {
+// DecodeBatch returns the batch in a record of stream burn, or an error if any part of it is out of bounds.
+func DecodeBatch(data []byte) (Batch, error) {
 	var record batchRecord
 	data, counts, err := unseal(data)
 	if err != nil {
--- a/reporter/bench_test.go
+++ b/reporter/bench_test.go
@@ -29,7 +29,7 @@
 	}
 	return New(Config{
 		Incarnation: "run", Instance: "entry", Domain: "local", Objectives: objectives,
-		Retention: 10 * time.Minute, MaxClaims: 1 << 21, MaxSeries: 1 << 14,
+		Retention: 10 * time.Minute, MaxKeys: 1 << 21, MaxSeries: 1 << 14,
 	}, testStart)
 }
 
@@ -41,7 +41,7 @@
 }
 
 func benchAnswer(series Series, key string) Answer {
-	return NewAnswer(dispatcher.NewJob(key, series.Kind, series.Team, time.Time{}, nil), dispatcher.Complete{}, time.Millisecond, Own)
+	return NewAnswer(dispatcher.NewJob(key, series.Kind, series.Team, time.Time{}, nil), dispatcher.Complete{}, time.Millisecond, KeyOwner)
 }
 
 // BenchmarkRecord counts one answer with a fresh key; a second of the clock passes every 256 answers.
@@ -102,27 +102,27 @@
 			b.Fatal(err)
 		}
 		before := heapBytes()
-		ledger, i := NewLedger(), 0
+		aggregator, i := NewAggregator(), 0
 		for b.Loop() {
-			batch, err := Decode(data)
+			batch, err := DecodeBatch(data)
 			if err != nil {
 				b.Fatal(err)
 			}
 			// Another incarnation each time, so that no minute is skipped as known.
 			batch.incarnation = fmt.Sprint(i % 162)
-			delete(ledger.incarnations, batch.incarnation)
-			ledger.Add(batch, testStart.Add(time.Hour))
+			delete(aggregator.incarnations, batch.incarnation)
+			aggregator.Add(batch, testStart.Add(time.Hour))
 			i++
 		}
 		b.ReportMetric(heapBytes()-before, "held-B")
-		runtime.KeepAlive(ledger)
+		runtime.KeepAlive(aggregator)
 	})
 }
 
 // BenchmarkReport puts a report together from full histories of three days of ten instances.
 func BenchmarkReport(b *testing.B) {
 	benchSeries(b, func(b *testing.B, names []Series) {
-		ledger := NewLedger()
+		aggregator := NewAggregator()
 		end := testStart
 		for instance := range 10 {
 			for i := range windowMinutes / coarseMinutes {
@@ -132,11 +132,11 @@
 				for _, name := range names {
 					batch.minutes[0].rows = append(batch.minutes[0].rows, seriesCounts{series: name, counts: Counts{20}})
 				}
-				ledger.Add(batch, end)
+				aggregator.Add(batch, end)
 			}
 		}
 		for b.Loop() {
-			if report := ledger.Report(end); len(report.Rows) < len(names) {
+			if report := aggregator.Report(end); len(report.Rows) < len(names) {
 				b.Fatal("rows are missing")
 			}
 		}
@@ -145,8 +145,8 @@
 
 // benchSum returns the record of one hour of ten instances, whose records begin at offset from.
 func benchSum(b *testing.B, names []Series, from int64, hour time.Time) []byte {
-	summer := NewSummer()
-	summer.Begin(from)
+	builder := NewSumBuilder()
+	builder.Begin(from)
 	for i := range 60 {
 		minutes := benchMinute(benchReporter(), names, testStart).minutes
 		minutes[0].minute = minuteOf(hour) + minute(i)
@@ -156,10 +156,10 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			summer.AddRecord(from+int64(i*10+instance), data, hour.Add(time.Hour))
+			builder.AddRecord(from+int64(i*10+instance), data, hour.Add(time.Hour))
 		}
 	}
-	sum, _ := summer.Cut(hour)
+	sum, _ := builder.Build(hour)
 	data, err := sum.Encode()
 	if err != nil {
 		b.Fatal(err)
@@ -171,7 +171,7 @@
 func BenchmarkSum(b *testing.B) {
 	benchSeries(b, func(b *testing.B, names []Series) {
 		data := benchSum(b, names, 0, testStart)
-		ledger, i := NewLedger(), 0
+		aggregator, i := NewAggregator(), 0
 		for b.Loop() {
 			sum, err := DecodeSum(data)
 			if err != nil {
@@ -186,7 +186,7 @@
 			for at := range sum.minutes {
 				sum.minutes[at].minute += shift
 			}
-			if i++; !ledger.AddSum(sum, testStart.Add(time.Duration(i)*time.Hour)) {
+			if i++; !aggregator.AddSum(sum, testStart.Add(time.Duration(i)*time.Hour)) {
 				b.Fatal("the sum was left out")
 			}
 		}
@@ -199,7 +199,7 @@
 	benchSeries(b, func(b *testing.B, names []Series) {
 		batch := benchMinute(benchReporter(), names, testStart)
 		before := heapBytes()
-		summer, i := NewSummer(), 0
+		builder, i := NewSumBuilder(), 0
 		data := make([][]byte, 60)
 		for at := range data {
 			batch.minutes[0].minute = minuteOf(testStart) + minute(at)
@@ -207,15 +207,15 @@
 		}
 		for b.Loop() {
 			if i%60 == 0 {
-				clear(summer.incarnations) // so that no minute is skipped as known
+				clear(builder.incarnations) // so that no minute is skipped as known
 				if i%9_720 == 0 {
-					summer.Begin(0)
+					builder.Begin(0)
 				}
 			}
-			summer.AddRecord(int64(i), data[i%60], testStart.Add(time.Hour))
+			builder.AddRecord(int64(i), data[i%60], testStart.Add(time.Hour))
 			i++
 		}
 		b.ReportMetric(heapBytes()-before, "held-B")
-		runtime.KeepAlive(summer)
+		runtime.KeepAlive(builder)
 	})
 }
--- a/reporter/claims.go
+++ b/reporter/claims.go
@@ -96,9 +96,9 @@
 func (claims *claims) count(key string, grant Grant, now time.Time) (counts, full bool) {
 	return claims.change(key, now, func(claim *claim) bool {
 		switch {
-		case claim.counted, grant == Denied, grant == Own && claim.holder != 0:
+		case claim.counted, grant == Denied, grant == KeyOwner && claim.holder != 0:
 			return false
-		case grant == Unasked:
+		case grant == Undecided:
 			first := !claim.unasked
 			claim.unasked = true
 			return first
--- a/reporter/coverage.go
+++ b/reporter/coverage.go
@@ -71,9 +71,9 @@
 
 // presences returns when each incarnation ran. Without a final record it ran until the next incarnation of the same
 // instance began, and otherwise until now: an instance that is cut off from the log looks the same as a dead one.
-func (ledger *Ledger) presences(now minute) []presence {
-	presences := make([]presence, 0, len(ledger.incarnations))
-	for incarnation, coverage := range ledger.incarnations {
+func (aggregator *Aggregator) presences(now minute) []presence {
+	presences := make([]presence, 0, len(aggregator.incarnations))
+	for incarnation, coverage := range aggregator.incarnations {
 		presences = append(presences, presence{coverage: coverage, incarnation: incarnation, end: now})
 	}
 	slices.SortFunc(presences, func(a, b presence) int {
@@ -97,7 +97,7 @@
 func (extent extent) missing() int64 { return extent.expected - extent.covered }
 
 // extent returns the instance-minutes from minute from to before minute to.
-func (ledger *Ledger) extent(presences []presence, from, to minute) extent {
+func (aggregator *Aggregator) extent(presences []presence, from, to minute) extent {
 	var extent extent
 	earliest, names := to, make(map[[2]string]bool)
 	present := make([]bool, to-from)
@@ -119,24 +119,24 @@
 		case ok:
 		case at >= earliest || len(names) == 0:
 			extent.expected++ // Nobody is known to have run; that is no proof that nobody did.
-		case !ledger.complete:
+		case !aggregator.complete:
 			extent.expected += int64(len(names))
 		}
 	}
 	return extent
 }
 
-// Forget drops the incarnations that ended before the longest window of a report at now, and idle series.
-func (ledger *Ledger) Forget(now time.Time) {
+// Prune drops the incarnations that ended before the longest window of a report at now, and idle series.
+func (aggregator *Aggregator) Prune(now time.Time) {
 	oldest := minuteOf(now) - windowMinutes - coarseMinutes - spareMinutes
-	for _, presence := range ledger.presences(minuteOf(now)) {
+	for _, presence := range aggregator.presences(minuteOf(now)) {
 		if presence.end < oldest {
-			delete(ledger.incarnations, presence.incarnation)
+			delete(aggregator.incarnations, presence.incarnation)
 		}
 	}
-	for series, history := range ledger.histories {
+	for series, history := range aggregator.histories {
 		if !history.usedSince(oldest) {
-			delete(ledger.histories, series)
+			delete(aggregator.histories, series)
 		}
 	}
 }
--- a/reporter/differential_test.go
+++ b/reporter/differential_test.go
@@ -111,7 +111,7 @@
 	run.reporter = New(Config{
 		Domain: "local", Instance: name, Incarnation: run.incarnation, Objectives: simulatedObjectives,
 		// Longer than any schedule: the naive version counts a key once for ever, a claim only within the retention.
-		Retention: 365 * 24 * time.Hour, MaxClaims: 1 << 20, MaxSeries: 1024,
+		Retention: 365 * 24 * time.Hour, MaxKeys: 1 << 20, MaxSeries: 1024,
 	}, simulation.now)
 	simulation.naive.runs = append(simulation.naive.runs, run)
 	return run
@@ -130,11 +130,11 @@
 		}
 	}
 	simulation.keys[key] = owner
-	grant := Own
+	grant := KeyOwner
 	switch {
 	case run != owner && simulation.IntN(8) == 0:
-		grant = Unasked
-	case run != owner && owner.reporter.Grant(key, run.incarnation, simulation.now):
+		grant = Undecided
+	case run != owner && owner.reporter.GrantCount(key, run.incarnation, simulation.now):
 		grant = Granted
 	case run != owner:
 		grant = Denied
@@ -149,7 +149,7 @@
 			class = Good // A kind without an objective has no late answers.
 		}
 	}
-	if grant == Unasked {
+	if grant == Undecided {
 		class = Unclaimed
 	}
 	run.reporter.Record(NewAnswer(dispatcher.NewJob(key, series.Kind, series.Team, time.Time{}, nil), outcome, took, grant), simulation.now)
@@ -237,13 +237,13 @@
 	for seed := range uint64(60) {
 		is := is.New(t)
 		simulation := simulate(seed)
-		ledger := NewLedger()
-		ledger.SetComplete(true)
+		aggregator := NewAggregator()
+		aggregator.SetComplete(true)
 		for _, twice := range []bool{false, true} {
 			for _, index := range simulation.Perm(len(simulation.log)) {
-				if batch, err := Decode(simulation.log[index]); !twice || index%3 == 0 {
+				if batch, err := DecodeBatch(simulation.log[index]); !twice || index%3 == 0 {
 					is.NoErr(err)
-					ledger.Add(batch, simulation.now)
+					aggregator.Add(batch, simulation.now)
 				}
 			}
 		}
@@ -255,7 +255,7 @@
 				}
 			}
 		}
-		report := ledger.Report(simulation.now)
+		report := aggregator.Report(simulation.now)
 		to := minuteOf(simulation.now) - reportLag
 		for i, window := range windows {
 			from := windowStart(window, to)
--- a/reporter/ledger.go
+++ b/reporter/ledger.go
@@ -84,9 +84,9 @@
 	return false
 }
 
-// Ledger adds up the batches of all instances, in any order and however often each one is added. It is not safe for
+// Aggregator adds up the batches of all instances, in any order and however often each one is added. It is not safe for
 // concurrent use. It holds at most 27 KB per series and 1 KB per incarnation, of each of which there are at most 20,000.
-type Ledger struct {
+type Aggregator struct {
 	histories    map[Series]*history
 	objectives   map[string]Objective
 	objectivesAt map[string]minute
@@ -96,9 +96,9 @@
 	coverageOnly bool // counts are left out, as a Summer needs only the coverage
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger {
-	return &Ledger{
+// NewAggregator returns an empty ledger.
+func NewAggregator() *Aggregator {
+	return &Aggregator{
 		histories: make(map[Series]*history), incarnations: make(map[string]*coverage),
 		objectives: make(map[string]Objective), objectivesAt: make(map[string]minute),
 	}
@@ -106,30 +106,30 @@
 
 // SetComplete says whether the log was read from its first record on; if not, the time before the earliest record
 // is missing.
-func (ledger *Ledger) SetComplete(complete bool) { ledger.complete = complete }
+func (aggregator *Aggregator) SetComplete(complete bool) { aggregator.complete = complete }
 
 // AddUnreadable counts a record that could not be decoded; reports name the number.
-func (ledger *Ledger) AddUnreadable() { ledger.unreadable++ }
+func (aggregator *Aggregator) AddUnreadable() { aggregator.unreadable++ }
 
 // SetObjective sets the objective of kind, unless a later batch brings another one.
-func (ledger *Ledger) SetObjective(kind string, objective Objective) {
-	ledger.objectives[kind] = objective
+func (aggregator *Aggregator) SetObjective(kind string, objective Objective) {
+	aggregator.objectives[kind] = objective
 }
 
 // Add adds the minutes of batch, read at now, that are not yet counted for its incarnation. Minutes in the future are
 // left out, because they would evict current ones; the incarnation is then shown as missing.
-func (ledger *Ledger) Add(batch Batch, now time.Time) {
-	for _, closed := range ledger.cover(batch, now) {
-		ledger.count(closed)
+func (aggregator *Aggregator) Add(batch Batch, now time.Time) {
+	for _, closed := range aggregator.cover(batch, now) {
+		aggregator.count(closed)
 	}
 }
 
 // cover marks the minutes of batch as counted and returns those that were not.
-func (ledger *Ledger) cover(batch Batch, now time.Time) []closedMinute {
+func (aggregator *Aggregator) cover(batch Batch, now time.Time) []closedMinute {
 	first, through := batch.span()
-	covered := ledger.incarnation(batch.domain, batch.instance, batch.incarnation, min(first, minuteOf(now)))
+	covered := aggregator.incarnation(batch.domain, batch.instance, batch.incarnation, min(first, minuteOf(now)))
 	if covered == nil || through > minuteOf(now)+maxAheadMinutes {
-		ledger.unreadable++
+		aggregator.unreadable++
 		return nil
 	}
 	var added []closedMinute
@@ -140,51 +140,51 @@
 	}
 	covered.final = covered.final || batch.final
 	for kind, objective := range batch.objectives {
-		ledger.setObjectiveAt(kind, objective, through)
+		aggregator.setObjectiveAt(kind, objective, through)
 	}
 	return added
 }
 
 // count adds the rows of one minute.
-func (ledger *Ledger) count(closed closedMinute) {
-	if ledger.coverageOnly {
+func (aggregator *Aggregator) count(closed closedMinute) {
+	if aggregator.coverageOnly {
 		return
 	}
 	for _, row := range closed.rows {
-		ledger.history(row.series.named()).add(closed.minute, row.counts)
+		aggregator.history(row.series.named()).add(closed.minute, row.counts)
 	}
 }
 
 // incarnation returns the coverage of an incarnation, new from minute first on, or nil if there are too many.
-func (ledger *Ledger) incarnation(domain, instance, name string, first minute) *coverage {
-	covered := ledger.incarnations[name]
-	if covered == nil && len(ledger.incarnations) < maxLedgerIncarnations {
+func (aggregator *Aggregator) incarnation(domain, instance, name string, first minute) *coverage {
+	covered := aggregator.incarnations[name]
+	if covered == nil && len(aggregator.incarnations) < maxLedgerIncarnations {
 		covered = &coverage{domain: domain, instance: instance, first: first, last: -1}
-		ledger.incarnations[name] = covered
+		aggregator.incarnations[name] = covered
 	}
 	return covered
 }
 
 // setObjectiveAt sets the objective that was in force at a minute, unless a later one is known.
-func (ledger *Ledger) setObjectiveAt(kind string, objective Objective, at minute) {
-	if _, known := ledger.objectives[kind]; !known && len(ledger.objectives) >= maxLedgerSeries {
+func (aggregator *Aggregator) setObjectiveAt(kind string, objective Objective, at minute) {
+	if _, known := aggregator.objectives[kind]; !known && len(aggregator.objectives) >= maxLedgerSeries {
 		return
 	}
-	if at >= ledger.objectivesAt[kind] {
-		ledger.objectives[kind], ledger.objectivesAt[kind] = objective, at
+	if at >= aggregator.objectivesAt[kind] {
+		aggregator.objectives[kind], aggregator.objectivesAt[kind] = objective, at
 	}
 }
 
 // history returns the history of series, or of the series for all other when there are too many.
-func (ledger *Ledger) history(series Series) *history {
-	found := ledger.histories[series]
-	if found == nil && len(ledger.histories) >= maxLedgerSeries {
-		series = Series{Kind: Other, Team: Other}
-		found = ledger.histories[series]
+func (aggregator *Aggregator) history(series Series) *history {
+	found := aggregator.histories[series]
+	if found == nil && len(aggregator.histories) >= maxLedgerSeries {
+		series = Series{Kind: OtherName, Team: OtherName}
+		found = aggregator.histories[series]
 	}
 	if found == nil {
 		found = new(history)
-		ledger.histories[series] = found
+		aggregator.histories[series] = found
 	}
 	return found
 }
--- a/reporter/report.go
+++ b/reporter/report.go
@@ -81,9 +81,9 @@
 	WithinMS int64   `json:"within-ms,omitempty"`
 	Percent  float64 `json:"percent,omitempty"`
 	Verdict  Verdict `json:"verdict"`
-	// Allowed is how many answers of the longest window may be bad.
-	Allowed float64 `json:"allowed-bad"`
-	Burns   []Burn  `json:"burns"`
+	// AllowedBad is how many answers of the longest window may be bad.
+	AllowedBad float64 `json:"allowed-bad"`
+	Burns      []Burn  `json:"burns"`
 	// Hours holds the hours of the longest window, in the row of a whole kind only.
 	Hours []Hour `json:"hours,omitempty"`
 }
@@ -117,22 +117,22 @@
 }
 
 // Report returns the burn at now, up to the last minutes that all instances had the time to append.
-func (ledger *Ledger) Report(now time.Time) Report {
+func (aggregator *Aggregator) Report(now time.Time) Report {
 	to := minuteOf(now) - reportLag
-	presences := ledger.presences(to)
-	report := Report{AsOf: to.time(), Unreadable: ledger.unreadable}
+	presences := aggregator.presences(to)
+	report := Report{AsOf: to.time(), Unreadable: aggregator.unreadable}
 	extents := make([]extent, len(windows))
 	for i, window := range windows {
-		extents[i] = ledger.extent(presences, windowStart(window, to), to)
+		extents[i] = aggregator.extent(presences, windowStart(window, to), to)
 		report.Coverage = append(report.Coverage, Coverage{
 			WindowMinutes:   int64(window / time.Minute),
 			ExpectedMinutes: extents[i].expected, CoveredMinutes: extents[i].covered,
 		})
 	}
-	sums := ledger.sums(to)
-	hours := ledger.hours(presences, to)
+	sums := aggregator.sums(to)
+	hours := aggregator.hours(presences, to)
 	for series, counts := range sums {
-		objective, known := ledger.objectives[series.Kind]
+		objective, known := aggregator.objectives[series.Kind]
 		row := newRow(series, objective, known, *counts, extents)
 		if series.Team == "" {
 			row.Hours = hours[series.Kind]
@@ -149,12 +149,12 @@
 type windowCounts [7]Counts
 
 // sums returns the counts per window of every series, and of every kind under an empty team.
-func (ledger *Ledger) sums(to minute) map[Series]*windowCounts {
+func (aggregator *Aggregator) sums(to minute) map[Series]*windowCounts {
 	sums := make(map[Series]*windowCounts)
-	for kind := range ledger.objectives {
+	for kind := range aggregator.objectives {
 		sums[Series{Kind: kind}] = new(windowCounts)
 	}
-	for series, history := range ledger.histories {
+	for series, history := range aggregator.histories {
 		kind := Series{Kind: series.Kind}
 		if sums[kind] == nil {
 			sums[kind] = new(windowCounts)
@@ -170,23 +170,23 @@
 }
 
 // hours returns the points of the plot of every kind.
-func (ledger *Ledger) hours(presences []presence, to minute) map[string][]Hour {
+func (aggregator *Aggregator) hours(presences []presence, to minute) map[string][]Hour {
 	const length = 60
 	from := windowStart(windows[len(windows)-1], to)
 	var template []Hour
 	for start := from; start < to; start += length {
 		end := min(start+length, to)
 		hour := Hour{Start: start.time()}
-		if extent := ledger.extent(presences, start, end); extent.expected > 0 {
+		if extent := aggregator.extent(presences, start, end); extent.expected > 0 {
 			hour.MissingShare = float64(extent.missing()) / float64(extent.expected)
 		}
 		template = append(template, hour)
 	}
 	hours := make(map[string][]Hour)
-	for kind := range ledger.objectives {
+	for kind := range aggregator.objectives {
 		hours[kind] = slices.Clone(template)
 	}
-	for series, history := range ledger.histories {
+	for series, history := range aggregator.histories {
 		if hours[series.Kind] == nil {
 			hours[series.Kind] = slices.Clone(template)
 		}
@@ -224,7 +224,7 @@
 	}
 	if known {
 		row.WithinMS, row.Percent = objective.within.Milliseconds(), objective.percent
-		row.Allowed = float64(row.Burns[len(row.Burns)-1].Answers) * objective.budget()
+		row.AllowedBad = float64(row.Burns[len(row.Burns)-1].Answers) * objective.budget()
 		row.Verdict = row.judge()
 	}
 	return row
@@ -272,8 +272,8 @@
 	return row.Burns[slices.Index(windows, window)]
 }
 
-// Worst returns the worst verdict of all rows.
-func (report Report) Worst() Verdict {
+// WorstVerdict returns the worst verdict of all rows.
+func (report Report) WorstVerdict() Verdict {
 	order := []Verdict{Page, Ticket, Missing, OK, NoObjective}
 	worst := NoObjective
 	for _, row := range report.Rows {
--- a/reporter/reporter.go
+++ b/reporter/reporter.go
@@ -21,8 +21,8 @@
 	Objectives map[string]Objective
 	// Retention is how long a key may be resubmitted; a claim on a count lives one to two such periods.
 	Retention time.Duration
-	// MaxClaims bounds the keys that are remembered per retention period.
-	MaxClaims int
+	// MaxKeys bounds the keys that are remembered per retention period.
+	MaxKeys int
 	// MaxSeries bounds the pairs of kind and team that are counted separately in one minute.
 	MaxSeries int
 }
@@ -71,7 +71,7 @@
 func New(config Config, now time.Time) *Reporter {
 	reporter := &Reporter{
 		config: config, seed: maphash.MakeSeed(),
-		claims: newClaims(config.Retention, config.MaxClaims),
+		claims: newClaims(config.Retention, config.MaxKeys),
 		next:   minuteOf(now),
 	}
 	reporter.SetObjectives(config.Objectives)
@@ -86,8 +86,8 @@
 	reporter.objectives.Store(&objectives)
 }
 
-// Grant reports whether the instance called holder may count the request with key, which this instance owns.
-func (reporter *Reporter) Grant(key, holder string, now time.Time) bool {
+// GrantCount reports whether the instance called holder may count the request with key, which this instance owns.
+func (reporter *Reporter) GrantCount(key, holder string, now time.Time) bool {
 	return reporter.claims.grant(key, holder, now)
 }
 
@@ -97,7 +97,7 @@
 		counts, full := reporter.claims.count(answer.key, answer.grant, now)
 		if full && answer.grant != Denied {
 			// Without room for the key a duplicate could not be told apart later.
-			answer.grant = Unasked
+			answer.grant = Undecided
 		} else if !counts {
 			return false
 		}
@@ -120,9 +120,9 @@
 		return counts
 	}
 	if len(shard.counts) >= limit {
-		series.Team = Other
+		series.Team = OtherName
 		if !known {
-			series.Kind = Other
+			series.Kind = OtherName
 		}
 		if counts = shard.counts[series]; counts != nil {
 			return counts
--- a/reporter/reporter_test.go
+++ b/reporter/reporter_test.go
@@ -19,7 +19,7 @@
 func testReporter(maxClaims, maxSeries int) *Reporter {
 	return New(Config{
 		Domain: "local", Instance: "entry-1", Incarnation: "run-1", Objectives: simulatedObjectives,
-		Retention: 10 * time.Minute, MaxClaims: maxClaims, MaxSeries: maxSeries,
+		Retention: 10 * time.Minute, MaxKeys: maxClaims, MaxSeries: maxSeries,
 	}, testStart)
 }
 
@@ -43,27 +43,27 @@
 	is := is.New(t)
 	owner, other := testReporter(1000, 100), testReporter(1000, 100)
 	now := testStart
-	is.True(owner.Grant("a", "other", now))
-	is.True(owner.Grant("a", "other", now))                             // the answer to the first grant was lost
-	is.True(!owner.Grant("a", "third", now))                            // another instance asks
-	is.True(!owner.Record(testAnswer("a", "check", "t", Own), now))     // the caller came back to the owner
-	is.True(other.Record(testAnswer("a", "check", "t", Granted), now))  // the holder counts
-	is.True(!other.Record(testAnswer("a", "check", "t", Granted), now)) // once
-	is.True(!other.Record(testAnswer("b", "check", "t", Denied), now))  // never without the grant
-	is.True(owner.Record(testAnswer("c", "check", "t", Own), now))      //
-	is.True(!owner.Grant("c", "other", now))                            // counted at the owner
-	is.True(other.Record(testAnswer("d", "check", "t", Unasked), now))  // kept apart
-	is.True(!other.Record(testAnswer("d", "check", "t", Unasked), now)) // once
-	is.True(other.Record(testAnswer("d", "check", "t", Granted), now))  // and counted when the owner is back
-	now = now.Add(9 * time.Minute)                                      // within the retention period
-	is.True(!owner.Grant("a", "third", now) && !owner.Grant("c", "x", now))
-	is.True(!owner.Grant("a", "third", testStart.Add(15*time.Minute))) // in the older generation; asking does not extend it
+	is.True(owner.GrantCount("a", "other", now))
+	is.True(owner.GrantCount("a", "other", now))                          // the answer to the first grant was lost
+	is.True(!owner.GrantCount("a", "third", now))                         // another instance asks
+	is.True(!owner.Record(testAnswer("a", "check", "t", KeyOwner), now))  // the caller came back to the owner
+	is.True(other.Record(testAnswer("a", "check", "t", Granted), now))    // the holder counts
+	is.True(!other.Record(testAnswer("a", "check", "t", Granted), now))   // once
+	is.True(!other.Record(testAnswer("b", "check", "t", Denied), now))    // never without the grant
+	is.True(owner.Record(testAnswer("c", "check", "t", KeyOwner), now))   //
+	is.True(!owner.GrantCount("c", "other", now))                         // counted at the owner
+	is.True(other.Record(testAnswer("d", "check", "t", Undecided), now))  // kept apart
+	is.True(!other.Record(testAnswer("d", "check", "t", Undecided), now)) // once
+	is.True(other.Record(testAnswer("d", "check", "t", Granted), now))    // and counted when the owner is back
+	now = now.Add(9 * time.Minute)                                        // within the retention period
+	is.True(!owner.GrantCount("a", "third", now) && !owner.GrantCount("c", "x", now))
+	is.True(!owner.GrantCount("a", "third", testStart.Add(15*time.Minute))) // in the older generation; asking does not extend it
 	now = testStart.Add(25 * time.Minute)
-	is.True(owner.Grant("a", "third", now)) // expired
+	is.True(owner.GrantCount("a", "third", now)) // expired
 
 	full := testReporter(claimShards, 100) // one claim per shard
 	for i := range 1000 {
-		full.Record(testAnswer(fmt.Sprint(i), "check", "t", Own), now)
+		full.Record(testAnswer(fmt.Sprint(i), "check", "t", KeyOwner), now)
 	}
 	batch, _ := full.Batch(now, true)
 	counts := countsOf(batch.minutes[len(batch.minutes)-1])[Series{"check", "t"}]
@@ -77,8 +77,8 @@
 	is := is.New(t)
 	reporter := testReporter(1<<20, countShards)
 	for i := range 5000 {
-		reporter.Record(testAnswer("", fmt.Sprintf("kind-%d", i), "t", Own), testStart)
-		reporter.Record(testAnswer("", "check", fmt.Sprintf("team-%d", i), Own), testStart)
+		reporter.Record(testAnswer("", fmt.Sprintf("kind-%d", i), "t", KeyOwner), testStart)
+		reporter.Record(testAnswer("", "check", fmt.Sprintf("team-%d", i), KeyOwner), testStart)
 	}
 	batch, ok := reporter.Batch(testStart, true)
 	is.True(ok)
@@ -100,7 +100,7 @@
 	is := is.New(t)
 	reporter := testReporter(1, 1<<20)
 	for i := range 30_000 {
-		reporter.Record(testAnswer("", "check", fmt.Sprint(i%15_000), Own), testStart.Add(time.Duration(i/15_000)*time.Minute))
+		reporter.Record(testAnswer("", "check", fmt.Sprint(i%15_000), KeyOwner), testStart.Add(time.Duration(i/15_000)*time.Minute))
 	}
 	end := testStart.Add(time.Minute)
 	for part := range 2 {
@@ -117,20 +117,20 @@
 // Guards against answers that are lost or counted twice while a batch is collected.
 func TestRecordDuringBatches(t *testing.T) {
 	is := is.New(t)
-	reporter, ledger := testReporter(1<<20, 1000), NewLedger()
+	reporter, aggregator := testReporter(1<<20, 1000), NewAggregator()
 	const workers, each = 8, 2000
 	var group sync.WaitGroup
 	for worker := range workers {
 		group.Go(func() {
 			for i := range each {
 				now := testStart.Add(time.Duration(i) * 200 * time.Millisecond)
-				reporter.Record(testAnswer("", "check", fmt.Sprintf("team-%d", (worker+i)%50), Own), now)
+				reporter.Record(testAnswer("", "check", fmt.Sprintf("team-%d", (worker+i)%50), KeyOwner), now)
 			}
 		})
 	}
 	for i := range 400 {
 		if batch, ok := reporter.Batch(testStart.Add(time.Duration(i)*time.Second), false); ok {
-			ledger.Add(batch, testStart.Add(time.Hour))
+			aggregator.Add(batch, testStart.Add(time.Hour))
 			if i%2 == 0 {
 				reporter.Acknowledge(batch)
 			}
@@ -142,10 +142,10 @@
 		if !ok {
 			break
 		}
-		ledger.Add(batch, now)
+		aggregator.Add(batch, now)
 		reporter.Acknowledge(batch)
 	}
-	report := ledger.Report(testStart.Add(time.Hour))
+	report := aggregator.Report(testStart.Add(time.Hour))
 	is.Equal(report.Rows[0].burn(6*time.Hour).Answers, uint64(workers*each))
 }
 
@@ -194,7 +194,7 @@
 	f.Add([]byte(hostile(2, 0, 0, 1, 1, 0, 0, 1, 1)))
 	f.Add([]byte(hostile(1, 0, 0, 64)))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		batch, err := Decode(data)
+		batch, err := DecodeBatch(data)
 		if err != nil {
 			return
 		}
@@ -202,14 +202,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := Decode(first)
+		again, err := DecodeBatch(first)
 		if err != nil {
 			t.Fatalf("%s: %v", first, err)
 		}
 		if second, _ := again.Encode(); !bytes.Equal(first, second) {
 			t.Fatalf("%s became %s", first, second)
 		}
-		NewLedger().Add(batch, batch.minutes[0].minute.time())
+		NewAggregator().Add(batch, batch.minutes[0].minute.time())
 	})
 }
 
@@ -231,14 +231,14 @@
 		hostile(1, 0, 0, 1, 0x80, 0x80, 0x80, 0x08), // a count that could overflow a sum
 		`{"format":1,"incarnation":"x","objectives":[{"kind":"k","within-ms":1,"percent":100}]}`,
 	} {
-		_, err := Decode([]byte(record))
+		_, err := DecodeBatch([]byte(record))
 		is.True(err != nil) // the record is rejected
 	}
-	ledger := NewLedger()
-	ahead, err := Decode(fmt.Appendf(nil, `{"format":1,"incarnation":"x","from-minute":%d,"through-minute":%[1]d,"counts":"AA=="}`, minuteOf(testStart)+100))
+	aggregator := NewAggregator()
+	ahead, err := DecodeBatch(fmt.Appendf(nil, `{"format":1,"incarnation":"x","from-minute":%d,"through-minute":%[1]d,"counts":"AA=="}`, minuteOf(testStart)+100))
 	is.NoErr(err)
-	ledger.Add(ahead, testStart)
-	report := ledger.Report(testStart.Add(10 * time.Minute))
+	aggregator.Add(ahead, testStart)
+	report := aggregator.Report(testStart.Add(10 * time.Minute))
 	is.Equal(report.Unreadable, 1)
 	is.Equal(report.Coverage[0].CoveredMinutes, int64(0)) // its instance is shown as missing
 	is.Equal(report.Coverage[0].ExpectedMinutes, int64(5))
@@ -247,11 +247,11 @@
 // Guards against markup from a caller's kind or team in the page, references to other files, and gaps drawn as good.
 func TestPageIsSelfContained(t *testing.T) {
 	is := is.New(t)
-	reporter, ledger := testReporter(1000, 1000), NewLedger()
-	reporter.Record(testAnswer("", "check", "<script>alert(1)</script>", Own), testStart)
+	reporter, aggregator := testReporter(1000, 1000), NewAggregator()
+	reporter.Record(testAnswer("", "check", "<script>alert(1)</script>", KeyOwner), testStart)
 	batch, _ := reporter.Batch(testStart, true)
-	ledger.Add(batch, testStart)
-	report := ledger.Report(testStart.Add(time.Hour))
+	aggregator.Add(batch, testStart)
+	report := aggregator.Report(testStart.Add(time.Hour))
 	var page, text bytes.Buffer
 	is.NoErr(report.WriteHTML(&page))
 	is.NoErr(report.WriteText(&text))
@@ -259,5 +259,5 @@
 	is.True(!strings.Contains(page.String(), "http"))
 	is.True(strings.Contains(page.String(), "<polyline") && strings.Contains(page.String(), "<rect"))
 	is.True(strings.Contains(text.String(), "missing"))
-	is.Equal(report.Worst(), Ticket) // the one answer failed, but longer ago than the short window of a page
+	is.Equal(report.WorstVerdict(), Ticket) // the one answer failed, but longer ago than the short window of a page
 }
--- a/reporter/seal_test.go
+++ b/reporter/seal_test.go
@@ -12,20 +12,20 @@
 func TestDamagedRecordsAreRejected(t *testing.T) {
 	is := is.New(t)
 	reporter := testReporter(1000, 1000)
-	reporter.Record(testAnswer("", "check", "team", Own), testStart)
+	reporter.Record(testAnswer("", "check", "team", KeyOwner), testStart)
 	batch, _ := reporter.Batch(testStart.Add(time.Minute), false)
 	data, err := batch.Encode()
 	is.NoErr(err)
-	_, err = Decode(data)
+	_, err = DecodeBatch(data)
 	is.NoErr(err)
 	for i := range data {
 		for bit := range 8 {
 			damaged := append([]byte(nil), data...)
 			damaged[i] ^= 1 << bit
-			_, err := Decode(damaged)
+			_, err := DecodeBatch(damaged)
 			is.True(err != nil) // one changed bit
 		}
-		_, err := Decode(data[:i])
+		_, err := DecodeBatch(data[:i])
 		is.True(err != nil) // cut
 	}
 }
@@ -33,14 +33,14 @@
 // Guards against incarnations and objectives without bound from a faulty writer.
 func TestLedgerIsBounded(t *testing.T) {
 	is := is.New(t)
-	ledger := NewLedger()
+	aggregator := NewAggregator()
 	for i := range maxLedgerIncarnations + 10 {
 		name := Series{Kind: string(rune(0x1000 + i))}.Kind
-		ledger.Add(Batch{incarnation: name, minutes: []closedMinute{{minute: minuteOf(testStart)}}, objectives: map[string]Objective{name: {}}}, testStart)
+		aggregator.Add(Batch{incarnation: name, minutes: []closedMinute{{minute: minuteOf(testStart)}}, objectives: map[string]Objective{name: {}}}, testStart)
 	}
-	is.Equal(len(ledger.incarnations), maxLedgerIncarnations)
-	is.Equal(len(ledger.objectives), maxLedgerSeries)
-	is.Equal(ledger.unreadable, 10) // reports name the records that were left out
+	is.Equal(len(aggregator.incarnations), maxLedgerIncarnations)
+	is.Equal(len(aggregator.objectives), maxLedgerSeries)
+	is.Equal(aggregator.unreadable, 10) // reports name the records that were left out
 }
 
 // Guards against a crash or a count without bound from an hourly sum that is well formed but hostile.
@@ -53,11 +53,11 @@
 		if err != nil {
 			return
 		}
-		ledger := NewLedger()
-		if ledger.AddSum(sum, testStart) {
+		aggregator := NewAggregator()
+		if aggregator.AddSum(sum, testStart) {
 			is.New(t).Equal(sum.last(), min(sum.last(), minuteOf(testStart)+maxAheadMinutes))
-			is.New(t).True(len(sum.runs) == 0 || len(sum.runs[0].minutes) == 0 || !ledger.AddSum(sum, testStart) || sum.last() < 0)
+			is.New(t).True(len(sum.runs) == 0 || len(sum.runs[0].minutes) == 0 || !aggregator.AddSum(sum, testStart) || sum.last() < 0)
 		}
-		ledger.Report(testStart)
+		aggregator.Report(testStart)
 	})
 }
--- a/reporter/sum.go
+++ b/reporter/sum.go
@@ -25,9 +25,9 @@
 	maxSumCovered = 1_000_000
 )
 
-// Sum holds the answers of a run of consecutive records of stream burn, added up over the instances by the minute. Each
+// HourlySum holds the answers of a run of consecutive records of stream burn, added up over the instances by the minute. Each
 // minute of an incarnation is listed, so that a ledger can tell whether a sum repeats what it has counted.
-type Sum struct {
+type HourlySum struct {
 	hour       minute // the hour for which it was appended
 	from, next int64  // the offsets of the first record and after the last one
 	unreadable int
@@ -51,16 +51,16 @@
 }
 
 // From returns the offset of the first record of stream burn that is in the sum.
-func (sum Sum) From() int64 { return sum.from }
+func (sum HourlySum) From() int64 { return sum.from }
 
 // Next returns the offset after the last record of stream burn that is in the sum.
-func (sum Sum) Next() int64 { return sum.next }
+func (sum HourlySum) Next() int64 { return sum.next }
 
 // Hour returns the start of the hour for which the sum was appended.
-func (sum Sum) Hour() time.Time { return sum.hour.time() }
+func (sum HourlySum) Hour() time.Time { return sum.hour.time() }
 
 // last returns the latest minute that the sum names anywhere.
-func (sum Sum) last() minute {
+func (sum HourlySum) last() minute {
 	last := minute(-1)
 	for _, closed := range sum.minutes {
 		last = max(last, closed.minute)
@@ -79,24 +79,24 @@
 // AddSum adds a sum, read at now, and reports whether it did. A sum that holds any minute of an incarnation that is
 // already counted, or minutes in the future, or more incarnations than there is room for, is left out as a whole; the
 // caller then adds the records of its range.
-func (ledger *Ledger) AddSum(sum Sum, now time.Time) bool {
+func (aggregator *Aggregator) AddSum(sum HourlySum, now time.Time) bool {
 	if sum.last() > minuteOf(now)+maxAheadMinutes {
 		return false
 	}
 	unknown := 0
 	for _, run := range sum.runs {
-		covered := ledger.incarnations[run.incarnation]
+		covered := aggregator.incarnations[run.incarnation]
 		if covered == nil {
 			unknown++
 		} else if slices.ContainsFunc(run.minutes, covered.has) {
 			return false
 		}
 	}
-	if len(ledger.incarnations)+unknown > maxLedgerIncarnations {
+	if len(aggregator.incarnations)+unknown > maxLedgerIncarnations {
 		return false
 	}
 	for _, run := range sum.runs {
-		covered := ledger.incarnation(run.domain, run.instance, run.incarnation, run.first)
+		covered := aggregator.incarnation(run.domain, run.instance, run.incarnation, run.first)
 		covered.first = min(covered.first, run.first)
 		covered.final = covered.final || run.final
 		for _, at := range run.minutes {
@@ -104,11 +104,11 @@
 		}
 	}
 	for kind, set := range sum.objectives {
-		ledger.setObjectiveAt(kind, set.objective, set.at)
+		aggregator.setObjectiveAt(kind, set.objective, set.at)
 	}
-	ledger.unreadable += sum.unreadable
+	aggregator.unreadable += sum.unreadable
 	for _, closed := range sum.minutes {
-		ledger.count(closed)
+		aggregator.count(closed)
 	}
 	return true
 }
@@ -145,7 +145,7 @@
 }
 
 // Encode returns the record to append to stream burn-hours.
-func (sum Sum) Encode() ([]byte, error) {
+func (sum HourlySum) Encode() ([]byte, error) {
 	record := sumRecord{Format: sumFormat, Hour: sum.hour, From: sum.from, Next: sum.next, Unreadable: sum.unreadable}
 	for _, run := range sum.runs {
 		record.Runs = append(record.Runs, runRecord{
@@ -191,29 +191,29 @@
 }
 
 // DecodeSum returns the sum in a record of stream burn-hours, or an error if any part of it is out of bounds.
-func DecodeSum(data []byte) (Sum, error) {
+func DecodeSum(data []byte) (HourlySum, error) {
 	data, counts, err := unseal(data)
 	if err != nil {
-		return Sum{}, err
+		return HourlySum{}, err
 	}
 	if counts == nil {
-		return Sum{}, eris.New("an hourly burn sum has no checksum")
+		return HourlySum{}, eris.New("an hourly burn sum has no checksum")
 	}
 	record := sumRecord{Counts: counts}
 	if err := json.Unmarshal(data, &record); err != nil {
-		return Sum{}, eris.Wrap(err, "decoding an hourly burn sum")
+		return HourlySum{}, eris.Wrap(err, "decoding an hourly burn sum")
 	}
 	if record.Format != sumFormat || record.From < 0 || record.Next <= record.From || record.Unreadable < 0 || len(record.Runs) > maxSumRuns {
-		return Sum{}, eris.Errorf("hourly burn sum of format %d for records %d to %d is out of bounds", record.Format, record.From, record.Next)
+		return HourlySum{}, eris.Errorf("hourly burn sum of format %d for records %d to %d is out of bounds", record.Format, record.From, record.Next)
 	}
-	sum := Sum{
+	sum := HourlySum{
 		hour: record.Hour, from: record.From, next: record.Next, unreadable: record.Unreadable,
 		objectives: make(map[string]objectiveAt),
 	}
 	for _, entry := range record.Objectives {
 		objective, err := NewObjective(time.Duration(entry.WithinMS)*time.Millisecond, entry.Percent)
 		if err != nil {
-			return Sum{}, eris.Wrapf(err, "hourly burn sum, kind %s", entry.Kind)
+			return HourlySum{}, eris.Wrapf(err, "hourly burn sum, kind %s", entry.Kind)
 		}
 		sum.objectives[entry.Kind] = objectiveAt{objective: objective, at: entry.At}
 	}
@@ -221,7 +221,7 @@
 }
 
 // readInto fills the runs and the minutes of sum.
-func (record sumRecord) readInto(sum *Sum) error {
+func (record sumRecord) readInto(sum *HourlySum) error {
 	seen, room := make(map[string]bool), maxSumCovered
 	for _, entry := range record.Runs {
 		minutes, ok := readMinutes(entry.Minutes, room)
--- a/reporter/sum_test.go
+++ b/reporter/sum_test.go
@@ -22,42 +22,42 @@
 
 // summing is one summer; it trusts the sums that it has read.
 type summing struct {
-	summer      *Summer
+	summer      *SumBuilder
 	next, hours int
 }
 
 // read adds the minute records from next to before until to ledger.
-func (world *sumWorld) read(ledger *Ledger, next *int, until int) {
+func (world *sumWorld) read(aggregator *Aggregator, next *int, until int) {
 	for *next = max(*next, min(world.trimmed, until)); *next < until; *next++ {
-		if batch, err := Decode(world.log[*next]); err == nil {
-			ledger.Add(batch, world.now)
+		if batch, err := DecodeBatch(world.log[*next]); err == nil {
+			aggregator.Add(batch, world.now)
 		} else {
-			ledger.AddUnreadable()
+			aggregator.AddUnreadable()
 		}
 	}
 }
 
 // readSums follows the rule of package accountant.
-func (world *sumWorld) readSums(ledger *Ledger, next, hours *int) {
+func (world *sumWorld) readSums(aggregator *Aggregator, next, hours *int) {
 	for ; *hours < len(world.hours); *hours++ {
 		sum, err := DecodeSum(world.hours[*hours])
 		if err != nil || int(sum.From()) < *next {
 			continue
 		}
-		world.read(ledger, next, int(sum.From()))
-		if ledger.AddSum(sum, world.now) {
+		world.read(aggregator, next, int(sum.From()))
+		if aggregator.AddSum(sum, world.now) {
 			*next = int(sum.Next())
 		} else {
-			world.read(ledger, next, int(sum.Next()))
+			world.read(aggregator, next, int(sum.Next()))
 		}
 	}
 }
 
 // sum appends the sum of what a summer sees, which may be less than the log holds.
 func (world *sumWorld) sum(summing *summing) {
-	world.readSums(summing.summer.Ledger, &summing.next, &summing.hours)
+	world.readSums(summing.summer.Aggregator, &summing.next, &summing.hours)
 	if world.forgets && world.IntN(5) == 0 {
-		summing.summer = NewSummer()
+		summing.summer = NewSumBuilder()
 	}
 	from := max(summing.next, world.trimmed)
 	until := len(world.log) - world.IntN(3)
@@ -68,7 +68,7 @@
 	for offset := from; offset < until; offset++ {
 		summing.summer.AddRecord(int64(offset), world.log[offset], world.now)
 	}
-	sum, _ := summing.summer.Cut(world.now)
+	sum, _ := summing.summer.Build(world.now)
 	data, err := sum.Encode()
 	if err != nil {
 		panic(err)
@@ -79,7 +79,7 @@
 	*summing = newSumming()
 }
 
-func newSumming() summing { return summing{summer: NewSummer()} }
+func newSumming() summing { return summing{summer: NewSumBuilder()} }
 
 func (world *sumWorld) damage(records [][]byte) {
 	if len(records) == 0 {
@@ -97,9 +97,9 @@
 
 // simulateSums plays the records of a simulation into a log while two summers sum it; records repeat, come late and
 // are damaged before anybody reads them.
-func simulateSums(seed uint64, steps int, forgets bool) (*sumWorld, *Ledger) {
+func simulateSums(seed uint64, steps int, forgets bool) (*sumWorld, *Aggregator) {
 	world := &sumWorld{Rand: rand.New(rand.NewPCG(seed, 2)), now: testStart, forgets: forgets}
-	naive := NewLedger()
+	naive := NewAggregator()
 	naive.SetComplete(true)
 	summers := []summing{newSumming(), newSumming()}
 	var delayed [][]byte
@@ -137,7 +137,7 @@
 	}
 	world.now = world.now.Add(time.Minute)
 	for _, data := range world.log {
-		if batch, err := Decode(data); err == nil {
+		if batch, err := DecodeBatch(data); err == nil {
 			naive.Add(batch, world.now)
 		} else {
 			naive.AddUnreadable()
@@ -175,12 +175,12 @@
 		if seed%4 == 3 {
 			world.damage(world.hours) // after other summers have built on it
 		}
-		ledger, next, hours := NewLedger(), 0, 0
-		ledger.SetComplete(true)
-		world.readSums(ledger, &next, &hours)
+		aggregator, next, hours := NewAggregator(), 0, 0
+		aggregator.SetComplete(true)
+		world.readSums(aggregator, &next, &hours)
 		used += next
-		world.read(ledger, &next, len(world.log))
-		if got, want := ledger.Report(world.now), naive.Report(world.now); !reflect.DeepEqual(got, want) {
+		world.read(aggregator, &next, len(world.log))
+		if got, want := aggregator.Report(world.now), naive.Report(world.now); !reflect.DeepEqual(got, want) {
 			t.Errorf("seed %d: the report is\n%+v, naive\n%+v", seed, got, want)
 		}
 	}
@@ -196,7 +196,7 @@
 		world.trimmed = len(world.log) * 9 / 10
 		dropped := int(seed) % 5
 		world.hours = world.hours[min(dropped, len(world.hours)):]
-		want, held := NewLedger(), make(map[int]bool)
+		want, held := NewAggregator(), make(map[int]bool)
 		for next, hours := 0, 0; hours < len(world.hours); hours++ {
 			sum, err := DecodeSum(world.hours[hours])
 			is.NoErr(err)
@@ -207,14 +207,14 @@
 			}
 		}
 		for offset, data := range world.log {
-			if batch, err := Decode(data); (held[offset] || offset >= world.trimmed) && err == nil {
+			if batch, err := DecodeBatch(data); (held[offset] || offset >= world.trimmed) && err == nil {
 				want.Add(batch, world.now)
 			}
 		}
-		ledger, next, hours := NewLedger(), 0, 0
-		world.readSums(ledger, &next, &hours)
-		world.read(ledger, &next, len(world.log))
-		report, bound := ledger.Report(world.now), want.Report(world.now)
+		aggregator, next, hours := NewAggregator(), 0, 0
+		world.readSums(aggregator, &next, &hours)
+		world.read(aggregator, &next, len(world.log))
+		report, bound := aggregator.Report(world.now), want.Report(world.now)
 		for i, coverage := range report.Coverage {
 			// A sum leaves out a minute that an earlier, trimmed one holds, so there may be fewer but never more.
 			is.True(coverage.CoveredMinutes <= bound.Coverage[i].CoveredMinutes)
--- a/server/burn.go
+++ b/server/burn.go
@@ -19,7 +19,7 @@
 		Instance:    server.self.Name,
 		Incarnation: server.self.Incarnation,
 		Retention:   retention,
-		MaxClaims:   maxRecords,
+		MaxKeys:     maxRecords,
 		MaxSeries:   maxBurnSeries,
 	}, server.log, server.logger)
 }
@@ -51,18 +51,18 @@
 	now := time.Now()
 	grant := request.grant
 	if _, unknown := outcome.(dispatcher.Unknown); unknown {
-		grant = reporter.Unasked
+		grant = reporter.Undecided
 	}
 	server.accountant.Record(reporter.NewAnswer(exchange.job, outcome, now.Sub(exchange.received), grant), now)
 }
 
 // grantCount reports whether the instance to which the caller sent the request may count it.
 func (server *Server) grantCount(request *request) bool {
-	if request.grant != reporter.Own {
+	if request.grant != reporter.KeyOwner {
 		// The owner is another instance, which has already decided.
 		return request.grant == reporter.Granted
 	}
-	return request.origin != "" && server.accountant.Grant(request.job.Key(), request.origin, time.Now())
+	return request.origin != "" && server.accountant.GrantCount(request.job.Key(), request.origin, time.Now())
 }
 
 // handleBurn returns the handler of the burn report.
--- a/server/burn_test.go
+++ b/server/burn_test.go
@@ -28,19 +28,19 @@
 	}
 	submit(2, prefix+"third", `{"kind":"other","team":"demo","tasks":[{"name":"a","payload":{}}]}`)
 
-	ledger := reporter.NewLedger()
-	ledger.SetComplete(true)
+	aggregator := reporter.NewAggregator()
+	aggregator.SetComplete(true)
 	now := time.Now().Add(time.Minute)
 	for _, server := range servers {
 		// An answer is counted after it is written, so the caller may receive it slightly earlier.
 		waitFor(t, func() bool { return server.drainer.inFlight() == 0 })
 		if batch, ok := server.accountant.Batch(now, true); ok {
-			ledger.Add(batch, now)
+			aggregator.Add(batch, now)
 		}
 	}
 	counts := make(map[string]uint64)
 	// A report ends a few minutes before its time, to give instances time to append.
-	for _, row := range ledger.Report(now.Add(5 * time.Minute)).Rows {
+	for _, row := range aggregator.Report(now.Add(5 * time.Minute)).Rows {
 		if row.Team == "" {
 			counts[row.Kind] = row.Burns[len(row.Burns)-1].Answers
 		}
--- a/server/forward.go
+++ b/server/forward.go
@@ -113,7 +113,7 @@
 			return outcome
 		}
 	}
-	request.grant = reporter.Unasked
+	request.grant = reporter.Undecided
 	server.logger.Warn("forward not answered", "job", request.job.Key(), "error", eris.ToString(err, false))
 	return dispatcher.NewUnknown("the instance that decides this key gave no answer; retry")
 }
--- a/server/submit.go
+++ b/server/submit.go
@@ -99,7 +99,7 @@
 
 // attempt decides the job once. A nil outcome means that the job must be submitted again.
 func (server *Server) attempt(ctx context.Context, request *request) dispatcher.Outcome {
-	request.grant = reporter.Own
+	request.grant = reporter.KeyOwner
 	if outcome := server.forwardToHome(ctx, request); outcome != nil {
 		return outcome
 	}
