--- a/accountant/accountant_test.go
+++ b/accountant/accountant_test.go
@@ -44,7 +44,7 @@
 	client := appender.New(strings.TrimPrefix(server.URL, "http://"))
 	now := time.Unix(1_800_000_000, 0)
 	first := newTestAccountant(client, "run-1", now)
-	for _, fault := range []emulator.LogFault{emulator.LogHealthy, emulator.LogLosesAnswers, emulator.LogDown, emulator.LogLosesAnswers, emulator.LogHealthy} {
+	for _, fault := range []emulator.LogFault{emulator.LogHealthy, emulator.LogLosesResponses, emulator.LogDown, emulator.LogLosesResponses, emulator.LogHealthy} {
 		log.SetFault(fault)
 		first.Record(answer(dispatcher.Complete{}, 100*time.Millisecond), now)
 		first.Record(answer(dispatcher.Complete{}, time.Second), now)
--- a/accountant/sum_appender_test.go
+++ b/accountant/sum_appender_test.go
@@ -34,7 +34,7 @@
 		}
 		for range 300 {
 			now = now.Add(time.Duration(1+random.IntN(12)) * time.Minute)
-			log.SetFault([]emulator.LogFault{emulator.LogHealthy, emulator.LogHealthy, emulator.LogLosesAnswers, emulator.LogDown}[random.IntN(4)])
+			log.SetFault([]emulator.LogFault{emulator.LogHealthy, emulator.LogHealthy, emulator.LogLosesResponses, emulator.LogDown}[random.IntN(4)])
 			for i, accountant := range accountants {
 				accountant.Record(answer(dispatcher.Complete{}, time.Duration(random.IntN(1000))*time.Millisecond), now)
 				_ = accountant.flushAll(context.Background(), now, false)
--- a/appender/appender.go
+++ b/appender/appender.go
@@ -35,8 +35,8 @@
 	Records []Record `json:"records"`
 }
 
-// Appended is the log's answer to an append.
-type Appended struct {
+// AppendResponse is the log's answer to an append.
+type AppendResponse struct {
 	Offset int64 `json:"offset"`
 }
 
@@ -59,11 +59,11 @@
 	}
 	// Without GetBody, net/http cannot send the append a second time on its own.
 	request.GetBody = nil
-	var appended Appended
-	if err := appender.do(request, http.StatusCreated, &appended); err != nil {
+	var response AppendResponse
+	if err := appender.do(request, http.StatusCreated, &response); err != nil {
 		return 0, eris.Wrapf(err, "appending to stream %s", stream)
 	}
-	return appended.Offset, nil
+	return response.Offset, nil
 }
 
 // Read returns the records of stream from offset from on, waiting up to wait for the first one.
--- a/bundler/bench_test.go
+++ b/bundler/bench_test.go
@@ -101,13 +101,13 @@
 func BenchmarkFold(b *testing.B) {
 	eachSize(b, func(b *testing.B, text string) {
 		bundler := New(testKeys)
-		bundler.Fold(page(0, signed(text, noOffset)), start)
+		bundler.ApplyPage(page(0, signed(text, noOffset)), start)
 		data := encode(signed(largeText(2, strings.Count(text, "[target")), 0))
 		b.ResetTimer()
 		for b.Loop() {
 			next := New(testKeys)
 			next.current, next.through, next.next = bundler.current, 0, 1
-			next.Fold(Page{Next: 2, Entries: []Entry{{Offset: 1, Data: data}}}, start)
+			next.ApplyPage(Page{Next: 2, Entries: []Entry{{Offset: 1, Data: data}}}, start)
 			if next.Snapshot().Bundle().Version() != 2 {
 				b.Fatal("the change is not in force")
 			}
@@ -143,7 +143,7 @@
 					if text.part != "" {
 						changed = bundlers[1]
 					}
-					changed.Fold(Page{Next: 1, Entries: []Entry{{Data: data}}}, start)
+					changed.ApplyPage(Page{Next: 1, Entries: []Entry{{Data: data}}}, start)
 					if changed.Snapshot() == nil {
 						b.Fatal("the change is not in force")
 					}
@@ -167,7 +167,7 @@
 	b.ResetTimer()
 	for b.Loop() {
 		bundler := New(testKeys)
-		bundler.Fold(Page{Next: changes, Entries: entries}, start)
+		bundler.ApplyPage(Page{Next: changes, Entries: entries}, start)
 		if bundler.Snapshot().Bundle().Version() != changes {
 			b.Fatal("the last change is not in force")
 		}
--- a/bundler/bundler.go
+++ b/bundler/bundler.go
@@ -110,15 +110,15 @@
 // Snapshot returns the bundle in force, or nil if none is proved; it never blocks.
 func (bundler *Bundler) Snapshot() *Snapshot { return bundler.snapshot.Load() }
 
-// Next returns the offset from which the log must be read next.
-func (bundler *Bundler) Next() int64 {
+// NextOffset returns the offset from which the log must be read next.
+func (bundler *Bundler) NextOffset() int64 {
 	bundler.mu.Lock()
 	defer bundler.mu.Unlock()
 	return bundler.next
 }
 
-// Fold takes a page read from the offset Next and returns what became of its records.
-func (bundler *Bundler) Fold(page Page, now time.Time) []Event {
+// ApplyPage takes a page read from the offset Next and returns what became of its records.
+func (bundler *Bundler) ApplyPage(page Page, now time.Time) []Event {
 	bundler.mu.Lock()
 	defer bundler.mu.Unlock()
 	var events []Event
@@ -140,8 +140,8 @@
 	return events
 }
 
-// Take takes an offer of a peer and returns an error if it is older than the bundle in force or not proved.
-func (bundler *Bundler) Take(offer Offer, now time.Time) ([]Event, error) {
+// HandleOffer takes an offer of a peer and returns an error if it is older than the bundle in force or not proved.
+func (bundler *Bundler) HandleOffer(offer Offer, now time.Time) ([]Event, error) {
 	bundler.mu.Lock()
 	defer bundler.mu.Unlock()
 	if offer.Offset < 0 || offer.Through < offer.Offset {
@@ -210,7 +210,7 @@
 		return []Event{bundler.replace(entry.Offset, record, now)}
 	default:
 		bundler.wait(entry.Offset, record)
-		return []Event{{Offset: entry.Offset, Verdict: VerdictWaiting, Record: record}}
+		return []Event{{Offset: entry.Offset, Decision: DecisionWaiting, Record: record}}
 	}
 }
 
@@ -222,7 +222,7 @@
 	}
 	bundler.current = &Snapshot{bundle: bundle, record: record, offset: offset}
 	bundler.renewedAt = now
-	return Event{Offset: offset, Verdict: VerdictInForce, Record: record}
+	return Event{Offset: offset, Decision: DecisionInForce, Record: record}
 }
 
 // check returns the record's bundle if it may replace the current one; the cheap tests come first.
@@ -248,7 +248,7 @@
 func (bundler *Bundler) renew(offset int64, record Record, now time.Time) []Event {
 	if current := bundler.current; current != nil && record.Renewal.Offset == current.offset && record.Text == current.record.Text {
 		bundler.renewedAt = now
-		return append([]Event{{Offset: offset, Verdict: VerdictRenewal, Record: record}}, bundler.extend(record.Renewal.Through, now)...)
+		return append([]Event{{Offset: offset, Decision: DecisionRenewal, Record: record}}, bundler.extend(record.Renewal.Through, now)...)
 	}
 	renewal := *record.Renewal
 	record.Renewal = nil
@@ -257,7 +257,7 @@
 		return []Event{ignored(offset, record, err)}
 	}
 	bundler.renewedAt = now
-	return append([]Event{{Offset: offset, Verdict: VerdictRenewal, Record: record}}, events...)
+	return append([]Event{{Offset: offset, Decision: DecisionRenewal, Record: record}}, events...)
 }
 
 // adopt takes over a bundle that is in force elsewhere. Lint does not apply: whoever had it in force had its
@@ -285,7 +285,7 @@
 	}
 	bundler.current = &Snapshot{bundle: bundle, record: record, offset: renewal.Offset}
 	bundler.through = renewal.Through
-	events := []Event{{Offset: renewal.Offset, Verdict: VerdictInForce, Record: record}}
+	events := []Event{{Offset: renewal.Offset, Decision: DecisionInForce, Record: record}}
 	return append(events, bundler.connect(now)...), nil
 }
 
--- a/bundler/composer_test.go
+++ b/bundler/composer_test.go
@@ -39,18 +39,18 @@
 		return fmt.Sprintf("%d/%d %s", bundle.Version(), bundle.PartVersion(), bundle.Targets()[0].Name())
 	}
 	is.Equal(compose(), "")
-	common.Fold(page(0, v1), start)
+	common.ApplyPage(page(0, v1), start)
 	is.Equal(compose(), "1/0 runner-1") // an unsplit bundle needs no part
-	common.Fold(page(1, signed(splitText(2), 0)), start)
+	common.ApplyPage(page(1, signed(splitText(2), 0)), start)
 	is.Equal(compose(), "1/0 runner-1") // the bundle before stays until the part is there
-	part.Fold(page(0, signed(partText(5, "srt", "foreign"), noOffset), signed(partText(1, "hanoi-a", "w-1"), noOffset)), start)
+	part.ApplyPage(page(0, signed(partText(5, "srt", "foreign"), noOffset), signed(partText(1, "hanoi-a", "w-1"), noOffset)), start)
 	is.Equal(compose(), "2/1 w-1")
-	part.Fold(page(2, signed(partText(2, "hanoi-a", "w-2"), 1)), start)
+	part.ApplyPage(page(2, signed(partText(2, "hanoi-a", "w-2"), 1)), start)
 	is.Equal(compose(), "2/2 w-2")
-	_, err := common.Take(Offer{Record: signed(partText(9, "hanoi-a", "w-9"), noOffset), Offset: 50, Through: 50}, start)
+	_, err := common.HandleOffer(Offer{Record: signed(partText(9, "hanoi-a", "w-9"), noOffset), Offset: 50, Through: 50}, start)
 	is.True(err != nil) // a part does not count as a common bundle
 	is.Equal(compose(), "2/2 w-2")
-	common.Fold(page(2, signed(bundleText(3, "joined"), 1)), start)
+	common.ApplyPage(page(2, signed(bundleText(3, "joined"), 1)), start)
 	is.Equal(compose(), "3/0 runner-1") // joined again
 }
 
--- a/bundler/event.go
+++ b/bundler/event.go
@@ -6,26 +6,26 @@
 	"github.com/rotisserie/eris"
 )
 
-// Verdict is what became of a record.
-type Verdict string
+// Decision is what became of a record.
+type Decision string
 
 // Verdicts on a record.
 const (
-	// VerdictInForce means that the record replaced the bundle in force.
-	VerdictInForce Verdict = "in force"
-	// VerdictRenewal means that the record repeats the bundle in force.
-	VerdictRenewal Verdict = "renewal"
-	// VerdictWaiting means that trimmed records must be accounted for first.
-	VerdictWaiting Verdict = "waiting"
-	// VerdictIgnored means that the record has no effect.
-	VerdictIgnored Verdict = "ignored"
+	// DecisionInForce means that the record replaced the bundle in force.
+	DecisionInForce Decision = "in force"
+	// DecisionRenewal means that the record repeats the bundle in force.
+	DecisionRenewal Decision = "renewal"
+	// DecisionWaiting means that trimmed records must be accounted for first.
+	DecisionWaiting Decision = "waiting"
+	// DecisionIgnored means that the record has no effect.
+	DecisionIgnored Decision = "ignored"
 )
 
 // Event is the verdict on the record at one offset.
 type Event struct {
-	Offset  int64
-	Verdict Verdict
-	Record  Record
+	Offset   int64
+	Decision Decision
+	Record   Record
 	// Reason says why a record is ignored.
 	Reason string
 }
@@ -33,7 +33,7 @@
 // String returns the event as one line for an operator.
 func (event Event) String() string {
 	line := fmt.Sprintf("offset %d: version %d by %s, approved by %s: %s",
-		event.Offset, event.Record.Version, signerName(event.Record.Author), signerName(event.Record.Approver), event.Verdict)
+		event.Offset, event.Record.Version, signerName(event.Record.Author), signerName(event.Record.Approver), event.Decision)
 	if event.Reason != "" {
 		line += ": " + event.Reason
 	}
@@ -49,7 +49,7 @@
 }
 
 func ignored(offset int64, record Record, err error) Event {
-	return Event{Offset: offset, Verdict: VerdictIgnored, Record: record, Reason: eris.ToString(err, false)}
+	return Event{Offset: offset, Decision: DecisionIgnored, Record: record, Reason: eris.ToString(err, false)}
 }
 
 func describeOffset(offset int64) string {
--- a/bundler/fold_test.go
+++ b/bundler/fold_test.go
@@ -130,16 +130,16 @@
 func play(follower follower, steps []step) (int, string) {
 	for i, step := range steps {
 		if step.offer != nil {
-			_, _ = follower.Take(*step.offer, start)
+			_, _ = follower.HandleOffer(*step.offer, start)
 		} else {
 			fresh := step.page
 			fresh.Entries = nil
 			for _, entry := range step.page.Entries {
-				if entry.Offset >= follower.Next() {
+				if entry.Offset >= follower.NextOffset() {
 					fresh.Entries = append(fresh.Entries, entry)
 				}
 			}
-			follower.Fold(fresh, start)
+			follower.ApplyPage(fresh, start)
 		}
 		if got := inForce(follower); got != step.want {
 			return i, got
@@ -166,18 +166,18 @@
 func TestPublicationRace(t *testing.T) {
 	is := is.New(t)
 	bundler := New(testKeys)
-	bundler.Fold(page(0, v1), start)
+	bundler.ApplyPage(page(0, v1), start)
 	winner, err := bundler.Publish(v2)
 	is.NoErr(err)
 	loser, err := bundler.Publish(v2Loser)
 	is.NoErr(err)
 	_, ok := winner.Observe(nil)
 	is.True(!ok) // nothing read yet
-	events := bundler.Fold(Page{Next: 3, Entries: []Entry{{Offset: 1, Data: winner.Data()}, {Offset: 2, Data: loser.Data()}}}, start)
+	events := bundler.ApplyPage(Page{Next: 3, Entries: []Entry{{Offset: 1, Data: winner.Data()}, {Offset: 2, Data: loser.Data()}}}, start)
 	won, _ := winner.Observe(events)
-	is.Equal(won, Won{offset: 1})
+	is.Equal(won, Published{offset: 1})
 	beaten, _ := loser.Observe(events)
-	is.Equal(beaten, Beaten{offset: 1, version: 2, author: "linh"})
+	is.Equal(beaten, Conflict{offset: 1, version: 2, author: "linh"})
 	_, err = bundler.Publish(v2Loser)
 	is.True(err != nil && strings.Contains(err.Error(), "2 is not above 2, the version in force")) // the loser must be rebased
 }
@@ -186,9 +186,9 @@
 func TestSnapshotOutlivesSwitch(t *testing.T) {
 	is := is.New(t)
 	bundler := New(testKeys)
-	bundler.Fold(page(0, v1), start)
+	bundler.ApplyPage(page(0, v1), start)
 	held := bundler.Snapshot()
-	bundler.Fold(page(0, v1, signed(strings.ReplaceAll(bundleText(2, "v2"), "loop-check", "circuit-plan"), 0)), start)
+	bundler.ApplyPage(page(0, v1, signed(strings.ReplaceAll(bundleText(2, "v2"), "loop-check", "circuit-plan"), 0)), start)
 	_, before := held.Bundle().Kind("loop-check")
 	_, after := bundler.Snapshot().Bundle().Kind("loop-check")
 	is.True(before && !after)
@@ -205,7 +205,7 @@
 	for i := range 50 {
 		opened := start.Truncate(window).Add(time.Duration(i+1) * window)
 		bundler := New(testKeys)
-		bundler.Fold(page(0, v1), opened.Add(-time.Second))
+		bundler.ApplyPage(page(0, v1), opened.Add(-time.Second))
 		due := 0
 		for moment := opened; moment.Before(opened.Add(window)); moment = moment.Add(10 * time.Millisecond) {
 			count := 0
@@ -221,7 +221,7 @@
 			due = count
 		}
 		is.Equal(due, len(names)) // every instance would take over in time
-		bundler.Fold(page(1, renewal(v1, 0, 0)), opened.Add(time.Second))
+		bundler.ApplyPage(page(1, renewal(v1, 0, 0)), opened.Add(time.Second))
 		is.True(!bundler.RenewalDue(opened.Add(window-1), "ahd", "a")) // the renewal serves the window
 	}
 	is.Equal(len(first), len(names)) // the work is shared
--- a/bundler/parse_test.go
+++ b/bundler/parse_test.go
@@ -174,8 +174,8 @@
 			t.Errorf("decoding again: got %+v, %v, want %+v", again, err, record)
 		}
 		bundler := New(testKeys)
-		bundler.Fold(page(0, v1), start)
-		bundler.Fold(Page{Next: 2, Entries: []Entry{{Offset: 1, Data: data}}}, start)
+		bundler.ApplyPage(page(0, v1), start)
+		bundler.ApplyPage(Page{Next: 2, Entries: []Entry{{Offset: 1, Data: data}}}, start)
 		if offer, _ := bundler.Offer(); offer.Offset == 1 && record.Text != v2.Text && record.Text != v2Loser.Text {
 			t.Errorf("a record came into force that nobody signed: %s", data)
 		}
--- a/bundler/publication.go
+++ b/bundler/publication.go
@@ -15,25 +15,25 @@
 // Outcome is what became of a publication: Won or Beaten.
 type Outcome interface{ isOutcome() }
 
-// Won means that the published bundle came into force at an offset.
-type Won struct{ offset int64 }
+// Published means that the published bundle came into force at an offset.
+type Published struct{ offset int64 }
 
-// Beaten means that another bundle replaced the one that the publication wanted to replace.
-type Beaten struct {
+// Conflict means that another bundle replaced the one that the publication wanted to replace.
+type Conflict struct {
 	offset  int64
 	version int64
 	author  string
 }
 
-func (Won) isOutcome()    {}
-func (Beaten) isOutcome() {}
+func (Published) isOutcome() {}
+func (Conflict) isOutcome()  {}
 
 // Offset returns the offset of the bundle in force.
-func (won Won) Offset() int64 { return won.offset }
+func (published Published) Offset() int64 { return published.offset }
 
 // String returns which version won, for an operator.
-func (beaten Beaten) String() string {
-	return fmt.Sprintf("version %d by %s at offset %d came first", beaten.version, beaten.author, beaten.offset)
+func (conflict Conflict) String() string {
+	return fmt.Sprintf("version %d by %s at offset %d came first", conflict.version, conflict.author, conflict.offset)
 }
 
 // Publish checks a signed record against the bundle in force and returns the publication that replaces it; the
@@ -70,14 +70,14 @@
 // the append is not needed.
 func (publication *Publication) Observe(events []Event) (Outcome, bool) {
 	for _, event := range events {
-		if event.Verdict != VerdictInForce {
+		if event.Decision != DecisionInForce {
 			continue
 		}
 		own := publication.record
 		if event.Record.Text == own.Text && event.Record.Author == own.Author && event.Record.Approver == own.Approver {
-			return Won{offset: event.Offset}, true
+			return Published{offset: event.Offset}, true
 		}
-		return Beaten{offset: event.Offset, version: event.Record.Version, author: event.Record.Author}, true
+		return Conflict{offset: event.Offset, version: event.Record.Version, author: event.Record.Author}, true
 	}
 	return nil, false
 }
--- a/bundler/schedule_test.go
+++ b/bundler/schedule_test.go
@@ -104,10 +104,10 @@
 
 func (world *world) operate(operator *publisher) {
 	page := Page{Earliest: world.earliest, Next: int64(len(world.log))}
-	for offset := max(operator.bundler.Next(), world.earliest); offset < page.Next; offset++ {
+	for offset := max(operator.bundler.NextOffset(), world.earliest); offset < page.Next; offset++ {
 		page.Entries = append(page.Entries, Entry{Offset: offset, Data: world.log[offset].data})
 	}
-	events := operator.bundler.Fold(page, world.now)
+	events := operator.bundler.ApplyPage(page, world.now)
 	switch {
 	case operator.publication == nil && world.chance(4):
 		version := int64(1 + world.random.IntN(2))
@@ -139,10 +139,10 @@
 	for _, entry := range world.log {
 		won = won || entry.inForce && entry.record.Text == publication.record.Text
 	}
-	if _, ok := outcome.(Beaten); ok {
+	if _, ok := outcome.(Conflict); ok {
 		world.beaten++
 	}
-	if _, ok := outcome.(Won); ok != won {
+	if _, ok := outcome.(Published); ok != won {
 		world.violations = append(world.violations, fmt.Sprintf("an operator is told %v, but it came into force: %t", outcome, won))
 	}
 }
@@ -213,10 +213,10 @@
 	if world.hearsLog(member) {
 		page := Page{Earliest: world.earliest, Next: int64(len(world.log))}
 		// Short pages show a reader in the middle of the log.
-		for offset := max(member.follower.Next(), world.earliest); offset < page.Next && len(page.Entries) < 5; offset++ {
+		for offset := max(member.follower.NextOffset(), world.earliest); offset < page.Next && len(page.Entries) < 5; offset++ {
 			page.Entries = append(page.Entries, Entry{Offset: offset, Data: world.log[offset].data})
 		}
-		member.follower.Fold(page, world.now)
+		member.follower.ApplyPage(page, world.now)
 		if real, ok := member.follower.(*Bundler); ok && real.RenewalDue(world.now, member.domain, member.name) {
 			data, err := real.Renewal()
 			if err != nil {
@@ -229,7 +229,7 @@
 	peer := world.members[world.random.IntN(len(world.members))]
 	if peer != member && peer.domain == member.domain && !world.now.Before(world.linksCut[member.domain]) {
 		if offer, ok := peer.follower.Offer(); ok {
-			_, _ = member.follower.Take(offer, world.now)
+			_, _ = member.follower.HandleOffer(offer, world.now)
 		}
 	}
 }
--- a/bundler/support_test.go
+++ b/bundler/support_test.go
@@ -90,9 +90,9 @@
 
 // follower is what the cases run: the bundler, or the naive version that they must expose.
 type follower interface {
-	Next() int64
-	Fold(Page, time.Time) []Event
-	Take(Offer, time.Time) ([]Event, error)
+	NextOffset() int64
+	ApplyPage(Page, time.Time) []Event
+	HandleOffer(Offer, time.Time) ([]Event, error)
 	Offer() (Offer, bool)
 }
 
@@ -103,19 +103,19 @@
 	known bool
 }
 
-func (naive *naive) Next() int64 { return naive.next }
+func (naive *naive) NextOffset() int64 { return naive.next }
 
-func (naive *naive) Fold(page Page, _ time.Time) []Event {
+func (naive *naive) ApplyPage(page Page, _ time.Time) []Event {
 	for _, entry := range page.Entries {
 		naive.next = entry.Offset + 1
 		if record, err := DecodeRecord(entry.Data); err == nil {
-			_, _ = naive.Take(Offer{Record: record, Offset: entry.Offset}, start)
+			_, _ = naive.HandleOffer(Offer{Record: record, Offset: entry.Offset}, start)
 		}
 	}
 	return nil
 }
 
-func (naive *naive) Take(offer Offer, _ time.Time) ([]Event, error) {
+func (naive *naive) HandleOffer(offer Offer, _ time.Time) ([]Event, error) {
 	if _, err := parseText(offer.Record.Text); err != nil {
 		return nil, err
 	}
--- a/cmd/hyssoplift/cluster_test.go
+++ b/cmd/hyssoplift/cluster_test.go
@@ -102,7 +102,7 @@
 
 // starts returns how often the runner has started each echo.
 func (cluster *cluster) starts() map[string]int {
-	var starts []emulator.Start
+	var starts []emulator.TaskStart
 	fetch("http://"+cluster.runner+"/starts", &starts)
 	counts := make(map[string]int)
 	for _, start := range starts {
--- a/commander/bundle_test.go
+++ b/commander/bundle_test.go
@@ -97,7 +97,7 @@
 		records int
 	}{
 		{"healthy", func(*office) {}, "version 2 is in force, at offset 1", false, 2},
-		{"answer lost", func(office *office) { office.log.SetFault(emulator.LogLosesAnswers) }, "version 2 is in force, at offset 1", false, 2},
+		{"answer lost", func(office *office) { office.log.SetFault(emulator.LogLosesResponses) }, "version 2 is in force, at offset 1", false, 2},
 		{"append lost", func(office *office) {
 			calls := 0
 			office.before = func(*http.Request) bool { calls++; return calls > 1 }
--- a/commander/publish.go
+++ b/commander/publish.go
@@ -54,9 +54,9 @@
 		return err
 	}
 	switch outcome := outcome.(type) {
-	case bundler.Won:
+	case bundler.Published:
 		return flags.printWon(record, outcome.Offset())
-	case bundler.Beaten:
+	case bundler.Conflict:
 		return eris.Errorf("not published: %s; put your change on top of it and raise the version", outcome)
 	}
 	return nil
@@ -111,7 +111,7 @@
 func readOnce(ctx context.Context, log *appender.Appender, bundles *bundler.Bundler, wait time.Duration) ([]bundler.Event, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
-	page, err := log.Read(ctx, bundles.Stream(), bundles.Next(), wait)
+	page, err := log.Read(ctx, bundles.Stream(), bundles.NextOffset(), wait)
 	if err != nil {
 		return nil, false, err
 	}
@@ -119,8 +119,8 @@
 	for i, record := range page.Records {
 		entries[i] = bundler.Entry{Offset: record.Offset, Data: record.Data}
 	}
-	events := bundles.Fold(bundler.Page{Earliest: page.Earliest, Next: page.Next, Entries: entries}, time.Now())
-	return events, bundles.Next() >= page.Next, nil
+	events := bundles.ApplyPage(bundler.Page{Earliest: page.Earliest, Next: page.Next, Entries: entries}, time.Now())
+	return events, bundles.NextOffset() >= page.Next, nil
 }
 
 func readToEnd(ctx context.Context, log *appender.Appender, bundles *bundler.Bundler) ([]bundler.Event, error) {
--- a/emulator/log.go
+++ b/emulator/log.go
@@ -22,8 +22,8 @@
 	LogDown LogFault = "down"
 	// LogSlow delays every request by two seconds.
 	LogSlow LogFault = "slow"
-	// LogLosesAnswers closes the connection after an append took effect.
-	LogLosesAnswers LogFault = "loses-answers"
+	// LogLosesResponses closes the connection after an append took effect.
+	LogLosesResponses LogFault = "loses-answers"
 )
 
 const slowLogDelay = 2 * time.Second
@@ -116,11 +116,11 @@
 		return
 	}
 	offset := log.Append(request.PathValue("stream"), data)
-	if fault == LogLosesAnswers {
+	if fault == LogLosesResponses {
 		panic(http.ErrAbortHandler)
 	}
 	writer.WriteHeader(http.StatusCreated)
-	_ = json.NewEncoder(writer).Encode(appender.Appended{Offset: offset})
+	_ = json.NewEncoder(writer).Encode(appender.AppendResponse{Offset: offset})
 }
 
 func (log *Log) handleRead(writer http.ResponseWriter, request *http.Request) {
@@ -176,7 +176,7 @@
 
 func (log *Log) handleFault(writer http.ResponseWriter, request *http.Request) {
 	switch fault := LogFault(request.PathValue("fault")); fault {
-	case LogHealthy, LogDown, LogSlow, LogLosesAnswers:
+	case LogHealthy, LogDown, LogSlow, LogLosesResponses:
 		log.SetFault(fault)
 		writer.WriteHeader(http.StatusNoContent)
 	default:
--- a/emulator/runner.go
+++ b/emulator/runner.go
@@ -23,15 +23,15 @@
 	RunnerFailing RunnerFault = "failing"
 )
 
-// TaskPayload is the payload that the runner stand-in understands.
-type TaskPayload struct {
+// RunnerPayload is the payload that the runner stand-in understands.
+type RunnerPayload struct {
 	// RunMS is the run time in milliseconds on a runner of speed 1.
 	RunMS int64           `json:"run-ms"`
 	Echo  json.RawMessage `json:"echo,omitempty"`
 }
 
-// Start is one task start that the runner saw.
-type Start struct {
+// TaskStart is one task start that the runner saw.
+type TaskStart struct {
 	Kind string          `json:"kind"`
 	Echo json.RawMessage `json:"echo,omitempty"`
 }
@@ -44,7 +44,7 @@
 
 	mu     sync.Mutex
 	fault  RunnerFault
-	starts []Start
+	starts []TaskStart
 }
 
 // NewRunner returns a healthy runner with the given number of slots and speed factor (1 is nominal).
@@ -69,20 +69,20 @@
 }
 
 // Starts returns every task start so far, in order.
-func (runner *Runner) Starts() []Start {
+func (runner *Runner) Starts() []TaskStart {
 	runner.mu.Lock()
 	defer runner.mu.Unlock()
-	return append([]Start(nil), runner.starts...)
+	return append([]TaskStart(nil), runner.starts...)
 }
 
 func (runner *Runner) handleRun(writer http.ResponseWriter, request *http.Request) {
-	var payload TaskPayload
+	var payload RunnerPayload
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, 1<<20))
 	if err != nil || json.Unmarshal(body, &payload) != nil {
 		http.Error(writer, "payload is not understood", http.StatusUnprocessableEntity)
 		return
 	}
-	fault, ok := runner.start(Start{Kind: request.PathValue("kind"), Echo: payload.Echo})
+	fault, ok := runner.start(TaskStart{Kind: request.PathValue("kind"), Echo: payload.Echo})
 	if !ok {
 		writer.Header().Set("Connection", "close")
 		http.Error(writer, "leaving", http.StatusServiceUnavailable)
@@ -104,7 +104,7 @@
 }
 
 // start records a task start unless the runner is leaving.
-func (runner *Runner) start(start Start) (RunnerFault, bool) {
+func (runner *Runner) start(start TaskStart) (RunnerFault, bool) {
 	runner.mu.Lock()
 	defer runner.mu.Unlock()
 	if runner.fault == RunnerLeaving {
--- a/emulator/worker.go
+++ b/emulator/worker.go
@@ -19,18 +19,18 @@
 	WorkerHealthy WorkerFault = "healthy"
 	// WorkerLeaving answers new leases with 503 and closes their connections.
 	WorkerLeaving WorkerFault = "leaving"
-	// WorkerLosesAnswers starts a task and closes the connection without an answer.
-	WorkerLosesAnswers WorkerFault = "loses-answers"
+	// WorkerLosesResponses starts a task and closes the connection without an answer.
+	WorkerLosesResponses WorkerFault = "loses-answers"
 	// WorkerFailing starts a task and reports its failure at once.
 	WorkerFailing WorkerFault = "failing"
 )
 
-// LeasedPayload is the payload that the worker stand-in understands.
-type LeasedPayload struct {
+// WorkerPayload is the payload that the worker stand-in understands.
+type WorkerPayload struct {
 	// RunMS is the run time in milliseconds.
 	RunMS int64 `json:"run-ms"`
-	// Need is the size that the task really uses.
-	Need placer.Resources `json:"need"`
+	// Usage is the size that the task really uses.
+	Usage placer.Resources `json:"need"`
 }
 
 type lease struct {
@@ -74,8 +74,8 @@
 	worker.fault = fault
 }
 
-// Starts returns the number of task starts so far.
-func (worker *Worker) Starts() int {
+// StartCount returns the number of task starts so far.
+func (worker *Worker) StartCount() int {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	return worker.starts
@@ -83,7 +83,7 @@
 
 func (worker *Worker) handleStart(writer http.ResponseWriter, request *http.Request) {
 	var body leaser.LeaseRequest
-	var payload LeasedPayload
+	var payload WorkerPayload
 	if json.NewDecoder(request.Body).Decode(&body) != nil || json.Unmarshal(body.Payload, &payload) != nil {
 		http.Error(writer, "lease is not understood", http.StatusUnprocessableEntity)
 		return
@@ -96,13 +96,13 @@
 		http.Error(writer, "not started", code)
 		return
 	}
-	if fault == WorkerLosesAnswers {
+	if fault == WorkerLosesResponses {
 		panic(http.ErrAbortHandler)
 	}
 	worker.answer(writer, request, lease, body.WaitMS)
 }
 
-func (worker *Worker) start(id string, body leaser.LeaseRequest, payload LeasedPayload) (*lease, int, WorkerFault) {
+func (worker *Worker) start(id string, body leaser.LeaseRequest, payload WorkerPayload) (*lease, int, WorkerFault) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	switch used := sum(worker.used, body.Resources); {
@@ -116,7 +116,7 @@
 		worker.used = used
 	}
 	started := &lease{
-		status:  leaser.LeaseStatus{State: leaser.Running, Peak: payload.Need},
+		status:  leaser.LeaseStatus{State: leaser.Running, Peak: payload.Usage},
 		size:    body.Resources,
 		expires: time.Now().Add(time.Duration(body.LeaseMS) * time.Millisecond),
 		ended:   make(chan struct{}),
@@ -126,7 +126,7 @@
 	switch {
 	case worker.fault == WorkerFailing:
 		worker.end(started, leaser.Failed, "task failed")
-	case payload.Need.MemoryMB > body.Resources.MemoryMB:
+	case payload.Usage.MemoryMB > body.Resources.MemoryMB:
 		started.status.Guard = leaser.GuardStopped
 		worker.end(started, leaser.Stopped, "task exceeded its memory")
 	default:
@@ -136,11 +136,11 @@
 }
 
 // run ends the task after its run time, stretched if the guard throttles it; the caller holds worker.mu.
-func (worker *Worker) run(started *lease, payload LeasedPayload, resources placer.Resources) {
+func (worker *Worker) run(started *lease, payload WorkerPayload, resources placer.Resources) {
 	runTime := time.Duration(payload.RunMS) * time.Millisecond
-	if payload.Need.MilliCores > resources.MilliCores {
+	if payload.Usage.MilliCores > resources.MilliCores {
 		started.status.Guard = leaser.GuardThrottled
-		runTime = runTime * time.Duration(payload.Need.MilliCores) / time.Duration(max(resources.MilliCores, 1))
+		runTime = runTime * time.Duration(payload.Usage.MilliCores) / time.Duration(max(resources.MilliCores, 1))
 	}
 	time.AfterFunc(runTime, func() {
 		worker.mu.Lock()
@@ -224,7 +224,7 @@
 
 func (worker *Worker) handleFault(writer http.ResponseWriter, request *http.Request) {
 	switch fault := WorkerFault(request.PathValue("fault")); fault {
-	case WorkerHealthy, WorkerLeaving, WorkerLosesAnswers, WorkerFailing:
+	case WorkerHealthy, WorkerLeaving, WorkerLosesResponses, WorkerFailing:
 		worker.SetFault(fault)
 		writer.WriteHeader(http.StatusNoContent)
 	default:
--- a/estimator/estimate.go
+++ b/estimator/estimate.go
@@ -9,8 +9,8 @@
 type Estimate struct {
 	scale        Scale
 	measurements *Measurements
-	entries      []Entry
-	points       []Break
+	entries      []EvaluatedRow
+	points       []Saturation
 }
 
 // New returns the capacity estimate for scale from measurements.
@@ -24,15 +24,15 @@
 }
 
 // control returns the sum of the control rows of one instance.
-func (estimate *Estimate) control() Entry {
-	var total Entry
-	for _, entry := range estimate.entries {
-		if !entry.control {
+func (estimate *Estimate) control() EvaluatedRow {
+	var total EvaluatedRow
+	for _, evaluated := range estimate.entries {
+		if !evaluated.control {
 			continue
 		}
-		total.cpu = total.cpu.plus(entry.cpu)
-		total.memory = total.memory.plus(entry.memory)
-		total.wire = total.wire.plus(entry.wire)
+		total.cpu = total.cpu.plus(evaluated.cpu)
+		total.memory = total.memory.plus(evaluated.memory)
+		total.wire = total.wire.plus(evaluated.wire)
 	}
 	return total
 }
@@ -40,9 +40,9 @@
 // Missing returns the benchmark families that the model names and the measurements lack.
 func (estimate *Estimate) Missing() []string {
 	var missing []string
-	for _, entry := range estimate.entries {
-		for _, figure := range []Figure{entry.memory, entry.messages, entry.wire, entry.cpu} {
-			missing = append(missing, figure.missing...)
+	for _, evaluated := range estimate.entries {
+		for _, quantity := range []Quantity{evaluated.memory, evaluated.messages, evaluated.wire, evaluated.cpu} {
+			missing = append(missing, quantity.missing...)
 		}
 	}
 	slices.Sort(missing)
@@ -52,8 +52,8 @@
 // sizing is how many entry instances the peak needs with one mix of jobs.
 type sizing struct {
 	tasksPerJob float64
-	cores       Figure // busy cores of all instances
-	memory      Figure // bytes of all instances
+	cores       Quantity // busy cores of all instances
+	memory      Quantity // bytes of all instances
 }
 
 // sizeFor sums the request rows of all entry instances when each job has tasksPerJob tasks.
@@ -65,16 +65,16 @@
 		if row.role != roleEntry {
 			continue
 		}
-		entry := estimate.measurements.evaluate(row)
-		sizing.cores = sizing.cores.plus(entry.cpu.times(scale.instances()))
-		sizing.memory = sizing.memory.plus(entry.memory.times(scale.instances()))
+		evaluated := estimate.measurements.evaluate(row)
+		sizing.cores = sizing.cores.plus(evaluated.cpu.times(scale.instances()))
+		sizing.memory = sizing.memory.plus(evaluated.memory.times(scale.instances()))
 	}
 	return sizing
 }
 
-func (figure Figure) times(factor float64) Figure {
-	figure.value *= factor
-	return figure
+func (quantity Quantity) times(factor float64) Quantity {
+	quantity.value *= factor
+	return quantity
 }
 
 // minPerDomain keeps a witness and one spare after the loss of one instance.
--- a/estimator/estimator_test.go
+++ b/estimator/estimator_test.go
@@ -85,19 +85,19 @@
 	scale := TargetScale()
 	scale.changes = 8_640
 	estimate := New(measurements, scale)
-	for i, entry := range estimate.entries {
-		if entry.role != roleConfig || entry.control {
+	for i, evaluated := range estimate.entries {
+		if evaluated.role != roleConfig || evaluated.control {
 			continue
 		}
-		is.True(near(entry.wire.Value(), 22_000*100*0.1*4/3))
-		is.True(near(entry.cpu.Value(), 0.1*2.2e6*1e-9))
-		is.Equal(entry.cpu.Missing(), []string{"appender.Read", "bundler.Fold"})
-		is.True(estimate.points[i].Short())
+		is.True(near(evaluated.wire.Value(), 22_000*100*0.1*4/3))
+		is.True(near(evaluated.cpu.Value(), 0.1*2.2e6*1e-9))
+		is.Equal(evaluated.cpu.Missing(), []string{"appender.Read", "bundler.Fold"})
+		is.True(estimate.points[i].BelowTarget())
 		is.Equal(estimate.points[i].resource, "bytes/s")
 		is.True(math.Abs(estimate.points[i].size-2_100) < 21) // the search stops within 1%
 		split := estimate.entries[i+1]                        // a part has 22,000/27 targets
 		is.True(near(split.wire.Value(), 22_000*100*0.1*4/3/27))
-		is.True(!estimate.points[i+1].Short())
+		is.True(!estimate.points[i+1].BelowTarget())
 	}
 }
 
@@ -121,9 +121,9 @@
 	for _, test := range tests {
 		t.Run(test.function, func(t *testing.T) {
 			is := is.New(t)
-			for _, entry := range estimate.entries {
-				if entry.function == test.function {
-					is.True(near(entry.messages.Value(), test.want))
+			for _, evaluated := range estimate.entries {
+				if evaluated.function == test.function {
+					is.True(near(evaluated.messages.Value(), test.want))
 					return
 				}
 			}
--- a/estimator/format.go
+++ b/estimator/format.go
@@ -36,15 +36,15 @@
 }
 
 // String returns the value with its mark, and "not measured yet" if no term is known.
-func (figure Figure) String() string {
-	if figure.value == 0 && len(figure.missing) > 0 {
+func (quantity Quantity) String() string {
+	if quantity.value == 0 && len(quantity.missing) > 0 {
 		return "not measured yet"
 	}
-	if figure.value == 0 {
+	if quantity.value == 0 {
 		return "0"
 	}
-	text := number(figure.value) + " " + figure.grade.mark()
-	if len(figure.missing) > 0 {
+	text := number(quantity.value) + " " + quantity.grade.mark()
+	if len(quantity.missing) > 0 {
 		text += " + ?"
 	}
 	return text
@@ -59,15 +59,15 @@
 	return [...]string{"*c*", "*x*", "*xx*", "*nf*"}[grade]
 }
 
-func percent(figure Figure, budget float64) string {
-	if figure.value == 0 && len(figure.missing) > 0 {
+func percent(quantity Quantity, budget float64) string {
+	if quantity.value == 0 && len(quantity.missing) > 0 {
 		return "?"
 	}
-	text := number(100*figure.value/budget) + "%"
-	if figure.value > budget {
+	text := number(100*quantity.value/budget) + "%"
+	if quantity.value > budget {
 		text = "**" + text + "**"
 	}
-	if len(figure.missing) > 0 {
+	if len(quantity.missing) > 0 {
 		text += " + ?"
 	}
 	return text
--- a/estimator/page.go
+++ b/estimator/page.go
@@ -35,12 +35,12 @@
 func (estimate *Estimate) writeFindings(page *page) {
 	page.line("Where the design does not reach the target scale (section 1 of [design.md](design.md)):\n")
 	found := false
-	for i, entry := range estimate.entries {
-		if point := estimate.points[i]; point.Short() {
+	for i, evaluated := range estimate.entries {
+		if point := estimate.points[i]; point.BelowTarget() {
 			found = true
 			page.line("- **%s, %s** breaks at %s %s; the target is %s (%s passes its limit, %s). %s. Next mechanism: %s.",
-				upperFirst(entry.role), entry.function, number(point.size), entry.driver, number(point.target),
-				point.resource, point.grade, upperFirst(entry.breaks), entry.next)
+				upperFirst(evaluated.role), evaluated.function, number(point.size), evaluated.driver, number(point.target),
+				point.resource, point.grade, upperFirst(evaluated.breaks), evaluated.next)
 		}
 	}
 	if !found {
@@ -75,7 +75,7 @@
 day, %s failed and %s replaced instances a day. Assumed: %s tasks per job, %s s per task, results of %s bytes,
 %s instances per failure domain of %s cores and %sB (%s%% of the cores usable at the peak), retention %s s,
 %s kinds, %s burn series per instance, the log sustains %s appends/s.
-`, orUnknown(estimate.measurements.cpu), estimate.measurements.Families(),
+`, orUnknown(estimate.measurements.cpu), estimate.measurements.FamilyCount(),
 		number(scale.targets), number(scale.starts), number(scale.teams), number(scale.regions), number(scale.domains),
 		number(scale.changes), number(scale.failures), number(scale.replacements),
 		number(scale.tasksPerJob), number(scale.taskSeconds), number(scale.resultBytes), number(scale.instancesPerDomain),
@@ -85,21 +85,21 @@
 
 func (estimate *Estimate) writeRoles(page *page) {
 	role := ""
-	for i, entry := range estimate.entries {
-		if entry.role != role {
-			role = entry.role
+	for i, evaluated := range estimate.entries {
+		if evaluated.role != role {
+			role = evaluated.role
 			page.line("\n## %s\n", upperFirst(role))
 			page.line("| function | state B | messages/s | bytes/s | CPU, cores | memory B | carried by | breaks first at | what breaks there | next mechanism |")
 			page.line("|---|---|---|---|---|---|---|---|---|---|")
 		}
-		page.line("| %s | %s | %s | %s | %s | %s | %s | %s | %s | %s |", entry.function,
-			entry.state, entry.messages, entry.wire, entry.cpu, entry.memory,
-			entry.mechanism, estimate.points[i].text(entry.driver), entry.breaks, entry.next)
+		page.line("| %s | %s | %s | %s | %s | %s | %s | %s | %s | %s |", evaluated.function,
+			evaluated.state, evaluated.messages, evaluated.wire, evaluated.cpu, evaluated.memory,
+			evaluated.mechanism, estimate.points[i].text(evaluated.driver), evaluated.breaks, evaluated.next)
 	}
 	page.line("\nFigures are per entry instance; for the caller library per caller process (one per team); for the platform in total.")
 }
 
-func (point Break) text(driver driver) string {
+func (point Saturation) text(driver driver) string {
 	if point.resource == "" {
 		return fmt.Sprintf("not below %s %s", number(point.size), driver)
 	}
@@ -110,13 +110,13 @@
 	page.line("\n## Control work against the budget per node\n")
 	page.line("The budget is 1.3%% of a core, 64 MB and 28 KB/s. Control work is everything whose rate does not follow the requests.\n")
 	page.line("| row | CPU | of budget | memory | of budget | bytes/s | of budget |\n|---|---|---|---|---|---|---|")
-	write := func(name string, entry Entry) {
-		page.line("| %s | %s | %s | %s | %s | %s | %s |", name, entry.cpu, percent(entry.cpu, budgetCPU),
-			entry.memory, percent(entry.memory, budgetMemory), entry.wire, percent(entry.wire, budgetWire))
+	write := func(name string, evaluated EvaluatedRow) {
+		page.line("| %s | %s | %s | %s | %s | %s | %s |", name, evaluated.cpu, percent(evaluated.cpu, budgetCPU),
+			evaluated.memory, percent(evaluated.memory, budgetMemory), evaluated.wire, percent(evaluated.wire, budgetWire))
 	}
-	for _, entry := range estimate.entries {
-		if entry.control {
-			write(entry.role+": "+entry.function, entry)
+	for _, evaluated := range estimate.entries {
+		if evaluated.control {
+			write(evaluated.role+": "+evaluated.function, evaluated)
 		}
 	}
 	write("**all control rows**", estimate.control())
--- a/estimator/parse.go
+++ b/estimator/parse.go
@@ -29,11 +29,11 @@
 	cpu     string
 }
 
-// CPU returns the processor that the benchmarks name, or an empty string.
-func (measurements *Measurements) CPU() string { return measurements.cpu }
+// CPUModel returns the processor that the benchmarks name, or an empty string.
+func (measurements *Measurements) CPUModel() string { return measurements.cpu }
 
-// Families returns how many different benchmarks were read, not counting sizes.
-func (measurements *Measurements) Families() int {
+// FamilyCount returns how many different benchmarks were read, not counting sizes.
+func (measurements *Measurements) FamilyCount() int {
 	families := make(map[string]bool)
 	for series := range measurements.samples {
 		families[series.family] = true
--- a/estimator/row.go
+++ b/estimator/row.go
@@ -47,60 +47,60 @@
 	Calculated Grade = iota
 	// Extrapolated means a measured cost within the measured sizes, times a rate that was never run.
 	Extrapolated
-	// BeyondSizes means that the line is read outside the measured sizes.
-	BeyondSizes
+	// BeyondMeasuredRange means that the line is read outside the measured sizes.
+	BeyondMeasuredRange
 	// NotFitted means that fewer than three sizes were measured.
 	NotFitted
 )
 
-// Figure is one number of the table.
-type Figure struct {
+// Quantity is one number of the table.
+type Quantity struct {
 	value   float64
 	grade   Grade
 	missing []string
 }
 
 // Value returns the number, without the terms that are not measured yet.
-func (figure Figure) Value() float64 { return figure.value }
+func (quantity Quantity) Value() float64 { return quantity.value }
 
 // Missing returns the benchmark families that the figure lacks.
-func (figure Figure) Missing() []string { return figure.missing }
+func (quantity Quantity) Missing() []string { return quantity.missing }
 
-func (figure Figure) plus(other Figure) Figure {
-	missing := append(append([]string(nil), figure.missing...), other.missing...)
+func (quantity Quantity) plus(other Quantity) Quantity {
+	missing := append(append([]string(nil), quantity.missing...), other.missing...)
 	slices.Sort(missing)
-	return Figure{
-		value:   figure.value + other.value,
-		grade:   max(figure.grade, other.grade),
+	return Quantity{
+		value:   quantity.value + other.value,
+		grade:   max(quantity.grade, other.grade),
 		missing: slices.Compact(missing),
 	}
 }
 
 // sum adds up terms.
-func (measurements *Measurements) sum(terms []term) Figure {
-	var total Figure
+func (measurements *Measurements) sum(terms []term) Quantity {
+	var total Quantity
 	for _, term := range terms {
 		total = total.plus(measurements.figure(term))
 	}
 	return total
 }
 
-func (measurements *Measurements) figure(term term) Figure {
+func (measurements *Measurements) figure(term term) Quantity {
 	if term.family == "" {
-		return Figure{value: term.times}
+		return Quantity{value: term.times}
 	}
 	fit, ok := measurements.fit(term.series)
 	switch {
 	case !ok && term.fallback != nil:
-		return measurements.figure(*term.fallback).plus(Figure{missing: []string{term.family}})
+		return measurements.figure(*term.fallback).plus(Quantity{missing: []string{term.family}})
 	case !ok:
-		return Figure{missing: []string{term.family}}
+		return Quantity{missing: []string{term.family}}
 	case !fit.Fitted():
-		return Figure{value: fit.At(term.size) * term.times, grade: NotFitted}
+		return Quantity{value: fit.At(term.size) * term.times, grade: NotFitted}
 	case !fit.Covers(term.size):
-		return Figure{value: fit.At(term.size) * term.times, grade: BeyondSizes}
+		return Quantity{value: fit.At(term.size) * term.times, grade: BeyondMeasuredRange}
 	}
-	return Figure{value: fit.At(term.size) * term.times, grade: Extrapolated}
+	return Quantity{value: fit.At(term.size) * term.times, grade: Extrapolated}
 }
 
 // limits are the values at which a row breaks; zero means no limit.
@@ -125,31 +125,31 @@
 	next      string
 }
 
-// Entry is an evaluated row of the table.
-type Entry struct {
+// EvaluatedRow is an evaluated row of the table.
+type EvaluatedRow struct {
 	row
-	state, memory, messages, wire, cpu Figure
+	state, memory, messages, wire, cpu Quantity
 }
 
-func (measurements *Measurements) evaluate(row row) Entry {
+func (measurements *Measurements) evaluate(row row) EvaluatedRow {
 	state := measurements.sum(row.state)
-	return Entry{
+	return EvaluatedRow{
 		row: row, state: state, memory: state.plus(measurements.sum(row.memory)),
 		messages: measurements.sum(row.messages), wire: measurements.sum(row.wire), cpu: measurements.sum(row.cpu),
 	}
 }
 
 // exceeded returns the first resource that passes its limit, or an empty name.
-func (entry Entry) exceeded() (string, Grade) {
+func (evaluated EvaluatedRow) exceeded() (string, Grade) {
 	for _, check := range []struct {
 		name   string
-		figure Figure
+		figure Quantity
 		limit  float64
 	}{
-		{"CPU", entry.cpu, entry.limits.cpu},
-		{"memory", entry.memory, entry.limits.memory},
-		{"bytes/s", entry.wire, entry.limits.wire},
-		{"messages/s", entry.messages, entry.limits.messages},
+		{"CPU", evaluated.cpu, evaluated.limits.cpu},
+		{"memory", evaluated.memory, evaluated.limits.memory},
+		{"bytes/s", evaluated.wire, evaluated.limits.wire},
+		{"messages/s", evaluated.messages, evaluated.limits.messages},
 	} {
 		if check.limit > 0 && check.figure.value > check.limit {
 			return check.name, check.figure.grade
@@ -158,23 +158,23 @@
 	return "", Calculated
 }
 
-// Break is the size at which a row first passes a limit.
-type Break struct {
+// Saturation is the size at which a row first passes a limit.
+type Saturation struct {
 	size     float64
 	target   float64
 	resource string
 	grade    Grade
 }
 
-// Short reports whether the row breaks before the target scale.
-func (point Break) Short() bool { return point.resource != "" && point.size < point.target }
+// BelowTarget reports whether the row breaks before the target scale.
+func (point Saturation) BelowTarget() bool { return point.resource != "" && point.size < point.target }
 
 // maxFactor bounds the search for a break; a row that holds at this multiple of the target is reported as such.
 const maxFactor = 1024
 
 // breakPoint searches for the smallest size of the row's driver at which a limit is passed, between 1/1024 of
 // the target and 1024 times the target; every figure must grow with its driver.
-func (measurements *Measurements) breakPoint(scale Scale, index int) Break {
+func (measurements *Measurements) breakPoint(scale Scale, index int) Saturation {
 	driver := model(scale)[index].driver
 	target := *scale.field(driver)
 	at := func(factor float64) (string, Grade) {
@@ -183,7 +183,7 @@
 		return measurements.evaluate(model(varied)[index]).exceeded()
 	}
 	if resource, _ := at(maxFactor); resource == "" {
-		return Break{size: target * maxFactor, target: target}
+		return Saturation{size: target * maxFactor, target: target}
 	}
 	low, high := 1.0/maxFactor, float64(maxFactor)
 	for high/low > 1.005 {
@@ -195,5 +195,5 @@
 		}
 	}
 	resource, grade := at(high)
-	return Break{size: target * high, target: target, resource: resource, grade: grade}
+	return Saturation{size: target * high, target: target, resource: resource, grade: grade}
 }
--- a/leaser/leaser_test.go
+++ b/leaser/leaser_test.go
@@ -33,7 +33,7 @@
 		starts int
 	}{
 		{"finishes", emulator.WorkerHealthy, task(10, 100), "leaser.Completed", 1},
-		{"response to the start is lost", emulator.WorkerLosesAnswers, task(10, 100), "leaser.Completed", 1},
+		{"response to the start is lost", emulator.WorkerLosesResponses, task(10, 100), "leaser.Completed", 1},
 		{"task fails", emulator.WorkerFailing, task(10, 100), "leaser.TaskFailed", 1},
 		{"guard stops the task", emulator.WorkerHealthy, task(10, 5000), "leaser.TaskFailed", 1},
 		{"worker leaves", emulator.WorkerLeaving, task(10, 100), "leaser.NotStarted", 0},
@@ -51,7 +51,7 @@
 			resources := placer.Resources{MilliCores: 1000, MemoryMB: 1000}
 			result := leaser.New().Run(ctx, server.Listener.Addr().String(), "plan", resources, test.task)
 			is.Equal(fmt.Sprintf("%T", result), test.want)
-			is.Equal(worker.Starts(), test.starts)
+			is.Equal(worker.StartCount(), test.starts)
 		})
 	}
 }
--- a/server/bundles.go
+++ b/server/bundles.go
@@ -44,7 +44,7 @@
 func (server *Server) followStream(ctx context.Context, bundles *bundler.Bundler) {
 	var nextPeerRequest time.Time
 	for ctx.Err() == nil {
-		page, err := readLog(ctx, server.log, bundles.Stream(), bundles.Next(), logPollWait)
+		page, err := readLog(ctx, server.log, bundles.Stream(), bundles.NextOffset(), logPollWait)
 		if err != nil {
 			server.logger.Warn("reading bundles failed", "stream", bundles.Stream(), "error", eris.ToString(err, false))
 			if now := time.Now(); !now.Before(nextPeerRequest) {
@@ -72,14 +72,14 @@
 	for i, record := range page.Records {
 		entries[i] = bundler.Entry{Offset: record.Offset, Data: record.Data}
 	}
-	server.applyEvents(bundles, bundles.Fold(bundler.Page{Earliest: page.Earliest, Next: page.Next, Entries: entries}, time.Now()))
+	server.applyEvents(bundles, bundles.ApplyPage(bundler.Page{Earliest: page.Earliest, Next: page.Next, Entries: entries}, time.Now()))
 }
 
 // applyEvents logs the verdicts on bundle records and puts a new bundle in force.
 func (server *Server) applyEvents(bundles *bundler.Bundler, events []bundler.Event) {
 	for _, event := range events {
 		server.logger.Info("bundle record read", "stream", bundles.Stream(), "offset", event.Offset,
-			"bundle-version", event.Record.Version, "verdict", string(event.Verdict), "reason", event.Reason)
+			"bundle-version", event.Record.Version, "verdict", string(event.Decision), "reason", event.Reason)
 	}
 	server.composer.Compose(func(bundle *bundler.Bundle) {
 		server.installBundle(bundle)
--- a/server/offers.go
+++ b/server/offers.go
@@ -65,7 +65,7 @@
 	record, err := bundler.DecodeRecord(offered.Record)
 	if err == nil {
 		var events []bundler.Event
-		events, err = bundles.Take(bundler.Offer{Record: record, Offset: offered.Offset, Through: offered.Through}, time.Now())
+		events, err = bundles.HandleOffer(bundler.Offer{Record: record, Offset: offered.Offset, Through: offered.Through}, time.Now())
 		server.applyEvents(bundles, events)
 	}
 	if err != nil {
--- a/server/place_test.go
+++ b/server/place_test.go
@@ -54,7 +54,7 @@
 		{"complete", [2]emulator.WorkerFault{emulator.WorkerHealthy, emulator.WorkerHealthy}, 100, 6, 200, "complete", 6},
 		{"more tasks than free capacity", [2]emulator.WorkerFault{emulator.WorkerHealthy, emulator.WorkerHealthy}, 100, 20, 200, "complete", 20},
 		{"one worker leaves", [2]emulator.WorkerFault{emulator.WorkerLeaving, emulator.WorkerHealthy}, 100, 4, 200, "complete", 4},
-		{"responses to starts are lost", [2]emulator.WorkerFault{emulator.WorkerLosesAnswers, emulator.WorkerLosesAnswers}, 100, 4, 200, "complete", 4},
+		{"responses to starts are lost", [2]emulator.WorkerFault{emulator.WorkerLosesResponses, emulator.WorkerLosesResponses}, 100, 4, 200, "complete", 4},
 		{"tasks fail", [2]emulator.WorkerFault{emulator.WorkerFailing, emulator.WorkerFailing}, 100, 1, 502, "failed", 1},
 		{"the guard stops the task", [2]emulator.WorkerFault{emulator.WorkerHealthy, emulator.WorkerHealthy}, 3000, 1, 502, "failed", 1},
 	}
@@ -85,7 +85,7 @@
 			got := send(t, http.MethodPost, base+"/v1/jobs", body+"]}")
 			is.Equal(got.status, test.status)
 			is.Equal(got.answer.Outcome, test.outcome)
-			is.Equal(fleet[0].Starts()+fleet[1].Starts(), test.starts) // each task was started once
+			is.Equal(fleet[0].StartCount()+fleet[1].StartCount(), test.starts) // each task was started once
 		})
 	}
 }
