--- a/reporter/aggregator.go
+++ b/reporter/aggregator.go
@@ -3,31 +3,32 @@
 import "time"
 
 const (
-	// windowMinutes is the longest window: three days.
+	// windowMinutes is the length of the longest window: three days.
 	windowMinutes = 3 * 24 * 60
-	// fineMinutes is the longest window that is summed by the minute.
+	// fineMinutes is the length of the longest window that is summed from slots of one minute.
 	fineMinutes = 6 * 60
-	// coarseMinutes is the width of the slots for longer windows.
+	// coarseMinutes is the length of the slots for longer windows.
 	coarseMinutes = 10
-	// maxAheadMinutes is how far an instance's clock may be ahead of the reader's.
+	// maxAheadMinutes is how far the clock of an instance may be ahead of that of the reader.
 	maxAheadMinutes = 5
-	// Minutes after the end of a window must not evict its first ones, hence the extra slots.
+	// spareMinutes is the number of extra slots, so that minutes after the end of a window do not evict its first ones.
 	spareMinutes = reportLagMinutes + maxAheadMinutes + 1
 	fineSlots    = fineMinutes + spareMinutes
 	coarseSlots  = windowMinutes/coarseMinutes + 2 + spareMinutes/coarseMinutes + 1
-	// maxSeries bounds the series of a report; answers beyond it are added to one series that holds all other.
+	// maxSeries limits the series of a report; the answers of further ones are added up in one series.
 	maxSeries = 20_000
-	// maxIncarnations bounds the incarnations; three days at the target scale have about 5,100.
+	// maxIncarnations limits the incarnations; three days at the target scale have about 5,100.
 	maxIncarnations = 20_000
 )
 
-// slot holds the counts of one minute or of ten; a slot of another stamp is empty.
+// slot holds the counts of one interval of one or of coarseMinutes minutes. Its index is the number of the interval
+// since the Unix epoch.
 type slot struct {
 	index  int64
 	counts [numClasses]uint32
 }
 
-// history holds the counts of one series in two resolutions.
+// history holds the counts of one series in ring buffers of two resolutions.
 type history struct {
 	fine   [fineSlots]slot
 	coarse [coarseSlots]slot
@@ -38,7 +39,7 @@
 	history.coarse[at/coarseMinutes%coarseSlots].add(int64(at/coarseMinutes), counts)
 }
 
-// add counts into the slot unless the slot already serves a later time.
+// add adds counts to the slot, unless the slot already holds a later interval.
 func (slot *slot) add(index int64, counts Counts) {
 	if index < slot.index {
 		return
@@ -51,7 +52,7 @@
 	}
 }
 
-// sum returns the counts from minute from to before minute to; from must come from windowStart.
+// sum returns the counts in [from, to); from must be a result of windowStart.
 func (history *history) sum(from, to minute) Counts {
 	var total Counts
 	add := func(slots []slot, low, high int64) {
@@ -67,14 +68,14 @@
 		add(history.fine[:], int64(from), int64(to))
 		return total
 	}
-	// The coarse slots end where the last whole one ends; single minutes fill the rest.
+	// Coarse slots up to the last full one, then single minutes.
 	coarseEnd := to / coarseMinutes * coarseMinutes
 	add(history.coarse[:], int64(from/coarseMinutes), int64(coarseEnd/coarseMinutes))
 	add(history.fine[:], int64(coarseEnd), int64(to))
 	return total
 }
 
-// activeSince reports whether any answer was counted since a minute.
+// activeSince reports whether any answer was counted in or after the coarse interval of minute at.
 func (history *history) activeSince(at minute) bool {
 	for i := range history.coarse {
 		if history.coarse[i].index >= int64(at/coarseMinutes) {
@@ -84,8 +85,8 @@
 	return false
 }
 
-// Aggregator adds up the batches of all instances, in any order and however often each one is added. It is not safe for
-// concurrent use. It holds at most 27 KB per series and 1 KB per incarnation, of each of which there are at most 20,000.
+// Aggregator adds up the batches of all instances. Batches may be added in any order and more than once. It uses at
+// most 27 KB per series and 1 KB per incarnation, with at most 20,000 of each. It is not safe for concurrent use.
 type Aggregator struct {
 	histories    map[Series]*history
 	objectives   map[string]Objective
@@ -93,10 +94,10 @@
 	incarnations map[string]*coverage
 	unreadable   int
 	complete     bool
-	coverageOnly bool // counts are left out, as a Summer needs only the coverage
+	coverageOnly bool // counts are not stored, because a SumBuilder needs only the coverage
 }
 
-// NewAggregator returns an empty ledger.
+// NewAggregator returns an aggregator without any counts.
 func NewAggregator() *Aggregator {
 	return &Aggregator{
 		histories: make(map[Series]*history), incarnations: make(map[string]*coverage),
@@ -104,27 +105,27 @@
 	}
 }
 
-// SetComplete says whether the log was read from its first record on; if not, the time before the earliest record
-// is missing.
+// SetComplete sets whether the log was read from its first record on. If it was not, the time before the earliest
+// record counts as missing.
 func (aggregator *Aggregator) SetComplete(complete bool) { aggregator.complete = complete }
 
-// AddUnreadable counts a record that could not be decoded; reports name the number.
+// AddUnreadable counts a record that could not be decoded. Reports contain the number of these.
 func (aggregator *Aggregator) AddUnreadable() { aggregator.unreadable++ }
 
-// SetObjective sets the objective of kind, unless a later batch brings another one.
+// SetObjective sets the objective of kind, which is used until a batch with an objective of that kind is added.
 func (aggregator *Aggregator) SetObjective(kind string, objective Objective) {
 	aggregator.objectives[kind] = objective
 }
 
-// Add adds the minutes of batch, read at now, that are not yet counted for its incarnation. Minutes in the future are
-// left out, because they would evict current ones; the incarnation is then shown as missing.
+// Add adds the minutes of batch, read at now, that are not yet counted for its incarnation. A batch with minutes in the
+// future is ignored, because they would evict current ones; the minutes are then shown as missing.
 func (aggregator *Aggregator) Add(batch Batch, now time.Time) {
 	for _, closed := range aggregator.markCovered(batch, now) {
 		aggregator.addCounts(closed)
 	}
 }
 
-// markCovered marks the minutes of batch as counted and returns those that were not.
+// markCovered marks the minutes of batch as counted and returns those that were not counted before.
 func (aggregator *Aggregator) markCovered(batch Batch, now time.Time) []closedMinute {
 	first, through := batch.span()
 	covered := aggregator.incarnation(batch.domain, batch.instance, batch.incarnation, min(first, minuteOf(now)))
@@ -145,7 +146,7 @@
 	return added
 }
 
-// addCounts adds the rows of one minute.
+// addCounts adds the rows of one minute to the histories.
 func (aggregator *Aggregator) addCounts(closed closedMinute) {
 	if aggregator.coverageOnly {
 		return
@@ -155,7 +156,8 @@
 	}
 }
 
-// incarnation returns the coverage of an incarnation, new from minute first on, or nil if there are too many.
+// incarnation returns the coverage of an incarnation and creates it, starting at minute first, if necessary. It returns
+// nil if there are too many incarnations.
 func (aggregator *Aggregator) incarnation(domain, instance, name string, first minute) *coverage {
 	covered := aggregator.incarnations[name]
 	if covered == nil && len(aggregator.incarnations) < maxIncarnations {
@@ -165,7 +167,7 @@
 	return covered
 }
 
-// setObjectiveAt sets the objective that was in force at a minute, unless a later one is known.
+// setObjectiveAt sets the objective that was in effect at a minute, unless a later one is known.
 func (aggregator *Aggregator) setObjectiveAt(kind string, objective Objective, at minute) {
 	if _, known := aggregator.objectives[kind]; !known && len(aggregator.objectives) >= maxSeries {
 		return
@@ -175,7 +177,8 @@
 	}
 }
 
-// history returns the history of series, or of the series for all other when there are too many.
+// history returns the history of series and creates it if necessary. If there are too many series, it returns the
+// history that all further ones share.
 func (aggregator *Aggregator) history(series Series) *history {
 	found := aggregator.histories[series]
 	if found == nil && len(aggregator.histories) >= maxSeries {
--- a/reporter/batch.go
+++ b/reporter/batch.go
@@ -13,14 +13,14 @@
 
 const (
 	batchFormat = 1
-	// maxBatchRows bounds one record of the log to about 150 KB.
+	// maxBatchRows limits a record of the log to about 150 KB.
 	maxBatchRows = 20_000
-	// maxBatchMinutes bounds the span that a decoded record may claim to cover.
+	// maxBatchMinutes limits the time span of a decoded record.
 	maxBatchMinutes = windowMinutes
 )
 
-// Batch holds consecutive closed minutes of one incarnation. A minute is the same in every batch that holds it, so a
-// reader counts each minute of an incarnation once, however often it was appended.
+// Batch holds consecutive closed minutes of one incarnation. A minute has the same counts in every batch that contains
+// it, so an Aggregator counts each minute of an incarnation once, however often it was appended.
 type Batch struct {
 	domain, instance, incarnation string
 
@@ -29,7 +29,7 @@
 	objectives map[string]Objective
 }
 
-// span returns the first and the last minute.
+// span returns the first and the last minute of the batch.
 func (batch Batch) span() (first, last minute) {
 	return batch.minutes[0].minute, batch.minutes[len(batch.minutes)-1].minute
 }
@@ -46,9 +46,10 @@
 	Objectives  []objectiveRecord `json:"objectives,omitempty"`
 	Kinds       []string          `json:"kinds,omitempty"`
 	Teams       []string          `json:"teams,omitempty"`
-	// Counts follows the JSON, or is part of it in records of earlier versions. It holds unsigned varints: per minute the number of rows, and per row the index in Kinds, the index in
-	// Teams, a mask of the classes that have answers, and their counts. As JSON numbers, a record of 1,200 series had
-	// 69 KB and took 2.9 ms to read.
+	// Counts is stored after the JSON; in records of earlier versions it is part of the JSON. It holds unsigned
+	// varints: per minute the number of rows, and per row the index in Kinds, the index in Teams, a bit mask of the
+	// classes with answers, and the counts of these classes. With JSON numbers instead, a record of 1,200 series had 69
+	// KB and took 2.9 ms to decode.
 	Counts []byte `json:"counts,omitempty"`
 }
 
@@ -65,7 +66,7 @@
 	return strings.Compare(a.Team, b.Team)
 }
 
-// Encode returns the record to append to stream burn; equal batches have equal records.
+// Encode returns the record of the batch for stream burn. Equal batches have equal records.
 func (batch Batch) Encode() ([]byte, error) {
 	first, last := batch.span()
 	record := batchRecord{
@@ -97,7 +98,8 @@
 	return frameRecord(data, counts), eris.Wrap(err, "encoding a burn record")
 }
 
-// DecodeBatch returns the batch in a record of stream burn, or an error if any part of it is out of bounds.
+// DecodeBatch returns the batch in a record of stream burn, or an error if the record is damaged or a value is out of
+// range.
 func DecodeBatch(data []byte) (Batch, error) {
 	var record batchRecord
 	data, counts, err := unframeRecord(data)
@@ -112,7 +114,7 @@
 	}
 	span := record.Through - record.From
 	if record.Format != batchFormat || record.Incarnation == "" || record.From < 0 || span < 0 || span >= maxBatchMinutes {
-		return Batch{}, eris.Errorf("burn record of format %d for minutes %d to %d of incarnation %q is out of bounds",
+		return Batch{}, eris.Errorf("burn record of format %d for minutes %d to %d of incarnation %q is out of range",
 			record.Format, record.From, record.Through, record.Incarnation)
 	}
 	batch := Batch{
@@ -132,7 +134,7 @@
 	return batch, eris.Wrapf(record.decodeRows(batch.minutes), "burn record of incarnation %s", record.Incarnation)
 }
 
-// nameIndex numbers names in the order of their first use.
+// nameIndex assigns numbers to names in the order of their first use.
 type nameIndex struct {
 	list    []string
 	indices map[string]uint64
@@ -150,6 +152,7 @@
 	return index
 }
 
+// appendCounts appends the mask of the classes with answers and their counts to data.
 func appendCounts(data []byte, counts Counts) []byte {
 	mask := uint64(0)
 	for class, count := range counts {
@@ -167,19 +170,19 @@
 }
 
 const (
-	// minRowBytes is the size of the shortest row, which bounds what a record can make a reader allocate.
+	// minRowBytes is the size of the shortest row. It limits the memory that is allocated for the rows of a record.
 	minRowBytes = 3
-	// maxRowCount bounds one count, so that sums over a window do not overflow.
+	// maxRowCount limits a count, so that sums over a window do not overflow.
 	maxRowCount = 1 << 24
 )
 
-// rowReader reads varints and keeps the first fault.
+// rowReader decodes rows of varints. After the first invalid value, it stays invalid.
 type rowReader struct {
 	data    []byte
 	invalid bool
 }
 
-// next returns the next number, or zero after a fault; a number of limit or more is a fault.
+// next returns the next number, or 0 if the data is invalid; a number of limit or more is invalid.
 func (reader *rowReader) next(limit uint64) uint64 {
 	value, size := binary.Uvarint(reader.data)
 	if reader.invalid || size <= 0 || value >= limit {
@@ -190,7 +193,7 @@
 	return value
 }
 
-// row returns the next row; a count of limit or more is a fault.
+// row returns the next row; a count of limit or more is invalid.
 func (reader *rowReader) row(kinds, teams []string, limit uint64) seriesCounts {
 	kind, team := reader.next(uint64(len(kinds))), reader.next(uint64(len(teams)))
 	mask := reader.next(1 << numClasses)
@@ -206,7 +209,7 @@
 	return seriesCounts{series: Series{Kind: kinds[kind], Team: teams[team]}, counts: counts}
 }
 
-// rows returns the rows of one minute, or nil after a fault.
+// rows returns the rows of one minute, or nil if the data is invalid.
 func (reader *rowReader) rows(kinds, teams []string, limit uint64) []seriesCounts {
 	count := reader.next(uint64(len(reader.data)/minRowBytes) + 1)
 	rows := make([]seriesCounts, 0, count)
@@ -219,16 +222,16 @@
 	return rows
 }
 
-// decodeRows fills the rows of minutes from the counts of the record.
+// decodeRows decodes the counts of the record into the rows of minutes.
 func (record batchRecord) decodeRows(minutes []closedMinute) error {
 	reader := &rowReader{data: record.Counts}
 	for i := range minutes {
 		if minutes[i].rows = reader.rows(record.Kinds, record.Teams, maxRowCount); reader.invalid {
-			return eris.Errorf("the counts of minute %d are out of bounds", minutes[i].minute)
+			return eris.Errorf("the counts of minute %d are out of range", minutes[i].minute)
 		}
 	}
 	if len(reader.data) > 0 {
-		return eris.New("the counts do not match the minutes")
+		return eris.New("there is data after the counts of the last minute")
 	}
 	return nil
 }
--- a/reporter/coverage.go
+++ b/reporter/coverage.go
@@ -9,12 +9,12 @@
 
 const (
 	wordBits = 64
-	// coverageWords keeps the longest window, its rounding and the spare minutes.
+	// coverageWords is the number of words for the longest window, its rounding and the spare minutes.
 	coverageWords = (windowMinutes+coarseMinutes+spareMinutes)/wordBits + 2
 	coverageBits  = coverageWords * wordBits
 )
 
-// coverage holds which minutes of one incarnation were added, in a ring of bits that ends at last.
+// coverage records which minutes of one incarnation were added, in a ring buffer of bits that ends at minute last.
 type coverage struct {
 	domain, instance string
 	first, last      minute
@@ -22,7 +22,8 @@
 	bits             [coverageWords]uint64
 }
 
-// add marks a minute as covered and reports whether it was not; a minute older than the ring counts as covered.
+// add marks a minute as covered and reports whether it was not covered before. Minutes older than the ring count as
+// covered.
 func (coverage *coverage) add(at minute) bool {
 	if at <= coverage.last-coverageBits {
 		return false
@@ -40,13 +41,13 @@
 	return added
 }
 
-// has reports whether a minute within the ring is covered.
+// has reports whether a minute is within the ring and covered.
 func (coverage *coverage) has(at minute) bool {
 	return at <= coverage.last && at > coverage.last-coverageBits &&
 		coverage.bits[at%coverageBits/wordBits]>>(at%wordBits)&1 == 1
 }
 
-// count returns how many minutes from from to before to are covered.
+// count returns the number of covered minutes in [from, to).
 func (coverage *coverage) count(from, to minute) int64 {
 	from, to = max(from, coverage.first, coverage.last-coverageBits+1), min(to, coverage.last+1)
 	count := int64(0)
@@ -62,15 +63,16 @@
 	return count
 }
 
-// lifetime is the time in which an incarnation ran as far as the ledger can tell.
+// lifetime is the time in which an incarnation ran, as far as the records show.
 type lifetime struct {
 	*coverage
 	incarnation string
-	end         minute // the first minute in which it certainly no longer ran
+	end         minute // the first minute in which it is known not to run
 }
 
-// lifetimes returns when each incarnation ran. Without a final record it ran until the next incarnation of the same
-// instance began, and otherwise until now: an instance that is cut off from the log looks the same as a dead one.
+// lifetimes returns the lifetimes of all incarnations, sorted by instance and start. Without a final record, an
+// incarnation is taken to run until the next one of the same instance starts, or else until now: an instance that is
+// disconnected from the log cannot be distinguished from a crashed one.
 func (aggregator *Aggregator) lifetimes(now minute) []lifetime {
 	lifetimes := make([]lifetime, 0, len(aggregator.incarnations))
 	for incarnation, coverage := range aggregator.incarnations {
@@ -91,12 +93,12 @@
 	return lifetimes
 }
 
-// completeness is the number of instance-minutes of a window: expected ones, and those of which records were read.
+// completeness holds the instance-minutes of a window: the expected ones, and those with a record.
 type completeness struct{ expected, covered int64 }
 
 func (completeness completeness) missing() int64 { return completeness.expected - completeness.covered }
 
-// completeness returns the instance-minutes from minute from to before minute to.
+// completeness returns the instance-minutes in [from, to).
 func (aggregator *Aggregator) completeness(lifetimes []lifetime, from, to minute) completeness {
 	var completeness completeness
 	earliest, instances := to, make(map[[2]string]bool)
@@ -118,7 +120,7 @@
 		switch at := from + minute(i); {
 		case ok:
 		case at >= earliest || len(instances) == 0:
-			completeness.expected++ // Nobody is known to have run; that is no proof that nobody did.
+			completeness.expected++ // No instance is known to have run, but one may have.
 		case !aggregator.complete:
 			completeness.expected += int64(len(instances))
 		}
@@ -126,7 +128,8 @@
 	return completeness
 }
 
-// Prune drops the incarnations that ended before the longest window of a report at now, and idle series.
+// Prune removes the incarnations that ended before the longest window of a report at now, and series without answers
+// since then.
 func (aggregator *Aggregator) Prune(now time.Time) {
 	oldest := minuteOf(now) - windowMinutes - coarseMinutes - spareMinutes
 	for _, lifetime := range aggregator.lifetimes(minuteOf(now)) {
--- a/reporter/frame.go
+++ b/reporter/frame.go
@@ -8,16 +8,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// checksumSize is the length of the checksum, in hexadecimal digits, before the JSON of a record.
+// checksumSize is the length of the checksum at the start of a record, in hexadecimal digits.
 const checksumSize = 2 * crc32.Size
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// headerEnd separates the JSON of a record, which has no line breaks, from its counts.
+// headerEnd separates the JSON of a record, which contains no line breaks, from its counts.
 const headerEnd = '\n'
 
-// frameRecord joins the JSON and the counts of a record behind a checksum, because a record with a changed count could still be
-// decoded. The counts are not part of the JSON, where base64 would make them a third longer.
+// frameRecord returns the record with a checksum, a JSON header and the counts. Without the checksum, a record with a
+// corrupted count might still be decoded. The counts are not part of the JSON, because base64 would make them a third
+// longer.
 func frameRecord(header, counts []byte) []byte {
 	sealed := make([]byte, checksumSize, checksumSize+len(header)+1+len(counts))
 	sealed = append(append(append(sealed, header...), headerEnd), counts...)
@@ -30,18 +31,18 @@
 	return hex.AppendEncode(nil, []byte{byte(sum >> 24), byte(sum >> 16), byte(sum >> 8), byte(sum)})
 }
 
-// unframeRecord returns the JSON and the counts of a record, or an error if the checksum does not match. Records of earlier
-// versions begin with the JSON, have no checksum and hold the counts in the JSON; the counts returned are nil.
+// unframeRecord returns the JSON header and the counts of a record, or an error if the checksum does not match. Records
+// of earlier versions have no checksum, begin with the JSON and contain the counts in it; for these, counts is nil.
 func unframeRecord(data []byte) (header, counts []byte, err error) {
 	if len(data) > 0 && data[0] == '{' {
 		return data, nil, nil
 	}
 	if len(data) < checksumSize || !bytes.Equal(checksum(data[checksumSize:]), data[:checksumSize]) {
-		return nil, nil, eris.New("a burn record does not match its checksum")
+		return nil, nil, eris.New("checksum mismatch in a burn record")
 	}
 	header, counts, found := bytes.Cut(data[checksumSize:], []byte{headerEnd})
 	if !found {
-		return nil, nil, eris.New("a burn record has no counts")
+		return nil, nil, eris.New("burn record without counts")
 	}
 	return header, counts, nil
 }
--- a/reporter/html.go
+++ b/reporter/html.go
@@ -14,19 +14,19 @@
 const (
 	plotWidth  = 900.0
 	plotHeight = 140.0
-	// maxPlottedRate is the burn rate at the top edge, just above the highest threshold.
+	// maxPlottedRate is the burn rate at the top edge of a plot, just above the highest threshold.
 	maxPlottedRate = 20.0
 )
 
-// WriteHTML writes the report as one page without references to other files.
+// WriteHTML writes the report as one HTML page without references to other files.
 func (report Report) WriteHTML(writer io.Writer) error {
 	return eris.Wrap(reportPage.Execute(writer, htmlReport{report}), "writing the report")
 }
 
-// htmlReport gives the template what it shows.
+// htmlReport provides the data of the page template.
 type htmlReport struct{ Report }
 
-// Windows returns the names of the windows.
+// Windows returns the names of the windows, such as 5m.
 func (htmlReport) Windows() []string {
 	var names []string
 	for _, window := range windows {
@@ -53,16 +53,16 @@
 	return texts
 }
 
-// htmlRow gives the template one row.
+// htmlRow provides the data of one row to the page template.
 type htmlRow struct{ Row }
 
 // Title returns the kind, and the team if the row is for one.
 func (row htmlRow) Title() string { return row.title() }
 
-// ObjectiveText returns the objective in words.
+// ObjectiveText returns the objective as text.
 func (row htmlRow) ObjectiveText() string { return row.objective() }
 
-// Longest returns the longest window.
+// Longest returns the burn of the longest window.
 func (row htmlRow) Longest() Burn { return row.longest() }
 
 // BudgetLeft returns the part of the error budget that is left.
@@ -80,7 +80,7 @@
 // Plotted reports whether the row has a plot.
 func (row htmlRow) Plotted() bool { return len(row.Hours) > 0 && row.Verdict != NoObjective }
 
-// plotY returns the height of a burn rate; the square root keeps a rate of 1 visible.
+// plotY returns the y coordinate of a burn rate. The square root scale keeps a rate of 1 visible.
 func plotY(rate float64) float64 {
 	return plotHeight * (1 - math.Sqrt(min(rate, maxPlottedRate)/maxPlottedRate))
 }
@@ -91,7 +91,7 @@
 	Title             string
 }
 
-// Gaps returns a bar for each hour with missing minutes; it is darker the more are missing.
+// Gaps returns a bar for each hour with missing minutes. The more are missing, the darker the bar.
 func (row htmlRow) Gaps() []plotMark {
 	var marks []plotMark
 	width := plotWidth / float64(len(row.Hours))
@@ -106,7 +106,7 @@
 	return marks
 }
 
-// Lines returns the points of the burn rate, one line per run of hours with answers: an hour without any has no rate.
+// Lines returns the points of the burn rate curve. An hour without answers has no rate and interrupts the line.
 func (row htmlRow) Lines() []string {
 	var lines []string
 	var line strings.Builder
@@ -128,13 +128,13 @@
 	return lines
 }
 
-// threshold is a horizontal line of the plot.
+// threshold is a horizontal line in the plot with its label.
 type threshold struct {
 	Y    float64
 	Text string
 }
 
-// Thresholds returns the burn rates of the window pairs.
+// Thresholds returns the lines for the factors of the window pairs.
 func (htmlRow) Thresholds() []threshold {
 	var thresholds []threshold
 	for _, windowPair := range windowPairs {
--- a/reporter/keys.go
+++ b/reporter/keys.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// keyShards bounds contention: concurrent answers rarely share a lock.
+// keyShards is large enough that concurrent answers rarely share a lock.
 const keyShards = 32
 
-// keyState is what is known of the count of one key.
+// keyState records which instance may count a key and whether it was counted.
 type keyState struct {
-	holder    uint64 // the instance that may count it
-	counted   bool   // it was counted here
-	unclaimed bool   // it was kept apart here as unclaimed
+	holder    uint64 // fingerprint of the instance that may count the key; 0 if none was granted it
+	counted   bool   // this instance counted it
+	unclaimed bool   // this instance counted it as unclaimed
 }
 
-// keyShard holds the claims of some keys in two generations, so that a claim lives one to two retention
-// periods and expiry costs nothing per key.
+// keyShard holds the states of a subset of the keys in two generations. A state is kept for one to two retention
+// periods, and expiry needs no work per key.
 type keyShard struct {
 	mu       sync.Mutex
 	current  map[uint64]keyState
@@ -25,8 +25,8 @@
 	rotated  time.Time
 }
 
-// keys remembers which keys were counted or granted, by fingerprint. Two keys share a 64-bit fingerprint with a
-// probability of about 3e-6 at ten million keys; one of the two requests is then not counted.
+// keys holds the states of counted and granted keys by fingerprint. With ten million keys, the probability that two of
+// them share a 64-bit fingerprint is about 3e-6; one of the two requests is then not counted.
 type keys struct {
 	seed        maphash.Seed
 	retention   time.Duration
@@ -44,7 +44,8 @@
 
 func (keys *keys) fingerprint(text string) uint64 { return maphash.String(keys.seed, text) }
 
-// update applies decide to the claim of key and reports its decision; a full table decides nothing.
+// update applies decide to the state of key and returns its result. If the key is new and its shard is full, update
+// returns false and true, and decide is not called.
 func (keys *keys) update(key string, now time.Time, decide func(keyState *keyState) bool) (decided, full bool) {
 	fingerprint := keys.fingerprint(key)
 	shard := &keys.shards[fingerprint%keyShards]
@@ -59,7 +60,7 @@
 	}
 	decided = decide(&entry)
 	if _, inPrevious := shard.previous[fingerprint]; inPrevious {
-		// The claim stays in its generation: a resubmission must not extend its life.
+		// The state stays in its generation: a resubmission must not extend its lifetime.
 		shard.previous[fingerprint] = entry
 	} else {
 		shard.current[fingerprint] = entry
@@ -80,9 +81,10 @@
 	shard.rotated = now
 }
 
-// grant reports whether holder may count key; the first holder that asks may, and may ask again.
+// grant reports whether holder may count key. The first instance that asks may, and gets the same result if it asks
+// again.
 func (keys *keys) grant(key, holder string, now time.Time) bool {
-	requester := keys.fingerprint(holder) | 1 // never zero, which means no holder
+	requester := keys.fingerprint(holder) | 1 // not 0, which means no holder
 	granted, _ := keys.update(key, now, func(keyState *keyState) bool {
 		if keyState.holder == 0 && !keyState.counted {
 			keyState.holder = requester
@@ -92,7 +94,7 @@
 	return granted
 }
 
-// count reports whether an answer to key is to be counted here now; full means that it cannot be told.
+// count reports whether this instance must count an answer to key; full means that the key could not be stored.
 func (keys *keys) count(key string, grant Grant, now time.Time) (counts, full bool) {
 	return keys.update(key, now, func(keyState *keyState) bool {
 		switch {
--- a/reporter/report.go
+++ b/reporter/report.go
@@ -6,34 +6,37 @@
 	"time"
 )
 
-// reportLagMinutes is how many closed minutes a report leaves out: an instance appends a minute during the one after it.
+// reportLagMinutes is the number of latest minutes that a report leaves out: an instance appends a minute during the
+// following one.
 const reportLagMinutes = 2
 
-// Verdict is what an operator has to do about a kind or a team.
+// Verdict is the alert state of a kind or a team.
 type Verdict string
 
-// Verdicts, from worst to best.
+// Verdicts, in descending order of severity.
 const (
-	// Page means that the budget burns fast enough to call somebody now.
+	// Page means that the budget burns so fast that somebody must be called immediately.
 	Page Verdict = "page"
-	// Ticket means that the budget burns fast enough to look at it in working hours.
+	// Ticket means that the budget burns so fast that it must be looked at in working hours.
 	Ticket Verdict = "ticket"
-	// Missing means that it would be ok without the answers that are missing or unclaimed.
+	// Missing means that the verdict is ok from the known answers, but might not be with the missing or unclaimed ones.
 	Missing Verdict = "missing"
-	// OK means that it is ok even if every missing and every unclaimed answer were bad.
+	// OK means that the budget does not burn too fast, even if all missing and unclaimed answers were bad.
 	OK Verdict = "ok"
-	// NoObjective means that the kind has no objective to judge by.
+	// NoObjective means that the kind has no objective.
 	NoObjective Verdict = "no-objective"
 )
 
-// windowPair is a long window that proves that the burn matters and a short one that proves that it goes on.
+// windowPair is an alerting rule: the burn rate must exceed factor both over a long window, so that a short spike does
+// not alert, and over a short one, so that the alert ends soon after the cause.
 type windowPair struct {
 	short, long time.Duration
 	factor      float64
 	verdict     Verdict
 }
 
-// windowPairs are the usual ones for a budget of 30 days: they fire when 2%, 5%, 10% and 10% of it burn in the long window.
+// windowPairs are the usual multi-window rules for an error budget of 30 days, in descending order of severity. They
+// alert when 2%, 5%, 10% and 10% of the budget are used up within the long window.
 var windowPairs = []windowPair{
 	{5 * time.Minute, time.Hour, 14.4, Page},
 	{30 * time.Minute, 6 * time.Hour, 6, Page},
@@ -41,12 +44,13 @@
 	{6 * time.Hour, 72 * time.Hour, 1, Ticket},
 }
 
-// windows are the lengths that the pairs use, ascending.
+// windows are the lengths of all windows in windowPairs, ascending.
 var windows = []time.Duration{
 	5 * time.Minute, 30 * time.Minute, time.Hour, 2 * time.Hour, 6 * time.Hour, 24 * time.Hour, 72 * time.Hour,
 }
 
-// windowStart returns the first minute of a window that ends before minute to.
+// windowStart returns the first minute of a window that ends before minute to, rounded down to a coarse interval for
+// windows that are summed from coarse slots.
 func windowStart(length time.Duration, to minute) minute {
 	from := to - minute(length/time.Minute)
 	if to-from > fineMinutes {
@@ -55,7 +59,7 @@
 	return max(from, 0)
 }
 
-// Report is the burn of every kind and team at one time.
+// Report holds the burn rates and verdicts of all kinds and teams at one time.
 type Report struct {
 	// AsOf is the end of every window.
 	AsOf time.Time `json:"as-of"`
@@ -66,14 +70,14 @@
 	Rows       []Row `json:"rows"`
 }
 
-// Coverage is the part of a window of which records exist, in minutes summed over the instances.
+// Coverage says for how many minutes of a window records are expected and exist, added up over the instances.
 type Coverage struct {
 	WindowMinutes   int64 `json:"window-minutes"`
 	ExpectedMinutes int64 `json:"expected-minutes"`
 	CoveredMinutes  int64 `json:"covered-minutes"`
 }
 
-// Row is the burn of one kind, or of one team within a kind.
+// Row holds the burn rates and the verdict of one kind, or of one team within a kind.
 type Row struct {
 	Kind string `json:"kind"`
 	// Team is empty in the row of a whole kind.
@@ -81,14 +85,14 @@
 	WithinMS int64   `json:"within-ms,omitempty"`
 	Percent  float64 `json:"percent,omitempty"`
 	Verdict  Verdict `json:"verdict"`
-	// AllowedBad is how many answers of the longest window may be bad.
+	// AllowedBad is the number of answers in the longest window that may be bad.
 	AllowedBad float64 `json:"allowed-bad"`
 	Burns      []Burn  `json:"burns"`
-	// Hours holds the hours of the longest window, in the row of a whole kind only.
+	// Hours holds the hours of the longest window. It is set only in the row of a whole kind.
 	Hours []Hour `json:"hours,omitempty"`
 }
 
-// Burn holds the answers of one window and how fast they use up the error budget.
+// Burn holds the answers of one window and their burn rate, which is how fast they use up the error budget.
 type Burn struct {
 	WindowMinutes int64  `json:"window-minutes"`
 	Answers       uint64 `json:"answers"`
@@ -97,16 +101,17 @@
 	Refused       uint64 `json:"refused"`
 	Unknown       uint64 `json:"unknown"`
 	Unclaimed     uint64 `json:"unclaimed"`
-	// Rate is the share of bad answers over the share that may be bad.
+	// Rate is the share of bad answers divided by the share that may be bad.
 	Rate float64 `json:"burn-rate"`
-	// WorstRate is Rate if every missing and unclaimed answer were bad; it is null if nothing is known of the window.
+	// WorstRate is what Rate would be if all missing and unclaimed answers were bad. It is null if the window has no
+	// records.
 	WorstRate *float64 `json:"worst-burn-rate"`
 }
 
-// Bad returns the answers that count against the budget.
+// Bad returns the number of answers that use up the error budget.
 func (burn Burn) Bad() uint64 { return burn.Late + burn.Failed + burn.Refused + burn.Unknown }
 
-// Hour is one point of the plot.
+// Hour holds the answers of one hour, which is one point of the plot.
 type Hour struct {
 	Start     time.Time `json:"start"`
 	Answers   uint64    `json:"answers"`
@@ -116,7 +121,7 @@
 	MissingShare float64 `json:"missing-share"`
 }
 
-// Report returns the burn at now, up to the last minutes that all instances had the time to append.
+// Report returns the report at now. It leaves out the latest minutes, which some instances may not have appended yet.
 func (aggregator *Aggregator) Report(now time.Time) Report {
 	to := minuteOf(now) - reportLagMinutes
 	lifetimes := aggregator.lifetimes(to)
@@ -148,7 +153,7 @@
 // windowCounts holds the counts of one series per window.
 type windowCounts [7]Counts
 
-// countsByWindow returns the counts per window of every series, and of every kind under an empty team.
+// countsByWindow returns the counts per window of every series, and of every kind as the series with an empty team.
 func (aggregator *Aggregator) countsByWindow(to minute) map[Series]*windowCounts {
 	countsByWindow := make(map[Series]*windowCounts)
 	for kind := range aggregator.objectives {
@@ -169,7 +174,7 @@
 	return countsByWindow
 }
 
-// hours returns the points of the plot of every kind.
+// hours returns the hours of the longest window by kind.
 func (aggregator *Aggregator) hours(lifetimes []lifetime, to minute) map[string][]Hour {
 	const length = 60
 	from := windowStart(windows[len(windows)-1], to)
@@ -210,6 +215,7 @@
 	return hours
 }
 
+// newRow returns the row of a series with its verdict.
 func newRow(series Series, objective Objective, hasObjective bool, countsByWindow windowCounts, windowCompleteness []completeness) Row {
 	row := Row{Kind: series.Kind, Team: series.Team, Verdict: NoObjective}
 	for i, counts := range countsByWindow {
@@ -230,7 +236,8 @@
 	return row
 }
 
-// setRates sets the burn rates. Missing instance-minutes are taken to hold as many answers as the others on average.
+// setRates sets the burn rates. Missing instance-minutes are assumed to have as many answers as the average covered
+// one.
 func (burn *Burn) setRates(objective Objective, completeness completeness) {
 	if burn.Answers > 0 {
 		burn.Rate = float64(burn.Bad()) / float64(burn.Answers) / objective.budget()
@@ -249,7 +256,7 @@
 	burn.WorstRate = &worst
 }
 
-// evaluate returns the worst verdict of all pairs of windows.
+// evaluate returns the worst verdict of all window pairs.
 func (row Row) evaluate() Verdict {
 	verdict := OK
 	for _, windowPair := range windowPairs {
@@ -264,6 +271,7 @@
 	return verdict
 }
 
+// mayExceed reports whether the burn rate would exceed factor if all missing and unclaimed answers were bad.
 func (burn Burn) mayExceed(factor float64) bool {
 	return burn.WorstRate == nil || *burn.WorstRate > factor
 }
@@ -284,7 +292,7 @@
 	return worst
 }
 
-// title returns the name of a row.
+// title returns the kind, and the team if the row is for one.
 func (row Row) title() string {
 	return strings.TrimSuffix(row.Kind+" / "+row.Team, " / ")
 }
--- a/reporter/reporter.go
+++ b/reporter/reporter.go
@@ -9,21 +9,22 @@
 
 const (
 	countShards = 16
-	// maxPendingRows bounds the counts that wait for the log; at 1,200 series it is about two hours.
+	// maxPendingRows limits the counts that are not yet in the log; at 1,200 series it is about two hours.
 	maxPendingRows = 150_000
 )
 
 // Config holds the parameters of a Reporter.
 type Config struct {
-	// Domain and Instance name the instance; Incarnation is unique among all runs of all instances.
+	// Domain and Instance identify the instance; Incarnation is unique among all process runs of all instances.
 	Domain, Instance, Incarnation string
 	// Objectives holds the objective of each kind that has one.
 	Objectives map[string]Objective
-	// Retention is how long a key may be resubmitted; a claim on a count lives one to two such periods.
+	// Retention is how long a key may be resubmitted; a granted or counted key is remembered for one to two such
+	// periods.
 	Retention time.Duration
-	// MaxKeys bounds the keys that are remembered per retention period.
+	// MaxKeys limits the keys that are remembered per retention period.
 	MaxKeys int
-	// MaxSeries bounds the pairs of kind and team that are counted separately in one minute.
+	// MaxSeries limits the pairs of kind and team that are counted separately in one minute.
 	MaxSeries int
 }
 
@@ -34,7 +35,7 @@
 
 func (minute minute) time() time.Time { return time.Unix(int64(minute)*60, 0).UTC() }
 
-// countShard holds the counts of some series in the open minute, and the closed minutes not yet collected.
+// countShard holds the counts of a subset of the series in the open minute, and the closed minutes not yet collected.
 type countShard struct {
 	mu     sync.Mutex
 	open   minute
@@ -42,18 +43,20 @@
 	closed []closedMinute
 }
 
-// closedMinute holds the answers of one minute; a series may have several rows.
+// closedMinute holds the counts of one minute that has ended; a series may have several rows.
 type closedMinute struct {
 	minute minute
 	rows   []seriesCounts
 }
 
+// seriesCounts is a row of a closed minute.
 type seriesCounts struct {
 	series Series
 	counts Counts
 }
 
-// Reporter counts the answers of one instance and hands them out as batches of closed minutes.
+// Reporter counts the answers of one instance and returns them as batches of closed minutes. It is safe for concurrent
+// use.
 type Reporter struct {
 	config     Config
 	seed       maphash.Seed
@@ -63,8 +66,8 @@
 
 	mu      sync.Mutex
 	pending []closedMinute // closed minutes that the log has not acknowledged, ascending
-	rows    int            // series in pending
-	next    minute         // the first minute that is not in a batch yet
+	rows    int            // rows of all minutes in pending
+	next    minute         // the first minute that is not in pending yet
 }
 
 // New returns a reporter whose incarnation starts at now.
@@ -81,22 +84,22 @@
 	return reporter
 }
 
-// SetObjectives replaces the objectives, by kind; answers counted before keep their class.
+// SetObjectives replaces the objectives, which are keyed by kind. Answers counted before keep their class.
 func (reporter *Reporter) SetObjectives(objectives map[string]Objective) {
 	reporter.objectives.Store(&objectives)
 }
 
-// GrantCount reports whether the instance called holder may count the request with key, which this instance owns.
+// GrantCount reports whether the instance holder may count the request with key, which this instance owns.
 func (reporter *Reporter) GrantCount(key, holder string, now time.Time) bool {
 	return reporter.keys.grant(key, holder, now)
 }
 
-// Record counts an answer that has reached its caller at now, and reports whether it counted.
+// Record counts an answer that was written to its caller at now, and reports whether it was counted.
 func (reporter *Reporter) Record(answer Answer, now time.Time) bool {
 	if answer.key != "" {
 		counts, full := reporter.keys.count(answer.key, answer.grant, now)
 		if full && answer.grant != Denied {
-			// Without room for the key a duplicate could not be told apart later.
+			// The key cannot be stored, so a later duplicate would not be detected.
 			answer.grant = Undecided
 		} else if !counts {
 			return false
@@ -112,8 +115,8 @@
 	return true
 }
 
-// series returns the counts of a series in the open minute; beyond limit series, a kind with an objective keeps
-// its own total and all others share one.
+// series returns the counts of a series in the open minute. When there are limit series, a new series is counted under
+// the total of its kind if that has an objective, and otherwise under one total for all other kinds.
 func (shard *countShard) series(series Series, hasObjective bool, limit int) *Counts {
 	counts := shard.counts[series]
 	if counts != nil {
@@ -133,10 +136,10 @@
 	return counts
 }
 
-// closeMinute closes the open minute if now is a later one; the caller holds shard.mu.
+// closeMinute closes the open minute if now is a later minute; the caller holds shard.mu.
 func (shard *countShard) closeMinute(now minute) {
 	if now <= shard.open {
-		return // A clock that went back counts into the open minute: closed minutes may be in the log.
+		return // After the clock went back, answers count in the open minute: closed minutes may already be in the log.
 	}
 	if len(shard.counts) > 0 {
 		closed := closedMinute{minute: shard.open}
@@ -149,7 +152,7 @@
 	shard.open = now
 }
 
-// takeClosed removes and returns the closed minutes through last, after closing them.
+// takeClosed removes and returns the minutes through last, after closing the open one if it is among them.
 func (shard *countShard) takeClosed(last minute) []closedMinute {
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
@@ -163,7 +166,7 @@
 	return taken
 }
 
-// collect moves every closed minute through last from the shards to pending; the caller holds reporter.mu.
+// collect moves the minutes through last from the shards to pending; the caller holds reporter.mu.
 func (reporter *Reporter) collect(last minute) {
 	if last < reporter.next {
 		return
@@ -183,15 +186,15 @@
 	reporter.pending = append(reporter.pending, collected...)
 	reporter.next = last + 1
 	for len(reporter.pending) > 1 && (reporter.rows > maxPendingRows || len(reporter.pending) > windowMinutes) {
-		// The dropped minute stays uncovered, and reports show it as missing.
+		// Drop the oldest minute. Reports show it as missing.
 		reporter.rows -= len(reporter.pending[0].rows)
 		reporter.pending = reporter.pending[1:]
 	}
 }
 
-// Batch returns the closed minutes before now that the log has not acknowledged, as many as fit one record, and false
-// if there are none. It is to be called every minute, also while the log is down, since it bounds what is kept. With
-// final set the open minute is closed too, and no answer may be recorded afterwards.
+// Batch returns the closed minutes before now that were not acknowledged, as many as fit into one record, and false if
+// there are none. It must be called every minute, also while the log is down, because it limits the memory of the
+// pending minutes. If final is set, the open minute is closed too, and no answer may be recorded afterwards.
 func (reporter *Reporter) Batch(now time.Time, final bool) (Batch, bool) {
 	reporter.mu.Lock()
 	defer reporter.mu.Unlock()
@@ -216,7 +219,7 @@
 	return batch, true
 }
 
-// Acknowledge forgets the minutes of a batch that is known to be in the log.
+// Acknowledge removes the minutes of a batch that is in the log from the pending ones.
 func (reporter *Reporter) Acknowledge(batch Batch) {
 	reporter.mu.Lock()
 	defer reporter.mu.Unlock()
--- a/reporter/sum.go
+++ b/reporter/sum.go
@@ -12,39 +12,40 @@
 
 const (
 	sumFormat = 1
-	// maxSumRows and maxSumRecords end a sum early, which bounds it to about 5 MB in the log at the longest batch.
+	// A sum ends early at maxSumRows or maxSumRecords, which limits it to about 5 MB in the log with the longest batch.
 	maxSumRows    = 300_000
 	maxSumRecords = 50_000
-	// maxSumSources bounds the incarnations of one sum.
+	// maxSumSources limits the incarnations in a sum.
 	maxSumSources = 5_000
-	// maxSumCount bounds one count of a sum: ten of them, one slot of a ledger, fit 32 bits.
+	// maxSumCount limits a count in a sum, so that ten of them, which are added up in one slot, fit into 32 bits.
 	maxSumCount = 1 << 28
-	// maxSumMinutes bounds the minutes of a sum, and maxSumCovered those of its incarnations together: backlogs of three
-	// days of 230 instances. A sum ends early so that one more record cannot pass them.
+	// maxSumMinutes limits the minutes of a sum, and maxSumCoveredMinutes the total over its incarnations: it fits
+	// backlogs of three days of 230 instances. A sum ends early enough that one more record cannot exceed them.
 	maxSumMinutes        = 2 * windowMinutes
 	maxSumCoveredMinutes = 1_000_000
 )
 
-// HourlySum holds the answers of a run of consecutive records of stream burn, added up over the instances by the minute. Each
-// minute of an incarnation is listed, so that a ledger can tell whether a sum repeats what it has counted.
+// HourlySum holds the counts of consecutive records of stream burn, added up over the instances for each minute. It
+// lists the minutes of each incarnation, so that an Aggregator can detect minutes that it has already counted.
 type HourlySum struct {
-	hour       minute // the hour for which it was appended
-	from, next int64  // the offsets of the first record and after the last one
+	hour       minute // start of the hour for which it was appended
+	from, next int64  // offsets of the first record and after the last one
 	unreadable int
 	sources    []sumSource
 	objectives map[string]objectiveAt
 	minutes    []closedMinute // ascending
 }
 
-// sumSource is one incarnation of which the records of a sum hold something.
+// sumSource holds the minutes of one incarnation that are in a sum.
 type sumSource struct {
 	domain, instance, incarnation string
 
 	first   minute
 	final   bool
-	minutes []minute // ascending, those that are in the sum
+	minutes []minute // ascending
 }
 
+// objectiveAt is an objective that was in effect at a minute.
 type objectiveAt struct {
 	objective Objective
 	at        minute
@@ -59,7 +60,7 @@
 // Hour returns the start of the hour for which the sum was appended.
 func (sum HourlySum) Hour() time.Time { return sum.hour.time() }
 
-// last returns the latest minute that the sum names anywhere.
+// last returns the latest minute in any part of the sum, or -1 if there is none.
 func (sum HourlySum) last() minute {
 	last := minute(-1)
 	for _, closed := range sum.minutes {
@@ -76,9 +77,8 @@
 	return last
 }
 
-// AddSum adds a sum, read at now, and reports whether it did. A sum that holds any minute of an incarnation that is
-// already counted, or minutes in the future, or more incarnations than there is room for, is left out as a whole; the
-// caller then adds the records of its range.
+// AddSum adds a sum, read at now, and reports whether it did. It does not add a sum that has minutes that are already
+// counted, minutes in the future, or too many new incarnations. The caller must then add the records in its range.
 func (aggregator *Aggregator) AddSum(sum HourlySum, now time.Time) bool {
 	if sum.last() > minuteOf(now)+maxAheadMinutes {
 		return false
@@ -124,8 +124,8 @@
 	Objectives []objectiveAtRecord `json:"objectives,omitempty"`
 	Kinds      []string            `json:"kinds,omitempty"`
 	Teams      []string            `json:"teams,omitempty"`
-	// Counts follows the JSON and holds unsigned varints: per minute the distance from the one before, the number of rows, and the rows as in
-	// a batch.
+	// Counts is stored after the JSON and holds unsigned varints: per minute the distance from the previous one, the
+	// number of rows, and the rows as in a batch.
 	Counts []byte `json:"-"`
 }
 
@@ -135,7 +135,8 @@
 	Incarnation string `json:"incarnation"`
 	First       minute `json:"first-minute"`
 	Final       bool   `json:"final,omitempty"`
-	// Minutes holds, from minute zero on, pairs of unsigned varints: minutes left out, minutes present.
+	// Minutes holds pairs of unsigned varints: the number of minutes to skip, starting from minute 0, and the number of
+	// minutes present.
 	Minutes []byte `json:"minutes"`
 }
 
@@ -144,7 +145,7 @@
 	At minute `json:"at-minute"`
 }
 
-// Encode returns the record to append to stream burn-hours.
+// Encode returns the record of the sum for stream burn-hours.
 func (sum HourlySum) Encode() ([]byte, error) {
 	record := sumRecord{Format: sumFormat, Hour: sum.hour, From: sum.from, Next: sum.next, Unreadable: sum.unreadable}
 	for _, source := range sum.sources {
@@ -175,6 +176,7 @@
 	return frameRecord(data, record.Counts), eris.Wrap(err, "encoding an hourly burn sum")
 }
 
+// appendMinutes appends minutes, which are ascending, in the form of sourceRecord.Minutes.
 func appendMinutes(data []byte, minutes []minute) []byte {
 	next := minute(0)
 	for i := 0; i < len(minutes); {
@@ -190,21 +192,22 @@
 	return data
 }
 
-// DecodeSum returns the sum in a record of stream burn-hours, or an error if any part of it is out of bounds.
+// DecodeSum returns the sum in a record of stream burn-hours, or an error if the record is damaged or a value is out of
+// range.
 func DecodeSum(data []byte) (HourlySum, error) {
 	data, counts, err := unframeRecord(data)
 	if err != nil {
 		return HourlySum{}, err
 	}
 	if counts == nil {
-		return HourlySum{}, eris.New("an hourly burn sum has no checksum")
+		return HourlySum{}, eris.New("hourly burn sum without a checksum")
 	}
 	record := sumRecord{Counts: counts}
 	if err := json.Unmarshal(data, &record); err != nil {
 		return HourlySum{}, eris.Wrap(err, "decoding an hourly burn sum")
 	}
 	if record.Format != sumFormat || record.From < 0 || record.Next <= record.From || record.Unreadable < 0 || len(record.Sources) > maxSumSources {
-		return HourlySum{}, eris.Errorf("hourly burn sum of format %d for records %d to %d is out of bounds", record.Format, record.From, record.Next)
+		return HourlySum{}, eris.Errorf("hourly burn sum of format %d for records %d to %d is out of range", record.Format, record.From, record.Next)
 	}
 	sum := HourlySum{
 		hour: record.Hour, from: record.From, next: record.Next, unreadable: record.Unreadable,
@@ -220,14 +223,14 @@
 	return sum, record.decodeInto(&sum)
 }
 
-// decodeInto fills the runs and the minutes of sum.
+// decodeInto decodes the sources and the minutes of the record into sum.
 func (record sumRecord) decodeInto(sum *HourlySum) error {
 	seen, remaining := make(map[string]bool), maxSumCoveredMinutes
 	for _, entry := range record.Sources {
 		minutes, ok := decodeMinutes(entry.Minutes, remaining)
 		remaining -= len(minutes)
 		if !ok || entry.Incarnation == "" || seen[entry.Incarnation] || entry.First < 0 {
-			return eris.Errorf("hourly burn sum: incarnation %q is out of bounds", entry.Incarnation)
+			return eris.Errorf("hourly burn sum: minutes of incarnation %q are out of range", entry.Incarnation)
 		}
 		seen[entry.Incarnation] = true
 		sum.sources = append(sum.sources, sumSource{
@@ -240,14 +243,14 @@
 		at += minute(reader.next(1 << 40))
 		rows := reader.rows(record.Kinds, record.Teams, maxSumCount)
 		if reader.invalid || len(sum.minutes) >= maxSumMinutes {
-			return eris.Errorf("hourly burn sum: the counts of minute %d are out of bounds", at)
+			return eris.Errorf("hourly burn sum: counts of minute %d are out of range", at)
 		}
 		sum.minutes = append(sum.minutes, closedMinute{minute: at, rows: rows})
 	}
 	return nil
 }
 
-// decodeMinutes returns the minutes of one incarnation, and false if they are out of bounds or more than limit.
+// decodeMinutes returns the minutes of one incarnation, and false if they are invalid or more than limit.
 func decodeMinutes(data []byte, limit int) ([]minute, bool) {
 	reader := &rowReader{data: data}
 	var minutes []minute
--- a/reporter/sum_builder.go
+++ b/reporter/sum_builder.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// sumAppendSpread is the part of an hour over which the turns of the instances are spread.
+// sumAppendSpread is the time after the start of an hour over which the append times of the instances are spread.
 const sumAppendSpread = 30 * time.Minute
 
-// SumAppendTime returns when an instance is to append the sums of the hour of now unless another one has done so. Rendezvous
-// hashing of the hour over the instances gives the order; as with bundle renewals, it needs no list of instances, and
-// a later turn takes over from a dead or silent instance.
+// SumAppendTime returns when an instance must append the sums of the hour of now, unless another instance has done so.
+// The time comes from a rendezvous hash of the hour and the instance. As with bundle renewals, this needs no list of
+// instances, and if an instance crashed or is unresponsive, the one with the next append time takes over.
 func SumAppendTime(now time.Time, failureDomain, instance string) time.Time {
 	hour := now.Truncate(time.Hour)
 	hash := sha256.Sum256([]byte(strconv.FormatInt(hour.Unix(), 10) + "\x00" + failureDomain + "\x00" + instance))
@@ -24,19 +24,19 @@
 	return hour.Add(time.Duration(fraction * float64(sumAppendSpread)))
 }
 
-// SumBuilder adds up consecutive records of stream burn. Its ledger holds the coverage of all earlier records, so that a
-// minute that was appended twice is in one sum. It is not safe for concurrent use.
+// SumBuilder adds up consecutive records of stream burn. Its Aggregator holds the coverage of all earlier records, so
+// that a minute that was appended twice is in only one sum. It is not safe for concurrent use.
 type SumBuilder struct {
 	*Aggregator
 	sum     HourlySum
 	records int
 	rows    int
-	covered int // minutes of all runs
+	covered int // minutes of all sources
 	sources map[string]*sumSource
 	minutes map[minute]map[Series]*Counts
 }
 
-// NewSumBuilder returns a summer without any coverage.
+// NewSumBuilder returns a builder without any coverage.
 func NewSumBuilder() *SumBuilder {
 	builder := &SumBuilder{Aggregator: NewAggregator()}
 	builder.coverageOnly = true
@@ -44,20 +44,21 @@
 	return builder
 }
 
-// Begin starts a new sum at the record with offset from; the coverage stays.
+// Begin starts a new sum at the record with offset from and keeps the coverage.
 func (builder *SumBuilder) Begin(from int64) {
 	builder.sum = HourlySum{from: from, next: from, objectives: make(map[string]objectiveAt)}
 	builder.records, builder.rows, builder.covered = 0, 0, 0
 	builder.sources, builder.minutes = make(map[string]*sumSource), make(map[minute]map[Series]*Counts)
 }
 
-// Full reports whether the sum is to be cut before another record is added.
+// Full reports whether the sum must be built before another record is added.
 func (builder *SumBuilder) Full() bool {
 	return builder.rows >= maxSumRows || builder.records >= maxSumRecords || len(builder.sources) >= maxSumSources ||
 		len(builder.minutes) >= maxSumMinutes-maxBatchMinutes || builder.covered >= maxSumCoveredMinutes-maxBatchMinutes
 }
 
-// AddRecord adds the record at offset, read at now, to the sum; a record that cannot be decoded is counted.
+// AddRecord adds the record at offset, read at now, to the sum; a record that cannot be decoded is counted as
+// unreadable.
 func (builder *SumBuilder) AddRecord(offset int64, data []byte, now time.Time) {
 	builder.sum.next = offset + 1
 	builder.records++
@@ -88,7 +89,7 @@
 		builder.addRows(closed)
 	}
 	if _, through := batch.span(); through > covered.last {
-		return // Its minutes were in the future and are left out, with its objectives.
+		return // The batch has minutes in the future, so its minutes and objectives are left out.
 	}
 	for kind := range batch.objectives {
 		if at, known := builder.objectivesAt[kind]; known {
@@ -97,6 +98,7 @@
 	}
 }
 
+// addRows adds the rows of one minute.
 func (builder *SumBuilder) addRows(closed closedMinute) {
 	rows := builder.minutes[closed.minute]
 	if rows == nil && len(closed.rows) > 0 {
@@ -114,7 +116,7 @@
 	}
 }
 
-// Build returns the sum of the records since Begin, appended for the hour of now, and false if there are none.
+// Build returns the sum of the records since Begin, for the hour of now, and false if there are none.
 func (builder *SumBuilder) Build(now time.Time) (HourlySum, bool) {
 	sum := builder.sum
 	sum.hour = minuteOf(now.Truncate(time.Hour))
--- a/reporter/text.go
+++ b/reporter/text.go
@@ -11,8 +11,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// WriteText writes the report as a table: burn rates per window, with the worst case in parentheses where answers are
-// missing or unclaimed.
+// WriteText writes the report as a text table with the burn rate of each window. Where answers are missing or
+// unclaimed, the worst case follows in parentheses.
 func (report Report) WriteText(writer io.Writer) error {
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(table, "burn as of %s\n\n", report.AsOf.Format(time.RFC3339))
@@ -60,7 +60,7 @@
 	return fmt.Sprintf("%v%% in %d ms", row.Percent, row.WithinMS)
 }
 
-// budgetLeft returns the part of the longest window's error budget that is not used up, and the least it can be.
+// budgetLeft returns the part of the longest window's error budget that is left, and the worst case if that differs.
 func (row Row) budgetLeft() string {
 	longest := row.longest()
 	switch {
