--- a/accountant/accountant.go
+++ b/accountant/accountant.go
@@ -15,15 +15,16 @@
 )
 
 const (
-	// appendTimeout leaves room for a slow log within the minute.
+	// appendTimeout bounds the appends of one minute. It is shorter than a minute, so that a slow log does not delay
+	// the next appends.
 	appendTimeout = 20 * time.Second
-	// appendSpread is the part of a minute over which instances spread their appends: all at the same second
-	// would take the log's whole rate at 300 instances.
+	// appendSpread is the time over which the appends of the instances are spread in each minute. If 300 instances
+	// appended in the same second, they would use up the whole rate of the log.
 	appendSpread = 30 * time.Second
 )
 
-// Accountant counts the answers of one instance and appends them to the log every minute; at its turn it also appends
-// the hourly sums of the records of all instances.
+// Accountant counts the answers of one instance and appends the counts to the log every minute. When it is the turn of
+// the instance, it also appends the hourly sums of the records of all instances.
 type Accountant struct {
 	*reporter.Reporter
 	log    *appender.Appender
@@ -55,6 +56,7 @@
 	return accountant
 }
 
+// appendSums appends the hourly sums if they are due, and logs an error.
 func (accountant *Accountant) appendSums(ctx context.Context, sumAppender *sumAppender, now time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, sumTimeout)
 	defer cancel()
@@ -63,14 +65,15 @@
 	}
 }
 
-// Close appends what is left with a final mark, and returns an error if that failed by the deadline of ctx; no answer
-// may be recorded afterwards.
+// Close appends the remaining counts and marks the last record as final. It returns an error if that did not succeed by
+// the deadline of ctx. No answer may be recorded afterwards.
 func (accountant *Accountant) Close(ctx context.Context) error {
 	accountant.stop()
 	accountant.done.Wait()
 	return accountant.flushAll(ctx, time.Now(), true)
 }
 
+// flush appends all closed minutes, and logs an error.
 func (accountant *Accountant) flush(ctx context.Context, now time.Time, final bool) {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
@@ -79,8 +82,8 @@
 	}
 }
 
-// flushAll appends all closed minutes. After an error they stay pending and are appended again: a reader counts each
-// minute of an incarnation once, so it does not matter whether the failed append took effect.
+// flushAll appends all closed minutes. After an error they stay pending and are appended again. It does not matter
+// whether the failed append took effect, because readers count each minute of an incarnation once.
 func (accountant *Accountant) flushAll(ctx context.Context, now time.Time, final bool) error {
 	for {
 		batch, ok := accountant.Batch(now, final)
@@ -98,7 +101,8 @@
 	}
 }
 
-// appendOffset returns the time after the start of a minute at which an incarnation appends.
+// appendOffset returns the time after the start of each minute at which an incarnation appends, from a hash of its
+// name.
 func appendOffset(incarnation string) time.Duration {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(incarnation))
--- a/accountant/accountant_test.go
+++ b/accountant/accountant_test.go
@@ -20,7 +20,7 @@
 	"github.com/hyssoplift/hyssoplift/reporter"
 )
 
-// newTestAccountant returns an accountant without the goroutine that appends by the clock.
+// newTestAccountant returns an accountant without the goroutines that append at fixed times.
 func newTestAccountant(log *appender.Appender, incarnation string, now time.Time) *Accountant {
 	objective, _ := reporter.NewObjective(500*time.Millisecond, 99)
 	config := reporter.Config{
@@ -34,8 +34,8 @@
 	return reporter.NewAnswer(dispatcher.NewJob("", "check", "demo", time.Time{}, nil), outcome, took, reporter.KeyOwner)
 }
 
-// Guards against counts that are lost over an outage, counted twice after a lost answer, or wrong after a restart, and
-// against a dead instance's time that passes as good.
+// Guards against counts that are lost in an outage of the log, counted twice after a lost answer, or wrong after a
+// restart, and against the minutes of a crashed instance being treated as good.
 func TestReportAcrossFaultsOfTheLog(t *testing.T) {
 	is := is.New(t)
 	log := emulator.NewLog()
@@ -52,7 +52,7 @@
 		err := first.flushAll(context.Background(), now, false)
 		is.Equal(err == nil, fault == emulator.LogHealthy) // minute
 	}
-	first.Record(answer(dispatcher.Failed{}, 0), now) // in memory only when the instance is killed
+	first.Record(answer(dispatcher.Failed{}, 0), now) // only in memory when the instance crashes
 	now = now.Add(10 * time.Minute)
 	second := newTestAccountant(client, "run-2", now)
 	second.Record(answer(dispatcher.Refused{}, 0), now)
@@ -66,7 +66,8 @@
 	is.Equal(hour.Late, uint64(5))
 	is.Equal(hour.Refused, uint64(1))
 	is.Equal(hour.Failed, uint64(0))
-	// The killed run covered 5 of its 15 minutes; then one minute of the second run, and two in which nobody is known to run.
+	// 5 covered and 10 missing minutes of the crashed incarnation, 1 minute of the second one, and 2 in which no
+	// incarnation is known to run.
 	is.Equal(report.Coverage[2].ExpectedMinutes, int64(5+10+1+2))
 	is.Equal(report.Coverage[2].CoveredMinutes, int64(6))
 	is.Equal(row.Verdict, reporter.Page)
@@ -74,10 +75,10 @@
 	log.Trim(burnStream, 1)
 	report, err = NewReader(client).Report(context.Background(), now.Add(5*time.Minute))
 	is.NoErr(err)
-	is.Equal(report.Coverage[2].ExpectedMinutes, int64(60)) // the time before the oldest record is no longer known
+	is.Equal(report.Coverage[2].ExpectedMinutes, int64(60)) // the time before the oldest record counts as missing
 }
 
-// Guards against a planned stop that appends only the first part of a backlog.
+// Guards against Close appending only the first part of a backlog.
 func TestCloseAppendsEverything(t *testing.T) {
 	is := is.New(t)
 	log := emulator.NewLog()
@@ -102,7 +103,7 @@
 	is.Equal(report.Rows[0].Burns[2].Answers, uint64(30_000))
 }
 
-// Guards against a handler that serves a stale report while the log is down, and against wrong content types.
+// Guards against an outdated report while the log is down, and against wrong content types.
 func TestHandler(t *testing.T) {
 	is := is.New(t)
 	log := emulator.NewLog()
@@ -110,7 +111,7 @@
 	defer server.Close()
 	client := appender.New(strings.TrimPrefix(server.URL, "http://"))
 	log.Append(burnStream, nil)
-	log.Trim(burnStream, 1) // offsets of a trimmed stream do not begin at zero
+	log.Trim(burnStream, 1) // offsets of a trimmed stream do not start at zero
 	start := time.Now().Add(-time.Hour)
 	accountant := newTestAccountant(client, "run-1", start)
 	accountant.Record(answer(dispatcher.Complete{}, time.Millisecond), start)
@@ -129,7 +130,7 @@
 		is.Equal(status, http.StatusOK)
 		is.Equal(kind, "application/json")
 		is.NoErr(json.Unmarshal([]byte(body), &report))
-		is.Equal(report.Rows[0].Burns[3].Answers, uint64(1)) // two hours; a second request adds nothing
+		is.Equal(report.Rows[0].Burns[3].Answers, uint64(1)) // the window of two hours; the second request counts nothing again
 		is.Equal(report.Unreadable, 1)
 	}
 	_, kind, body := get("/v1/burn?format=html")
@@ -142,7 +143,7 @@
 	is.Equal(status, http.StatusServiceUnavailable)
 }
 
-// Guards against a follower that reads the stream again for a report, or that a report has to wait for.
+// Guards against records that are read again for each report, and against reports that fail after Close.
 func TestFollowerReadsEachRecordOnce(t *testing.T) {
 	is := is.New(t)
 	log := emulator.NewLog()
@@ -157,7 +158,7 @@
 		now = now.Add(time.Minute)
 		is.NoErr(accountant.flushAll(context.Background(), now, false))
 		is.NoErr(reader.advance(context.Background(), now))
-		log.Trim(burnStream, int64(i)+1) // what was read is gone from the log
+		log.Trim(burnStream, int64(i)+1) // records that were read are no longer in the log
 		report, err := reader.Report(context.Background(), now.Add(2*time.Minute))
 		is.NoErr(err)
 		is.Equal(report.Rows[0].Burns[2].Answers, i+1)
--- a/accountant/bench_test.go
+++ b/accountant/bench_test.go
@@ -28,7 +28,8 @@
 	return float64(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// benchCluster is a log stand-in with the instances that append to it; the figures include the stand-in's work.
+// benchCluster is an emulated log with the instances that append to it. Measured CPU time includes that of the
+// emulator.
 type benchCluster struct {
 	client    *appender.Appender
 	now       time.Time
@@ -52,7 +53,7 @@
 	return cluster
 }
 
-// minute appends a record of each instance with one answer per series.
+// minute advances the clock by one minute and appends a record of each instance with one answer per series.
 func (cluster *benchCluster) minute(b *testing.B) {
 	at := cluster.now
 	cluster.now = at.Add(time.Minute)
@@ -73,7 +74,7 @@
 	}
 }
 
-// threeDays appends the minutes of three days, and the sums of each hour half an hour after its end.
+// threeDays appends the minute records of three days and, at half past every hour, the sums.
 func (cluster *benchCluster) threeDays(b *testing.B) {
 	sumAppender := newSumAppender(cluster.client, "local", "0")
 	for i := range benchHours * 60 {
@@ -95,7 +96,7 @@
 	}
 }
 
-// BenchmarkFollow reads the records of one minute of four instances into a ledger that follows the stream.
+// BenchmarkFollow reads the records of one minute of four instances into a reader that has read all earlier ones.
 func BenchmarkFollow(b *testing.B) {
 	benchSeries(b, func(b *testing.B, series int) {
 		cluster := newBenchCluster(b, series)
@@ -115,8 +116,9 @@
 	})
 }
 
-// BenchmarkRead reads three days of four instances into a fresh reader, from hourly sums and the minutes after them or
-// from minute records only, and puts a report together; its part report is one report of a reader that follows.
+// BenchmarkRead reads three days of four instances into a new reader and computes a report: in case sums from hourly
+// sums and the minute records after them, in case minutes from minute records only. Case report computes a report of a
+// reader that has already read all records.
 func BenchmarkRead(b *testing.B) {
 	benchSeries(b, func(b *testing.B, series int) {
 		cluster := newBenchCluster(b, series)
--- a/accountant/cursor.go
+++ b/accountant/cursor.go
@@ -13,27 +13,27 @@
 
 const (
 	burnStream = "burn"
-	// hoursStream holds the hourly sums. In stream burn they would lie between the minute records, which a reader could
-	// then not leave out, because the log is read by offset only.
+	// hoursStream holds the hourly sums. They are not in stream burn, because the log can only be read by offset: a
+	// reader of the sums could not skip the minute records between them.
 	hoursStream = "burn-hours"
-	// toEnd is the bound of a read to the end of the stream.
+	// toEnd is the offset limit of a read to the end of the stream.
 	toEnd = math.MaxInt64
 )
 
-// cursor adds sums and minute records to a ledger in the order of the offsets in stream burn.
+// cursor adds sums and minute records to an aggregator in the order of the offsets in stream burn.
 type cursor struct {
 	log        *appender.Appender
 	aggregator *reporter.Aggregator
-	// next is the offset in stream burn through which everything is in the ledger or no longer in the log.
+	// next is the offset in stream burn before which all records are in the aggregator or no longer in the log.
 	next    int64
-	nextSum int64 // the offset of the next record of stream burn-hours
+	nextSum int64 // offset of the next record of stream burn-hours
 	started bool
-	hour    time.Time // the latest hour that has a sum
+	hour    time.Time // latest hour that has a sum
 }
 
-// readSums adds the sums in stream burn-hours to the ledger. A sum counts if it begins at or after the end of what is
-// in the ledger, so of two sums that begin at the same record the first in the log counts. The records between two
-// sums, and those of a sum that repeats a minute, are read themselves.
+// readSums adds the new sums in stream burn-hours to the aggregator. A sum is used if it starts at or after the next
+// offset, so of two sums that start at the same record the first in the log is used. For gaps between sums, and for
+// sums that contain minutes that are already counted, it reads the minute records instead.
 func (cursor *cursor) readSums(ctx context.Context, now time.Time) error {
 	for {
 		page, err := cursor.log.Read(ctx, hoursStream, cursor.nextSum, 0)
@@ -54,6 +54,8 @@
 	}
 }
 
+// addSum adds one sum, or the minute records in its range, unless the range overlaps with records that were already
+// added.
 func (cursor *cursor) addSum(ctx context.Context, sum reporter.HourlySum, now time.Time) error {
 	if sum.From() < cursor.next {
 		return nil
@@ -69,19 +71,20 @@
 	} else if err := cursor.readMinutes(ctx, now, sum.Next()); err != nil {
 		return err
 	}
-	// The hour of an instance with a wrong clock must not keep the others from their turns.
+	// A sum of a future hour, from an instance with a wrong clock, must not stop the others from appending sums.
 	if hour := sum.Hour(); hour.After(cursor.hour) && !hour.After(now) {
 		cursor.hour = hour
 	}
 	return nil
 }
 
+// start sets whether the log is read from its first record on.
 func (cursor *cursor) start(complete bool) {
 	cursor.started = true
 	cursor.aggregator.SetComplete(complete)
 }
 
-// readMinutes adds the minute records from cursor.next to before until.
+// readMinutes adds the minute records in [cursor.next, until).
 func (cursor *cursor) readMinutes(ctx context.Context, now time.Time, until int64) error {
 	return cursor.readRecords(ctx, until, func(record appender.Record) bool {
 		batch, err := reporter.DecodeBatch(record.Data)
@@ -94,7 +97,7 @@
 	})
 }
 
-// readRecords calls add for the records of stream burn from cursor.next to before until, as long as it returns true.
+// readRecords calls add for the records of stream burn in [cursor.next, until) until add returns false.
 func (cursor *cursor) readRecords(ctx context.Context, until int64, add func(record appender.Record) bool) error {
 	for cursor.next < until {
 		page, err := cursor.log.Read(ctx, burnStream, cursor.next, 0)
@@ -119,7 +122,7 @@
 		}
 		if len(page.Records) == 0 {
 			if until != toEnd {
-				cursor.next = min(until, page.Next) // The log no longer holds the rest.
+				cursor.next = min(until, page.Next) // The log no longer has the rest.
 			}
 			return nil
 		}
--- a/accountant/follower.go
+++ b/accountant/follower.go
@@ -12,14 +12,15 @@
 	"github.com/hyssoplift/hyssoplift/sleeper"
 )
 
-// Follower is a Reader that reads on by itself, so that a report reads only the records of the last seconds.
+// Follower is a Reader that reads new records in the background, so that a report needs to read only those of the last
+// seconds.
 type Follower struct {
 	*Reader
 	stop context.CancelFunc
 	done sync.WaitGroup
 }
 
-// NewFollower returns a reader that follows the burn records in log until Close.
+// NewFollower returns a follower that reads the burn records in log until Close.
 func NewFollower(log *appender.Appender, logger hclog.Logger) *Follower {
 	ctx, stop := context.WithCancel(context.Background())
 	follower := &Follower{Reader: NewReader(log), stop: stop}
@@ -36,7 +37,7 @@
 	return follower
 }
 
-// Close stops the reading and waits for its end; reports remain possible.
+// Close stops the background reads and waits for the last one to end. Report can still be called.
 func (follower *Follower) Close() {
 	follower.stop()
 	follower.done.Wait()
--- a/accountant/reader.go
+++ b/accountant/reader.go
@@ -12,18 +12,20 @@
 )
 
 const (
-	// readTimeout bounds one request to the handler; what was read until then is kept for the next one.
+	// readTimeout limits the time of one request to the handler. Records that were read by then are kept for the next
+	// one.
 	readTimeout = 20 * time.Second
-	// followInterval is the time between two reads of a follower; instances append once a minute.
+	// followInterval is the interval between the reads of a follower; instances append once a minute.
 	followInterval = 10 * time.Second
 )
 
-// Reader puts reports together from the hourly sums and the minute records after them. It reads only when a report is asked for, and then only what is
-// new, so that instances that nobody asks spend nothing on it. Its memory is that of one ledger and one page of the log.
+// Reader computes reports from the hourly sums and the minute records after them. It reads only when a report is
+// requested, and only new records, so that instances without requests for reports have no cost. It uses the memory of
+// one Aggregator and one page of the log.
 type Reader struct {
 	mu       sync.Mutex
 	cursor   cursor
-	sumsRead bool // the hourly sums have been read
+	sumsRead bool // whether the existing hourly sums were read
 }
 
 // NewReader returns a reader of the burn records in log.
@@ -31,15 +33,15 @@
 	return &Reader{cursor: cursor{log: log, aggregator: reporter.NewAggregator()}}
 }
 
-// SetObjective sets the objective of a kind for which no record brings one.
+// SetObjective sets the objective of a kind, which is used if no record has an objective of that kind.
 func (reader *Reader) SetObjective(kind string, objective reporter.Objective) {
 	reader.mu.Lock()
 	defer reader.mu.Unlock()
 	reader.cursor.aggregator.SetObjective(kind, objective)
 }
 
-// Report reads what is new in the log and returns the report at now. After an error the report holds only what was read
-// before; the minutes that could not be read are missing in it.
+// Report reads the new records in the log and returns the report at now. After an error the report contains only what
+// was read before, and the other minutes are missing.
 func (reader *Reader) Report(ctx context.Context, now time.Time) (reporter.Report, error) {
 	reader.mu.Lock()
 	defer reader.mu.Unlock()
@@ -48,7 +50,7 @@
 	return reader.cursor.aggregator.Report(now), err
 }
 
-// advance adds what is new in the log, without a report.
+// advance reads the new records in the log, without a report.
 func (reader *Reader) advance(ctx context.Context, now time.Time) error {
 	reader.mu.Lock()
 	defer reader.mu.Unlock()
@@ -57,7 +59,7 @@
 	return err
 }
 
-// readNew adds all new records to the ledger, at first the hourly sums; the caller holds reader.mu.
+// readNew adds all new records to the aggregator, the first time from the hourly sums; the caller holds reader.mu.
 func (reader *Reader) readNew(ctx context.Context, now time.Time) error {
 	if !reader.sumsRead {
 		if err := reader.cursor.readSums(ctx, now); err != nil {
@@ -68,7 +70,8 @@
 	return reader.cursor.readMinutes(ctx, now, toEnd)
 }
 
-// Handler answers GET /v1/burn from log: JSON, or with ?format=text or ?format=html a table or a page.
+// Handler returns the handler of GET /v1/burn, which reports the burn records in log as JSON, or with ?format=text as a
+// text table and with ?format=html as an HTML page.
 func Handler(log *appender.Appender) http.Handler {
 	reader := NewReader(log)
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -76,7 +79,7 @@
 		defer cancel()
 		report, err := reader.Report(ctx, time.Now())
 		if err != nil {
-			// An old report could pass for the current state, so there is none.
+			// An outdated report could be mistaken for the current state, so none is returned.
 			http.Error(writer, "the burn records cannot be read from the log now", http.StatusServiceUnavailable)
 			return
 		}
@@ -94,7 +97,7 @@
 			return
 		}
 		writer.Header().Set("Content-Type", contentType)
-		// A failed write means that the operator has gone.
+		// A write fails only if the client closed the connection.
 		_ = write(writer)
 	})
 }
--- a/accountant/sum_appender.go
+++ b/accountant/sum_appender.go
@@ -12,22 +12,23 @@
 )
 
 const (
-	// sumTimeout bounds one attempt to append the sums of an hour: at 162 instances with 1,200 series it reads
-	// 9,720 records, about 4 s of CPU time.
+	// sumTimeout limits the time of one attempt to append the sums of an hour. With 162 instances and 1,200 series, it
+	// reads 9,720 records, which takes about 4 s of CPU time.
 	sumTimeout = 50 * time.Second
-	// maxSumBytes is the size of records up to which the appender can read a page of the log.
+	// maxSumBytes is the size of the largest record that package appender can read in a page of the log.
 	maxSumBytes = 4 << 20
 )
 
-// sumAppender appends the sums of the records in stream burn to stream burn-hours when it is the instance's turn. Its memory
-// is the coverage of the incarnations (1 KB each, at most 20,000) and one sum of at most 320,000 rows.
+// sumAppender appends the sums of the records in stream burn to stream burn-hours when it is the turn of its instance.
+// It uses the memory of the coverage of the incarnations (1 KB each, at most 20,000) and of one sum of at most 320,000
+// rows.
 type sumAppender struct {
 	log              *appender.Appender
 	domain, instance string
 
 	builder *reporter.SumBuilder
 	cursor  cursor
-	// pending is an encoded sum of which the append's answer is not known; it ends before pendingNext.
+	// pending is an encoded sum whose append is not confirmed; it ends before offset pendingNext.
 	pending     []byte
 	pendingNext int64
 }
@@ -38,14 +39,14 @@
 	return sumAppender
 }
 
-// reset forgets all coverage, so that the next attempt reads every sum again.
+// reset discards all coverage, so that the next attempt reads all sums again.
 func (sumAppender *sumAppender) reset() {
 	sumAppender.builder = reporter.NewSumBuilder()
 	sumAppender.cursor = cursor{log: sumAppender.log, aggregator: sumAppender.builder.Aggregator, hour: sumAppender.cursor.hour}
 	sumAppender.pending = nil
 }
 
-// run appends the sums of the hour of now if it is the instance's turn and no other instance has done so.
+// run appends the sums of the hour of now if it is the turn of the instance and no other instance has done so.
 func (sumAppender *sumAppender) run(ctx context.Context, now time.Time) error {
 	hour := now.Truncate(time.Hour)
 	if !sumAppender.cursor.hour.Before(hour) || now.Before(reporter.SumAppendTime(now, sumAppender.domain, sumAppender.instance)) {
@@ -62,15 +63,16 @@
 		if _, err := sumAppender.log.Append(ctx, hoursStream, sumAppender.pending); err != nil {
 			return err
 		}
-		// A sum ends early when it is full; after a lost answer the rest is left to the next hour.
+		// If the sum ended early because it was full, continue with the next one. After a lost answer the rest is left
+		// to the next hour.
 		if ours, err := sumAppender.confirmPending(ctx, now); err != nil || !ours || !full {
 			return err
 		}
 	}
 }
 
-// confirmPending reads the new sums and reports whether the pending one is the first of them that counts. If another one is,
-// the coverage holds records beyond that sum, so everything is read again.
+// confirmPending reads the new sums and reports whether the pending one is the first of them that is used. If another
+// one is, the coverage includes records beyond that sum, so it is discarded and all sums are read again.
 func (sumAppender *sumAppender) confirmPending(ctx context.Context, now time.Time) (bool, error) {
 	ours := false
 	for sumAppender.pending != nil {
@@ -103,7 +105,8 @@
 	return ours, nil
 }
 
-// prepare sums the records after the last sum, unless a sum is pending, and reports whether more may follow.
+// prepare builds the sum of the records after the last sum, unless a sum is pending. It reports whether the sum is
+// full, so that more records may follow.
 func (sumAppender *sumAppender) prepare(ctx context.Context, now time.Time) (full bool, err error) {
 	if sumAppender.pending != nil {
 		return false, nil
@@ -136,7 +139,7 @@
 		err = eris.Errorf("the sum of records %d to %d has %d bytes, the limit is %d", sum.From(), sum.Next(), len(data), maxSumBytes)
 	}
 	if err != nil {
-		// Readers could not use it; they read the minute records instead.
+		// Readers could not use this sum. Without it, they read the minute records.
 		sumAppender.reset()
 		return false, err
 	}
--- a/accountant/sum_appender_test.go
+++ b/accountant/sum_appender_test.go
@@ -17,8 +17,8 @@
 	"github.com/hyssoplift/hyssoplift/reporter"
 )
 
-// Guards against a report from hourly sums that differs from one from minute records only, while the answers of appends
-// are lost, the log is down, instances take over each other's turn or restart, and records are damaged.
+// Guards against a report from hourly sums that differs from a report from minute records only. Causes are lost answers
+// of appends, outages of the log, instances that take over for each other or restart, and damaged records.
 func TestReportFromSumsAgainstMinutes(t *testing.T) {
 	for seed := range uint64(6) {
 		is := is.New(t)
@@ -55,12 +55,13 @@
 		want, err := minutes.Report(context.Background(), now)
 		is.NoErr(err)
 		is.Equal(got, want)
-		is.True(now.Sub(sums.cursor.hour) < 3*time.Hour) // the sums kept up
+		is.True(now.Sub(sums.cursor.hour) < 3*time.Hour) // sums were appended until recently
 		server.Close()
 	}
 }
 
-// Guards against two summers that both append the sum of one hour, one of them before it has read the other's.
+// Guards against records that are lost or counted twice when two instances append a sum of the same hour, one of them
+// before it has read the sum of the other.
 func TestLoserOfAnHourReadsAgain(t *testing.T) {
 	is := is.New(t)
 	log := emulator.NewLog()
@@ -72,7 +73,7 @@
 	accountant.Record(answer(dispatcher.Complete{}, 0), now.Add(-20*time.Minute))
 	is.NoErr(accountant.flushAll(ctx, now.Add(-10*time.Minute), false))
 	first, second := newSumAppender(client, "local", "a"), newSumAppender(client, "local", "b")
-	_, err := first.prepare(ctx, now) // it has seen less when its append takes effect
+	_, err := first.prepare(ctx, now) // it has read fewer records than the second one
 	is.NoErr(err)
 	accountant.Record(answer(dispatcher.Complete{}, 0), now)
 	is.NoErr(accountant.flushAll(ctx, now.Add(time.Minute), false))
@@ -83,17 +84,18 @@
 	log.Append(hoursStream, second.pending)
 	for _, sumAppender := range []*sumAppender{first, second} {
 		is.NoErr(sumAppender.run(ctx, now.Add(time.Minute)))
-		is.Equal(sumAppender.cursor.next, int64(1)) // both go on after the first sum in the log
+		is.Equal(sumAppender.cursor.next, int64(1)) // both continue after the first sum in the log
 	}
 	is.NoErr(second.run(ctx, now.Add(time.Hour)))
 	reader := NewReader(client)
 	report, err := reader.Report(ctx, now.Add(time.Hour))
 	is.NoErr(err)
-	is.Equal(report.Rows[0].Burns[3].Answers, uint64(2)) // two hours
+	is.Equal(report.Rows[0].Burns[3].Answers, uint64(2)) // the window of two hours
 	is.Equal(reader.cursor.next, int64(2))
 }
 
-// Guards against turns outside the first half of the hour, and an order that is the same in every hour.
+// Guards against append times outside the first half of the hour, and against the same instance being first in every
+// hour.
 func TestSumTurns(t *testing.T) {
 	is := is.New(t)
 	lowest := make(map[string]bool)
--- a/reporter/batch.go
+++ b/reporter/batch.go
@@ -114,7 +114,7 @@
 	}
 	span := record.Through - record.From
 	if record.Format != batchFormat || record.Incarnation == "" || record.From < 0 || span < 0 || span >= maxBatchMinutes {
-		return Batch{}, eris.Errorf("burn record of format %d for minutes %d to %d of incarnation %q is out of range",
+		return Batch{}, eris.Errorf("invalid burn record: format %d, minutes %d to %d, incarnation %q",
 			record.Format, record.From, record.Through, record.Incarnation)
 	}
 	batch := Batch{
--- a/reporter/bench_test.go
+++ b/reporter/bench_test.go
@@ -44,7 +44,7 @@
 	return NewAnswer(dispatcher.NewJob(key, series.Kind, series.Team, time.Time{}, nil), dispatcher.Complete{}, time.Millisecond, KeyOwner)
 }
 
-// BenchmarkRecord counts one answer with a fresh key; a second of the clock passes every 256 answers.
+// BenchmarkRecord counts one answer with a new key; the clock advances by two seconds every 256 answers.
 func BenchmarkRecord(b *testing.B) {
 	benchSeries(b, func(b *testing.B, names []Series) {
 		reporter := benchReporter()
@@ -54,7 +54,7 @@
 		}
 		i := 0
 		for b.Loop() {
-			// Every key is fresh: it comes again only after more than two retention periods of the clock.
+			// Every key is new: it is reused only after more than two retention periods, when it is forgotten.
 			at := testStart.Add(time.Duration(i/256) * 2 * time.Second)
 			reporter.Record(benchAnswer(names[i%len(names)], keys[i%len(keys)]), at)
 			i++
@@ -73,7 +73,7 @@
 	return batch
 }
 
-// BenchmarkBatch encodes the record of one minute; held-B is the memory of a reporter with that minute pending.
+// BenchmarkBatch encodes the record of one minute. held-B is the memory of a reporter with that minute pending.
 func BenchmarkBatch(b *testing.B) {
 	benchSeries(b, func(b *testing.B, names []Series) {
 		before := heapBytes()
@@ -94,7 +94,7 @@
 	})
 }
 
-// BenchmarkAdd decodes the record of one minute and adds it to a ledger.
+// BenchmarkAdd decodes the record of one minute and adds it to an aggregator.
 func BenchmarkAdd(b *testing.B) {
 	benchSeries(b, func(b *testing.B, names []Series) {
 		data, err := benchMinute(benchReporter(), names, testStart).Encode()
@@ -108,7 +108,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			// Another incarnation each time, so that no minute is skipped as known.
+			// The incarnation changes each time, so that no minute is skipped as already counted.
 			batch.incarnation = fmt.Sprint(i % 162)
 			delete(aggregator.incarnations, batch.incarnation)
 			aggregator.Add(batch, testStart.Add(time.Hour))
@@ -119,7 +119,7 @@
 	})
 }
 
-// BenchmarkReport puts a report together from full histories of three days of ten instances.
+// BenchmarkReport computes a report from full histories of three days of ten instances.
 func BenchmarkReport(b *testing.B) {
 	benchSeries(b, func(b *testing.B, names []Series) {
 		aggregator := NewAggregator()
@@ -143,7 +143,7 @@
 	})
 }
 
-// benchSum returns the record of one hour of ten instances, whose records begin at offset from.
+// benchSum returns the record of the sum of one hour of ten instances, whose records start at offset from.
 func benchSum(b *testing.B, names []Series, from int64, hour time.Time) []byte {
 	builder := NewSumBuilder()
 	builder.Begin(from)
@@ -167,7 +167,7 @@
 	return data
 }
 
-// BenchmarkSum decodes the sum of one hour and adds it to a ledger, three days of different hours in turn.
+// BenchmarkSum decodes the sum of one hour and adds it to an aggregator, each time shifted to the next hour.
 func BenchmarkSum(b *testing.B) {
 	benchSeries(b, func(b *testing.B, names []Series) {
 		data := benchSum(b, names, 0, testStart)
@@ -194,7 +194,7 @@
 	})
 }
 
-// BenchmarkSummer adds one minute record to a sum; held-B is the memory of the sum of an hour.
+// BenchmarkSummer adds one minute record to a sum with a SumBuilder. held-B is the memory of the sum of an hour.
 func BenchmarkSummer(b *testing.B) {
 	benchSeries(b, func(b *testing.B, names []Series) {
 		batch := benchMinute(benchReporter(), names, testStart)
@@ -207,7 +207,7 @@
 		}
 		for b.Loop() {
 			if i%60 == 0 {
-				clear(builder.incarnations) // so that no minute is skipped as known
+				clear(builder.incarnations) // so that no minute is skipped as already counted
 				if i%9_720 == 0 {
 					builder.Begin(0)
 				}
--- a/reporter/differential_test.go
+++ b/reporter/differential_test.go
@@ -13,7 +13,7 @@
 	"github.com/hyssoplift/hyssoplift/dispatcher"
 )
 
-// naiveEvent is one counted answer; the naive version keeps all of them.
+// naiveEvent is one counted answer.
 type naiveEvent struct {
 	incarnation string
 	minute      minute
@@ -21,8 +21,8 @@
 	class       Class
 }
 
-// naive counts the first answer to each key that its owner knew of, and once per instance and key those given
-// without the owner.
+// naive is a simple reference implementation that stores every counted answer. It counts the first answer to each key
+// that the owner decided on, and once per instance and key the answers given without the owner.
 type naive struct {
 	events    []naiveEvent
 	counted   map[string]bool
@@ -31,10 +31,11 @@
 	instances []*naiveInstance
 }
 
+// naiveInstance is one incarnation of a simulated instance.
 type naiveInstance struct {
 	name, incarnation string
 	reporter          *Reporter
-	begin, end        minute // end is 0 while it is not known to have ended
+	begin, end        minute // end is 0 as long as no end is known
 	final             bool
 }
 
@@ -54,7 +55,7 @@
 	naive.events = append(naive.events, naiveEvent{incarnation: instance.incarnation, minute: at, series: series, class: class})
 }
 
-// counts returns the answers of series from one minute to another, as far as the log holds them.
+// counts returns the answers of series in [from, to) whose minutes are in the log.
 func (naive *naive) counts(series Series, from, to minute) Counts {
 	var counts Counts
 	for _, event := range naive.events {
@@ -66,7 +67,7 @@
 	return counts
 }
 
-// completeness counts minute by minute and run by run.
+// completeness checks each minute of each incarnation.
 func (naive *naive) completeness(from, to minute) completeness {
 	var completeness completeness
 	for at := from; at < to; at++ {
@@ -74,7 +75,7 @@
 		for _, instance := range naive.instances {
 			minutes := naive.appended[instance.incarnation]
 			if len(minutes) == 0 {
-				continue // It left no trace.
+				continue // The log has no record of it.
 			}
 			before = before && at < instance.begin
 			if at < instance.begin || (instance.end != 0 && at >= instance.end) {
@@ -110,20 +111,21 @@
 	instance := &naiveInstance{name: name, incarnation: fmt.Sprintf("%s#%d", name, simulation.serial), begin: minuteOf(simulation.now)}
 	instance.reporter = New(Config{
 		Domain: "local", Instance: name, Incarnation: instance.incarnation, Objectives: simulatedObjectives,
-		// Longer than any schedule: the naive version counts a key once for ever, a claim only within the retention.
+		// Longer than any schedule, because naive remembers keys without limit and the reporter only for the retention
+		// period.
 		Retention: 365 * 24 * time.Hour, MaxKeys: 1 << 20, MaxSeries: 1024,
 	}, simulation.now)
 	simulation.naive.instances = append(simulation.naive.instances, instance)
 	return instance
 }
 
-// answer gives one answer to a fresh or a known key through a random instance.
+// answer records one answer to a new or a used key through a random instance.
 func (simulation *simulation) answer() {
 	instance := simulation.instances[simulation.IntN(len(simulation.instances))]
 	key, owner := fmt.Sprintf("key-%d", simulation.serial), simulation.instances[simulation.IntN(len(simulation.instances))]
 	simulation.serial++
 	if simulation.IntN(3) == 0 {
-		// Sorted, because the order of a map would make the schedule of a seed differ from run to run.
+		// Sorted, because with the order of a map the schedule of a seed would differ from run to run.
 		if known := slices.Sorted(maps.Keys(simulation.keys)); len(known) > 0 {
 			key = known[simulation.IntN(len(known))]
 			owner = simulation.keys[key]
@@ -156,7 +158,7 @@
 	simulation.naive.record(instance, key, series, class, minuteOf(simulation.now))
 }
 
-// flush hands one batch to the log, which may be down or lose its answer.
+// flush appends one batch to the log, which may be down or lose its answer.
 func (simulation *simulation) flush(instance *naiveInstance, final bool) {
 	batch, ok := instance.reporter.Batch(simulation.now, final)
 	if !ok || (!final && simulation.IntN(4) == 0) {
@@ -181,7 +183,7 @@
 	}
 }
 
-// restart replaces one instance, by plan or after a crash.
+// restart replaces one incarnation after a planned stop or a crash.
 func (simulation *simulation) restart() {
 	index := simulation.IntN(len(simulation.instances))
 	old := simulation.instances[index]
@@ -195,11 +197,12 @@
 	}
 	for key, owner := range simulation.keys {
 		if owner == old {
-			delete(simulation.keys, key) // The grants of a dead owner are gone; see the package comment.
+			delete(simulation.keys, key) // The grants of a crashed owner are lost; see the package comment.
 		}
 	}
 }
 
+// simulate returns the simulation of a random schedule of answers, restarts, and appends to the log.
 func simulate(seed uint64) *simulation {
 	simulation := &simulation{
 		Rand: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1_800_000_000, 0), keys: make(map[string]*naiveInstance),
@@ -231,8 +234,8 @@
 	return simulation
 }
 
-// Guards against answers that count twice (resubmissions, records appended twice, any order of records) or not at
-// all, and against missing minutes that are shown as covered, in every window.
+// Guards against answers that are counted twice or not at all, and against missing minutes that are shown as covered,
+// in every window. Causes are resubmissions, records that are appended twice, and records in any order.
 func TestReportAgainstNaive(t *testing.T) {
 	for seed := range uint64(60) {
 		is := is.New(t)
@@ -247,7 +250,7 @@
 				}
 			}
 		}
-		// A run whose successor left no trace in the log cannot be known to have ended.
+		// If the next incarnation has no record in the log, the end of the previous one is not known.
 		for i, instance := range simulation.naive.instances {
 			for _, next := range simulation.naive.instances[i+1:] {
 				if next.name == instance.name && !instance.final && instance.end == next.begin && len(simulation.naive.appended[next.incarnation]) == 0 {
--- a/reporter/frame_test.go
+++ b/reporter/frame_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a damaged or cut record that is still decoded, whose wrong counts would pass as measured ones.
+// Guards against a damaged or truncated record that is still decoded, so that wrong counts appear in reports.
 func TestDamagedRecordsAreRejected(t *testing.T) {
 	is := is.New(t)
 	reporter := testReporter(1000, 1000)
@@ -26,11 +26,11 @@
 			is.True(err != nil) // one changed bit
 		}
 		_, err := DecodeBatch(data[:i])
-		is.True(err != nil) // cut
+		is.True(err != nil) // truncated
 	}
 }
 
-// Guards against incarnations and objectives without bound from a faulty writer.
+// Guards against unbounded numbers of incarnations and objectives from a faulty writer.
 func TestLedgerIsBounded(t *testing.T) {
 	is := is.New(t)
 	aggregator := NewAggregator()
@@ -40,10 +40,10 @@
 	}
 	is.Equal(len(aggregator.incarnations), maxIncarnations)
 	is.Equal(len(aggregator.objectives), maxSeries)
-	is.Equal(aggregator.unreadable, 10) // reports name the records that were left out
+	is.Equal(aggregator.unreadable, 10) // the records that were left out are counted
 }
 
-// Guards against a crash or a count without bound from an hourly sum that is well formed but hostile.
+// Guards against a crash or out-of-range counts from an hourly sum with a valid checksum but invalid content.
 func FuzzDecodeSum(f *testing.F) {
 	header := `{"format":1,"from-offset":0,"next-offset":2,"kinds":["k"],"teams":["t"],"objectives":[{"kind":"k","within-ms":1,"percent":9,"at-minute":30000000}],"runs":[{"incarnation":"x","first-minute":3,"minutes":"%s"}]}`
 	f.Add([]byte(fmt.Sprintf(header, "AwE=")), []byte{3, 1, 0, 0, 1, 9})
--- a/reporter/reporter_test.go
+++ b/reporter/reporter_test.go
@@ -38,7 +38,8 @@
 	return sums
 }
 
-// Guards against a request that counts at two instances or twice at one, and against claims that outlive their bound.
+// Guards against a request that is counted by two instances or twice by one, and against key states that are kept
+// longer than two retention periods.
 func TestCountGrants(t *testing.T) {
 	is := is.New(t)
 	owner, other := testReporter(1000, 100), testReporter(1000, 100)
@@ -46,33 +47,33 @@
 	is.True(owner.GrantCount("a", "other", now))
 	is.True(owner.GrantCount("a", "other", now))                          // the answer to the first grant was lost
 	is.True(!owner.GrantCount("a", "third", now))                         // another instance asks
-	is.True(!owner.Record(testAnswer("a", "check", "t", KeyOwner), now))  // the caller came back to the owner
-	is.True(other.Record(testAnswer("a", "check", "t", Granted), now))    // the holder counts
+	is.True(!owner.Record(testAnswer("a", "check", "t", KeyOwner), now))  // the caller resubmits to the owner
+	is.True(other.Record(testAnswer("a", "check", "t", Granted), now))    // the holder counts it
 	is.True(!other.Record(testAnswer("a", "check", "t", Granted), now))   // once
 	is.True(!other.Record(testAnswer("b", "check", "t", Denied), now))    // never without the grant
-	is.True(owner.Record(testAnswer("c", "check", "t", KeyOwner), now))   //
-	is.True(!owner.GrantCount("c", "other", now))                         // counted at the owner
-	is.True(other.Record(testAnswer("d", "check", "t", Undecided), now))  // kept apart
+	is.True(owner.Record(testAnswer("c", "check", "t", KeyOwner), now))   // a key that was granted to no instance
+	is.True(!owner.GrantCount("c", "other", now))                         // already counted by the owner
+	is.True(other.Record(testAnswer("d", "check", "t", Undecided), now))  // counted as unclaimed
 	is.True(!other.Record(testAnswer("d", "check", "t", Undecided), now)) // once
-	is.True(other.Record(testAnswer("d", "check", "t", Granted), now))    // and counted when the owner is back
+	is.True(other.Record(testAnswer("d", "check", "t", Granted), now))    // counted once the owner is reachable again
 	now = now.Add(9 * time.Minute)                                        // within the retention period
 	is.True(!owner.GrantCount("a", "third", now) && !owner.GrantCount("c", "x", now))
-	is.True(!owner.GrantCount("a", "third", testStart.Add(15*time.Minute))) // in the older generation; asking does not extend it
+	is.True(!owner.GrantCount("a", "third", testStart.Add(15*time.Minute))) // in the older generation; the request does not extend the lifetime
 	now = testStart.Add(25 * time.Minute)
 	is.True(owner.GrantCount("a", "third", now)) // expired
 
-	full := testReporter(keyShards, 100) // one claim per shard
+	full := testReporter(keyShards, 100) // one key per shard
 	for i := range 1000 {
 		full.Record(testAnswer(fmt.Sprint(i), "check", "t", KeyOwner), now)
 	}
 	batch, _ := full.Batch(now, true)
 	counts := countsOf(batch.minutes[len(batch.minutes)-1])[Series{"check", "t"}]
 	is.Equal(counts[Failed], uint64(keyShards))         // as many as fit
-	is.Equal(counts[Unclaimed], uint64(1000-keyShards)) // the others are kept apart
+	is.Equal(counts[Unclaimed], uint64(1000-keyShards)) // the others are unclaimed
 }
 
-// Guards against unbounded memory from kinds and teams that callers invent, and against a kind with an objective that
-// loses answers to the bound.
+// Guards against unbounded memory from arbitrary names of kinds and teams in requests, and against the limit hiding
+// answers of a kind with an objective.
 func TestSeriesAreBounded(t *testing.T) {
 	is := is.New(t)
 	reporter := testReporter(1<<20, countShards)
@@ -94,8 +95,8 @@
 	is.Equal(total, uint64(10000))
 }
 
-// Guards against a backlog in one huge record, and against a final mark on a part that is not the last: if the rest
-// were lost, its minutes would not be missing.
+// Guards against a backlog in one very large record, and against a final mark on a part that is not the last. If the
+// rest was lost, its minutes would not be shown as missing.
 func TestBacklogIsSplit(t *testing.T) {
 	is := is.New(t)
 	reporter := testReporter(1, 1<<20)
@@ -114,7 +115,7 @@
 	is.True(!ok)
 }
 
-// Guards against answers that are lost or counted twice while a batch is collected.
+// Guards against answers that are lost or counted twice when they are recorded while a batch is collected.
 func TestRecordDuringBatches(t *testing.T) {
 	is := is.New(t)
 	reporter, aggregator := testReporter(1<<20, 1000), NewAggregator()
@@ -149,7 +150,7 @@
 	is.Equal(report.Rows[0].burn(6*time.Hour).Answers, uint64(workers*each))
 }
 
-// Guards against a wrong verdict, and against missing data that passes as good.
+// Guards against wrong verdicts, and against missing data that is treated as good.
 func TestVerdicts(t *testing.T) {
 	allWindows := func(burn Burn) [7]Burn { return [7]Burn{burn, burn, burn, burn, burn, burn, burn} }
 	full, gap := completeness{100, 100}, completeness{100, 90}
@@ -188,7 +189,7 @@
 	return fmt.Sprintf(`{"format":1,"incarnation":"x","kinds":["k"],"teams":["t"],"counts":%q}`, base64.StdEncoding.EncodeToString(counts))
 }
 
-// Guards against a crash on a corrupt record, and against a record that changes when it is read and written again.
+// Guards against a crash on a corrupt record, and against a record that changes when it is decoded and encoded again.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(invalidRecord(1, 0, 0, 3, 1, 2)))
 	f.Add([]byte(invalidRecord(2, 0, 0, 1, 1, 0, 0, 1, 1)))
@@ -213,7 +214,7 @@
 	})
 }
 
-// Guards against a record that could make a reader allocate without bound, crash, or lose current minutes.
+// Guards against an invalid record that makes a reader crash, allocate unbounded memory, or drop current minutes.
 func TestInvalidRecords(t *testing.T) {
 	is := is.New(t)
 	for _, record := range []string{
@@ -240,11 +241,12 @@
 	aggregator.Add(ahead, testStart)
 	report := aggregator.Report(testStart.Add(10 * time.Minute))
 	is.Equal(report.Unreadable, 1)
-	is.Equal(report.Coverage[0].CoveredMinutes, int64(0)) // its instance is shown as missing
+	is.Equal(report.Coverage[0].CoveredMinutes, int64(0)) // the minutes of its instance are missing
 	is.Equal(report.Coverage[0].ExpectedMinutes, int64(5))
 }
 
-// Guards against markup from a caller's kind or team in the page, references to other files, and gaps drawn as good.
+// Guards against markup injection through kinds and teams, references to other files in the page, and gaps that are
+// drawn as good.
 func TestPageIsSelfContained(t *testing.T) {
 	is := is.New(t)
 	reporter, aggregator := testReporter(1000, 1000), NewAggregator()
@@ -259,5 +261,5 @@
 	is.True(!strings.Contains(page.String(), "http"))
 	is.True(strings.Contains(page.String(), "<polyline") && strings.Contains(page.String(), "<rect"))
 	is.True(strings.Contains(text.String(), "missing"))
-	is.Equal(report.WorstVerdict(), Ticket) // the one answer failed, but longer ago than the short window of a page
+	is.Equal(report.WorstVerdict(), Ticket) // the only answer failed, but before the short windows of Page
 }
--- a/reporter/sum.go
+++ b/reporter/sum.go
@@ -207,7 +207,7 @@
 		return HourlySum{}, eris.Wrap(err, "decoding an hourly burn sum")
 	}
 	if record.Format != sumFormat || record.From < 0 || record.Next <= record.From || record.Unreadable < 0 || len(record.Sources) > maxSumSources {
-		return HourlySum{}, eris.Errorf("hourly burn sum of format %d for records %d to %d is out of range", record.Format, record.From, record.Next)
+		return HourlySum{}, eris.Errorf("invalid hourly burn sum: format %d, records %d to %d", record.Format, record.From, record.Next)
 	}
 	sum := HourlySum{
 		hour: record.Hour, from: record.From, next: record.Next, unreadable: record.Unreadable,
@@ -230,7 +230,7 @@
 		minutes, ok := decodeMinutes(entry.Minutes, remaining)
 		remaining -= len(minutes)
 		if !ok || entry.Incarnation == "" || seen[entry.Incarnation] || entry.First < 0 {
-			return eris.Errorf("hourly burn sum: minutes of incarnation %q are out of range", entry.Incarnation)
+			return eris.Errorf("hourly burn sum: invalid entry of incarnation %q", entry.Incarnation)
 		}
 		seen[entry.Incarnation] = true
 		sum.sources = append(sum.sources, sumSource{
--- a/reporter/sum_test.go
+++ b/reporter/sum_test.go
@@ -10,23 +10,24 @@
 	"github.com/matryer/is"
 )
 
-// sumSimulation is a log of minute records and of sums, appended by several summers that read it at different times.
+// sumSimulation simulates a log of minute records and of sums, which several builders read and append at different
+// times.
 type sumSimulation struct {
 	*rand.Rand
-	now     time.Time
-	log     [][]byte
-	trimmed int // offset of the first record that the log still holds
-	hours   [][]byte
-	forgets bool // summers may not know what earlier sums hold, as after a trim of the log
+	now           time.Time
+	log           [][]byte
+	trimmed       int // offset of the first record that is still in the log
+	hours         [][]byte
+	losesCoverage bool // builders may lose the coverage of earlier sums, as after a trim of the log
 }
 
-// simulatedBuilder is one summer; it trusts the sums that it has read.
+// simulatedBuilder is a builder with its read positions in the records and in the sums.
 type simulatedBuilder struct {
-	summer      *SumBuilder
+	builder     *SumBuilder
 	next, hours int
 }
 
-// read adds the minute records from next to before until to ledger.
+// read adds the minute records in [next, until) to aggregator.
 func (simulation *sumSimulation) read(aggregator *Aggregator, next *int, until int) {
 	for *next = max(*next, min(simulation.trimmed, until)); *next < until; *next++ {
 		if batch, err := DecodeBatch(simulation.log[*next]); err == nil {
@@ -37,7 +38,7 @@
 	}
 }
 
-// readSums follows the rule of package accountant.
+// readSums adds sums and minute records in the same order as the cursor of package accountant.
 func (simulation *sumSimulation) readSums(aggregator *Aggregator, next, hours *int) {
 	for ; *hours < len(simulation.hours); *hours++ {
 		sum, err := DecodeSum(simulation.hours[*hours])
@@ -53,34 +54,35 @@
 	}
 }
 
-// sum appends the sum of what a summer sees, which may be less than the log holds.
+// sum appends the sum of the records that a builder has seen, which may be fewer than the log contains.
 func (simulation *sumSimulation) sum(simulatedBuilder *simulatedBuilder) {
-	simulation.readSums(simulatedBuilder.summer.Aggregator, &simulatedBuilder.next, &simulatedBuilder.hours)
-	if simulation.forgets && simulation.IntN(5) == 0 {
-		simulatedBuilder.summer = NewSumBuilder()
+	simulation.readSums(simulatedBuilder.builder.Aggregator, &simulatedBuilder.next, &simulatedBuilder.hours)
+	if simulation.losesCoverage && simulation.IntN(5) == 0 {
+		simulatedBuilder.builder = NewSumBuilder()
 	}
 	from := max(simulatedBuilder.next, simulation.trimmed)
 	until := len(simulation.log) - simulation.IntN(3)
 	if until <= from {
 		return
 	}
-	simulatedBuilder.summer.Begin(int64(from))
+	simulatedBuilder.builder.Begin(int64(from))
 	for offset := from; offset < until; offset++ {
-		simulatedBuilder.summer.AddRecord(int64(offset), simulation.log[offset], simulation.now)
+		simulatedBuilder.builder.AddRecord(int64(offset), simulation.log[offset], simulation.now)
 	}
-	sum, _ := simulatedBuilder.summer.Build(simulation.now)
+	sum, _ := simulatedBuilder.builder.Build(simulation.now)
 	data, err := sum.Encode()
 	if err != nil {
 		panic(err)
 	}
-	for range 1 + simulation.IntN(2) { // the answer to the append was lost, and it was appended again
+	for range 1 + simulation.IntN(2) { // a second append is one whose answer was lost
 		simulation.hours = append(simulation.hours, data)
 	}
 	*simulatedBuilder = newSimulatedBuilder()
 }
 
-func newSimulatedBuilder() simulatedBuilder { return simulatedBuilder{summer: NewSumBuilder()} }
+func newSimulatedBuilder() simulatedBuilder { return simulatedBuilder{builder: NewSumBuilder()} }
 
+// damage truncates a random record or flips one of its bits.
 func (simulation *sumSimulation) damage(records [][]byte) {
 	if len(records) == 0 {
 		return
@@ -95,13 +97,13 @@
 	records[index] = damaged
 }
 
-// simulateSums plays the records of a simulation into a log while two summers sum it; records repeat, come late and
-// are damaged before anybody reads them.
-func simulateSums(seed uint64, steps int, forgets bool) (*sumSimulation, *Aggregator) {
-	simulation := &sumSimulation{Rand: rand.New(rand.NewPCG(seed, 2)), now: testStart, forgets: forgets}
+// simulateSums appends records to a log while two builders append sums of them. Records are repeated, delayed, or
+// damaged before they are read.
+func simulateSums(seed uint64, steps int, losesCoverage bool) (*sumSimulation, *Aggregator) {
+	simulation := &sumSimulation{Rand: rand.New(rand.NewPCG(seed, 2)), now: testStart, losesCoverage: losesCoverage}
 	naive := NewAggregator()
 	naive.SetComplete(true)
-	summers := []simulatedBuilder{newSimulatedBuilder(), newSimulatedBuilder()}
+	builders := []simulatedBuilder{newSimulatedBuilder(), newSimulatedBuilder()}
 	var delayed [][]byte
 	for i := range steps {
 		simulation.now = testStart.Add(time.Duration(i) * 20 * time.Minute)
@@ -113,7 +115,7 @@
 			}
 			simulation.log = append(simulation.log, data)
 			if simulation.IntN(5) == 0 {
-				delayed = append(delayed, data) // appended again after a lost answer, perhaps after a sum
+				delayed = append(delayed, data) // appended again after a lost answer, possibly after a sum
 			}
 		}
 		if len(delayed) > 0 && simulation.IntN(3) == 0 {
@@ -123,14 +125,14 @@
 		if simulation.IntN(12) == 0 {
 			simulation.damage(simulation.log[max(len(simulation.log)-1, 0):])
 		}
-		// Both summers may read before either appends, and so sum the same records.
+		// Both builders may read before either appends, so that their sums have records in common.
 		if simulation.IntN(8) == 0 {
 			stale := len(simulation.hours)
-			simulation.sum(&summers[0])
+			simulation.sum(&builders[0])
 			if simulation.IntN(2) == 0 {
 				appended := simulation.hours[stale:]
 				simulation.hours = simulation.hours[:stale:stale]
-				simulation.sum(&summers[1])
+				simulation.sum(&builders[1])
 				simulation.hours = append(simulation.hours, appended...)
 			}
 		}
@@ -166,14 +168,15 @@
 	return data
 }
 
-// Guards against a minute that sums lose or count twice (a second sum of an hour by a summer that had seen less, late
-// minutes, records and sums appended twice, damaged records), and against a gap in them that is shown as covered.
+// Guards against minutes that are lost, counted twice, or shown as covered without a record when reading sums. Causes
+// are a second sum of the same hour by a builder that had seen fewer records, late minutes, records and sums that are
+// appended twice, and damaged records.
 func TestSumsAgainstNaive(t *testing.T) {
 	used := 0
 	for seed := range uint64(24) {
 		simulation, naive := simulateSums(seed, 250, seed%2 == 0)
 		if seed%4 == 3 {
-			simulation.damage(simulation.hours) // after other summers have built on it
+			simulation.damage(simulation.hours) // after other builders have read it
 		}
 		aggregator, next, hours := NewAggregator(), 0, 0
 		aggregator.SetComplete(true)
@@ -184,11 +187,11 @@
 			t.Errorf("seed %d: the report is\n%+v, naive\n%+v", seed, got, want)
 		}
 	}
-	is.New(t).True(used > 24*600) // most records were read as sums
+	is.New(t).True(used > 24*600) // most records were read from sums
 }
 
-// Guards against minutes that a trimmed log no longer holds and that pass as covered, and against a trim that hides
-// what the remaining sums hold.
+// Guards against minutes that are shown as covered although the log was trimmed after them, and against a trim that
+// hides minutes in the remaining sums.
 func TestSumsOfTrimmedLog(t *testing.T) {
 	for seed := range uint64(10) {
 		is := is.New(t)
@@ -216,7 +219,8 @@
 		simulation.read(aggregator, &next, len(simulation.log))
 		report, bound := aggregator.Report(simulation.now), want.Report(simulation.now)
 		for i, coverage := range report.Coverage {
-			// A sum leaves out a minute that an earlier, trimmed one holds, so there may be fewer but never more.
+			// A sum leaves out minutes of earlier sums, which may be trimmed, so there may be fewer covered minutes but
+			// never more.
 			is.True(coverage.CoveredMinutes <= bound.Coverage[i].CoveredMinutes)
 			is.True(dropped > 0 || coverage == bound.Coverage[i])
 		}
