--- a/accountant/sum_appender_test.go
+++ b/accountant/sum_appender_test.go
@@ -27,10 +27,10 @@
 		server := httptest.NewServer(log)
 		client := appender.New(strings.TrimPrefix(server.URL, "http://"))
 		now := time.Unix(1_800_000_000, 0)
-		accountants, hourlies := make([]*Accountant, 3), make([]*sumAppender, 3)
+		accountants, sumAppenders := make([]*Accountant, 3), make([]*sumAppender, 3)
 		for i := range accountants {
 			accountants[i] = newTestAccountant(client, fmt.Sprint("run-", i), now)
-			hourlies[i] = newSumAppender(client, "local", fmt.Sprint("entry-", i))
+			sumAppenders[i] = newSumAppender(client, "local", fmt.Sprint("entry-", i))
 		}
 		for range 300 {
 			now = now.Add(time.Duration(1+random.IntN(12)) * time.Minute)
@@ -38,13 +38,13 @@
 			for i, accountant := range accountants {
 				accountant.Record(answer(dispatcher.Complete{}, time.Duration(random.IntN(1000))*time.Millisecond), now)
 				_ = accountant.flushAll(context.Background(), now, false)
-				_ = hourlies[i].run(context.Background(), now)
+				_ = sumAppenders[i].run(context.Background(), now)
 			}
 			switch random.IntN(40) {
 			case 0:
 				log.Append([]string{burnStream, hoursStream}[random.IntN(2)], []byte(`{"format":1`))
 			case 1:
-				hourlies[0] = newSumAppender(client, "local", "entry-0")
+				sumAppenders[0] = newSumAppender(client, "local", "entry-0")
 			}
 		}
 		log.SetFault(emulator.LogHealthy)
@@ -62,7 +62,7 @@
 
 // Guards against records that are lost or counted twice when two instances append a sum of the same hour, one of them
 // before it has read the sum of the other.
-func TestLoserOfAnHourReadsAgain(t *testing.T) {
+func TestConcurrentSumsOfSameHour(t *testing.T) {
 	is := is.New(t)
 	log := emulator.NewLog()
 	server := httptest.NewServer(log)
@@ -96,7 +96,7 @@
 
 // Guards against append times outside the first half of the hour, and against the same instance being first in every
 // hour.
-func TestSumTurns(t *testing.T) {
+func TestSumAppendTimes(t *testing.T) {
 	is := is.New(t)
 	lowest := make(map[string]bool)
 	for hour := range 50 {
--- a/reporter/differential_test.go
+++ b/reporter/differential_test.go
@@ -142,11 +142,11 @@
 		grant = Denied
 	}
 	outcomes := []dispatcher.Outcome{dispatcher.Complete{}, dispatcher.Complete{}, dispatcher.Failed{}, dispatcher.Refused{}, dispatcher.Unknown{}}
-	class, took := []Class{Good, Late, Failed, Refused, Unknown}[simulation.IntN(5)], time.Millisecond
+	class, latency := []Class{Good, Late, Failed, Refused, Unknown}[simulation.IntN(5)], time.Millisecond
 	outcome := outcomes[class]
 	series := Series{Kind: []string{"check", "plain"}[simulation.IntN(2)], Team: fmt.Sprintf("team-%d", simulation.IntN(3))}
 	if class == Late {
-		took = 501 * time.Millisecond
+		latency = 501 * time.Millisecond
 		if series.Kind == "plain" {
 			class = Good // A kind without an objective has no late answers.
 		}
@@ -154,7 +154,7 @@
 	if grant == Undecided {
 		class = Unclaimed
 	}
-	instance.reporter.Record(NewAnswer(dispatcher.NewJob(key, series.Kind, series.Team, time.Time{}, nil), outcome, took, grant), simulation.now)
+	instance.reporter.Record(NewAnswer(dispatcher.NewJob(key, series.Kind, series.Team, time.Time{}, nil), outcome, latency, grant), simulation.now)
 	simulation.naive.record(instance, key, series, class, minuteOf(simulation.now))
 }
 
--- a/reporter/frame_test.go
+++ b/reporter/frame_test.go
@@ -31,7 +31,7 @@
 }
 
 // Guards against unbounded numbers of incarnations and objectives from a faulty writer.
-func TestLedgerIsBounded(t *testing.T) {
+func TestAggregatorIsBounded(t *testing.T) {
 	is := is.New(t)
 	aggregator := NewAggregator()
 	for i := range maxIncarnations + 10 {
--- a/reporter/report.go
+++ b/reporter/report.go
@@ -103,8 +103,8 @@
 	Unclaimed     uint64 `json:"unclaimed"`
 	// Rate is the share of bad answers divided by the share that may be bad.
 	Rate float64 `json:"burn-rate"`
-	// WorstRate is what Rate would be if all missing and unclaimed answers were bad. It is null if the window has no
-	// records.
+	// WorstRate is what Rate would be if all missing and unclaimed answers were bad. It is null if records of the
+	// window are expected but none exist.
 	WorstRate *float64 `json:"worst-burn-rate"`
 }
 
--- a/reporter/reporter.go
+++ b/reporter/reporter.go
@@ -65,7 +65,7 @@
 	shards     [countShards]countShard
 
 	mu      sync.Mutex
-	pending []closedMinute // closed minutes that the log has not acknowledged, ascending
+	pending []closedMinute // closed minutes that are not known to be in the log, ascending
 	rows    int            // rows of all minutes in pending
 	next    minute         // the first minute that is not in pending yet
 }
@@ -115,8 +115,8 @@
 	return true
 }
 
-// series returns the counts of a series in the open minute. When there are limit series, a new series is counted under
-// the total of its kind if that has an objective, and otherwise under one total for all other kinds.
+// series returns the counts of a series in the open minute. When there are limit series, the answers of a new one are
+// counted under team OtherName, and under kind OtherName unless its kind has an objective.
 func (shard *countShard) series(series Series, hasObjective bool, limit int) *Counts {
 	counts := shard.counts[series]
 	if counts != nil {
--- a/reporter/reporter_test.go
+++ b/reporter/reporter_test.go
@@ -16,10 +16,10 @@
 
 var testStart = time.Unix(1_800_000_000, 0)
 
-func testReporter(maxClaims, maxSeries int) *Reporter {
+func testReporter(maxKeys, maxSeries int) *Reporter {
 	return New(Config{
 		Domain: "local", Instance: "entry-1", Incarnation: "run-1", Objectives: simulatedObjectives,
-		Retention: 10 * time.Minute, MaxKeys: maxClaims, MaxSeries: maxSeries,
+		Retention: 10 * time.Minute, MaxKeys: maxKeys, MaxSeries: maxSeries,
 	}, testStart)
 }
 
--- a/reporter/sum_test.go
+++ b/reporter/sum_test.go
@@ -16,9 +16,9 @@
 	*rand.Rand
 	now           time.Time
 	log           [][]byte
-	trimmed       int // offset of the first record that is still in the log
-	hours         [][]byte
-	losesCoverage bool // builders may lose the coverage of earlier sums, as after a trim of the log
+	trimmed       int      // offset of the first record that is still in the log
+	hours         [][]byte // records of the sums
+	losesCoverage bool     // builders may lose the coverage of earlier sums, as after a trim of the log
 }
 
 // simulatedBuilder is a builder with its read positions in the records and in the sums.
@@ -74,7 +74,7 @@
 	if err != nil {
 		panic(err)
 	}
-	for range 1 + simulation.IntN(2) { // a second append is one whose answer was lost
+	for range 1 + simulation.IntN(2) { // appended again if the answer to the first append was lost
 		simulation.hours = append(simulation.hours, data)
 	}
 	*simulatedBuilder = newSimulatedBuilder()
@@ -107,8 +107,8 @@
 	var delayed [][]byte
 	for i := range steps {
 		simulation.now = testStart.Add(time.Duration(i) * 20 * time.Minute)
-		for _, run := range []int{0, 1, 2} {
-			data := simulation.batch(run, i)
+		for _, index := range []int{0, 1, 2} {
+			data := simulation.batch(index, i)
 			if simulation.IntN(6) == 0 {
 				delayed = append(delayed, data)
 				continue
@@ -127,11 +127,11 @@
 		}
 		// Both builders may read before either appends, so that their sums have records in common.
 		if simulation.IntN(8) == 0 {
-			stale := len(simulation.hours)
+			before := len(simulation.hours)
 			simulation.sum(&builders[0])
 			if simulation.IntN(2) == 0 {
-				appended := simulation.hours[stale:]
-				simulation.hours = simulation.hours[:stale:stale]
+				appended := simulation.hours[before:]
+				simulation.hours = simulation.hours[:before:before]
 				simulation.sum(&builders[1])
 				simulation.hours = append(simulation.hours, appended...)
 			}
@@ -149,8 +149,8 @@
 }
 
 // batch returns the record of one to seven minutes of one of three instances.
-func (simulation *sumSimulation) batch(run, step int) []byte {
-	batch := Batch{domain: "local", instance: fmt.Sprint(run), incarnation: fmt.Sprintf("%d#%d", run, step/80)}
+func (simulation *sumSimulation) batch(index, step int) []byte {
+	batch := Batch{domain: "local", instance: fmt.Sprint(index), incarnation: fmt.Sprintf("%d#%d", index, step/80)}
 	batch.objectives = map[string]Objective{"check": {within: time.Second, percent: float64(90 + step%9)}}
 	first := minuteOf(simulation.now) - 7
 	for i := range 1 + simulation.IntN(7) {
@@ -190,8 +190,8 @@
 	is.New(t).True(used > 24*600) // most records were read from sums
 }
 
-// Guards against minutes that are shown as covered although the log was trimmed after them, and against a trim that
-// hides minutes in the remaining sums.
+// Guards against minutes that are shown as covered although their records were trimmed from the log, and against a trim
+// that hides minutes in the remaining sums.
 func TestSumsOfTrimmedLog(t *testing.T) {
 	for seed := range uint64(10) {
 		is := is.New(t)
