--- a/accountant/accountant_test.go
+++ b/accountant/accountant_test.go
@@ -50,7 +50,7 @@
 		first.Record(answer(dispatcher.Complete{}, time.Second), now)
 		now = now.Add(time.Minute)
 		err := first.flushAll(context.Background(), now, false)
-		is.Equal(err == nil, fault == emulator.LogHealthy) // minute
+		is.Equal(err == nil, fault == emulator.LogHealthy) // an error unless the log is healthy
 	}
 	first.Record(answer(dispatcher.Failed{}, 0), now) // only in memory when the instance crashes
 	now = now.Add(10 * time.Minute)
--- a/reporter/answer.go
+++ b/reporter/answer.go
@@ -47,7 +47,7 @@
 	Refused
 	// Unknown is an answer that does not say whether the job was started.
 	Unknown
-	// Unclaimed is an answer that no instance was granted to count; it is not part of the burn rate.
+	// Unclaimed is an answer without a decision of the owner of its key; it is not part of the burn rate.
 	Unclaimed
 
 	numClasses
