--- a/accountant/cursor.go
+++ b/accountant/cursor.go
@@ -13,30 +13,30 @@
 
 const (
 	burnStream = "burn"
-	// hoursStream holds the hourly sums. In stream burn they would lie between the minute records, which a reader could
-	// then not leave out, because the log is read by offset only.
+	// hoursStream holds the hourly sums. They are not in stream burn, because the log can only be read by offset: a
+	// reader of the sums could not skip the minute records between them.
 	hoursStream = "burn-hours"
-	// toEnd is the bound of a read to the end of the stream.
+	// toEnd is the offset limit of a read to the end of the stream.
 	toEnd = math.MaxInt64
 )
 
-// cursor adds sums and minute records to a ledger in the order of the offsets in stream burn.
+// cursor adds sums and minute records to an aggregator in the order of the offsets in stream burn.
 type cursor struct {
-	log    *appender.Appender
-	ledger *reporter.Aggregator
-	// next is the offset in stream burn through which everything is in the ledger or no longer in the log.
-	next      int64
-	nextHours int64 // the offset of the next record of stream burn-hours
-	begun     bool
-	hour      time.Time // the latest hour that has a sum
+	log        *appender.Appender
+	aggregator *reporter.Aggregator
+	// next is the offset in stream burn before which all records are in the aggregator or no longer in the log.
+	next    int64
+	nextSum int64 // offset of the next record of stream burn-hours
+	started bool
+	hour    time.Time // latest hour that has a sum
 }
 
-// readSums adds the sums in stream burn-hours to the ledger. A sum counts if it begins at or after the end of what is
-// in the ledger, so of two sums that begin at the same record the first in the log counts. The records between two
-// sums, and those of a sum that repeats a minute, are read themselves.
+// readSums adds the new sums in stream burn-hours to the aggregator. A sum is used if it starts at or after the next
+// offset, so of two sums that start at the same record the first in the log is used. For gaps between sums, and for
+// sums that contain minutes that are already counted, it reads the minute records instead.
 func (cursor *cursor) readSums(ctx context.Context, now time.Time) error {
 	for {
-		page, err := cursor.log.Read(ctx, hoursStream, cursor.nextHours, 0)
+		page, err := cursor.log.Read(ctx, hoursStream, cursor.nextSum, 0)
 		if err != nil {
 			return eris.Wrap(err, "reading hourly burn sums")
 		}
@@ -49,52 +49,55 @@
 					return err
 				}
 			}
-			cursor.nextHours = record.Offset + 1
+			cursor.nextSum = record.Offset + 1
 		}
 	}
 }
 
+// addSum adds one sum, or the minute records in its range, unless the range overlaps with records that were already
+// added.
 func (cursor *cursor) addSum(ctx context.Context, sum reporter.HourlySum, now time.Time) error {
 	if sum.From() < cursor.next {
 		return nil
 	}
-	if !cursor.begun && sum.From() == 0 {
-		cursor.begin(true)
+	if !cursor.started && sum.From() == 0 {
+		cursor.start(true)
 	}
 	if err := cursor.readMinutes(ctx, now, sum.From()); err != nil {
 		return err
 	}
-	if cursor.ledger.AddSum(sum, now) {
+	if cursor.aggregator.AddSum(sum, now) {
 		cursor.next = sum.Next()
 	} else if err := cursor.readMinutes(ctx, now, sum.Next()); err != nil {
 		return err
 	}
-	// The hour of an instance with a wrong clock must not keep the others from their turns.
+	// A sum of a future hour, from an instance with a wrong clock, must not stop the others from appending sums.
 	if hour := sum.Hour(); hour.After(cursor.hour) && !hour.After(now) {
 		cursor.hour = hour
 	}
 	return nil
 }
 
-func (cursor *cursor) begin(complete bool) {
-	cursor.begun = true
-	cursor.ledger.SetComplete(complete)
+// start sets whether the log is read from its first record on.
+func (cursor *cursor) start(complete bool) {
+	cursor.started = true
+	cursor.aggregator.SetComplete(complete)
 }
 
-// readMinutes adds the minute records from cursor.next to before until.
+// readMinutes adds the minute records in [cursor.next, until).
 func (cursor *cursor) readMinutes(ctx context.Context, now time.Time, until int64) error {
 	return cursor.readRecords(ctx, until, func(record appender.Record) bool {
 		batch, err := reporter.DecodeBatch(record.Data)
 		if err != nil {
-			cursor.ledger.AddUnreadable()
+			cursor.aggregator.AddUnreadable()
 		} else {
-			cursor.ledger.Add(batch, now)
+			cursor.aggregator.Add(batch, now)
 		}
 		return true
 	})
 }
 
-// readRecords calls add for the records of stream burn from cursor.next to before until, as long as it returns true.
+// readRecords calls add for the records of stream burn in [cursor.next, until) until add returns false.
 func (cursor *cursor) readRecords(ctx context.Context, until int64, add func(record appender.Record) bool) error {
 	for cursor.next < until {
 		page, err := cursor.log.Read(ctx, burnStream, cursor.next, 0)
@@ -104,8 +107,8 @@
 		if page.Next < cursor.next {
 			return eris.Errorf("stream %s ends at offset %d, before offset %d of an hourly sum", burnStream, page.Next, cursor.next)
 		}
-		if !cursor.begun {
-			cursor.begin(page.Earliest == 0)
+		if !cursor.started {
+			cursor.start(page.Earliest == 0)
 		}
 		for _, record := range page.Records {
 			if record.Offset >= until {
@@ -119,7 +122,7 @@
 		}
 		if len(page.Records) == 0 {
 			if until != toEnd {
-				cursor.next = min(until, page.Next) // The log no longer holds the rest.
+				cursor.next = min(until, page.Next) // The log no longer has the rest.
 			}
 			return nil
 		}
--- a/accountant/hourly_test.go
+++ b/accountant/sum_appender_test.go
@@ -17,8 +17,8 @@
 	"github.com/hyssoplift/hyssoplift/reporter"
 )
 
-// Guards against a report from hourly sums that differs from one from minute records only, while the answers of appends
-// are lost, the log is down, instances take over each other's turn or restart, and records are damaged.
+// Guards against a report from hourly sums that differs from a report from minute records only. Causes are lost answers
+// of appends, outages of the log, instances that take over for each other or restart, and damaged records.
 func TestReportFromSumsAgainstMinutes(t *testing.T) {
 	for seed := range uint64(6) {
 		is := is.New(t)
@@ -27,10 +27,10 @@
 		server := httptest.NewServer(log)
 		client := appender.New(strings.TrimPrefix(server.URL, "http://"))
 		now := time.Unix(1_800_000_000, 0)
-		accountants, hourlies := make([]*Accountant, 3), make([]*hourly, 3)
+		accountants, sumAppenders := make([]*Accountant, 3), make([]*sumAppender, 3)
 		for i := range accountants {
 			accountants[i] = newTestAccountant(client, fmt.Sprint("run-", i), now)
-			hourlies[i] = newHourly(client, "local", fmt.Sprint("entry-", i))
+			sumAppenders[i] = newSumAppender(client, "local", fmt.Sprint("entry-", i))
 		}
 		for range 300 {
 			now = now.Add(time.Duration(1+random.IntN(12)) * time.Minute)
@@ -38,30 +38,31 @@
 			for i, accountant := range accountants {
 				accountant.Record(answer(dispatcher.Complete{}, time.Duration(random.IntN(1000))*time.Millisecond), now)
 				_ = accountant.flushAll(context.Background(), now, false)
-				_ = hourlies[i].run(context.Background(), now)
+				_ = sumAppenders[i].run(context.Background(), now)
 			}
 			switch random.IntN(40) {
 			case 0:
 				log.Append([]string{burnStream, hoursStream}[random.IntN(2)], []byte(`{"format":1`))
 			case 1:
-				hourlies[0] = newHourly(client, "local", "entry-0")
+				sumAppenders[0] = newSumAppender(client, "local", "entry-0")
 			}
 		}
 		log.SetFault(emulator.LogHealthy)
 		sums, minutes := NewReader(client), NewReader(client)
-		minutes.summed = true
+		minutes.sumsRead = true
 		got, err := sums.Report(context.Background(), now)
 		is.NoErr(err)
 		want, err := minutes.Report(context.Background(), now)
 		is.NoErr(err)
 		is.Equal(got, want)
-		is.True(now.Sub(sums.cursor.hour) < 3*time.Hour) // the sums kept up
+		is.True(now.Sub(sums.cursor.hour) < 3*time.Hour) // sums were appended until recently
 		server.Close()
 	}
 }
 
-// Guards against two summers that both append the sum of one hour, one of them before it has read the other's.
-func TestLoserOfAnHourReadsAgain(t *testing.T) {
+// Guards against records that are lost or counted twice when two instances append a sum of the same hour, one of them
+// before it has read the sum of the other.
+func TestConcurrentSumsOfSameHour(t *testing.T) {
 	is := is.New(t)
 	log := emulator.NewLog()
 	server := httptest.NewServer(log)
@@ -71,8 +72,8 @@
 	accountant := newTestAccountant(client, "run-1", now.Add(-30*time.Minute))
 	accountant.Record(answer(dispatcher.Complete{}, 0), now.Add(-20*time.Minute))
 	is.NoErr(accountant.flushAll(ctx, now.Add(-10*time.Minute), false))
-	first, second := newHourly(client, "local", "a"), newHourly(client, "local", "b")
-	_, err := first.prepare(ctx, now) // it has seen less when its append takes effect
+	first, second := newSumAppender(client, "local", "a"), newSumAppender(client, "local", "b")
+	_, err := first.prepare(ctx, now) // it has read fewer records than the second one
 	is.NoErr(err)
 	accountant.Record(answer(dispatcher.Complete{}, 0), now)
 	is.NoErr(accountant.flushAll(ctx, now.Add(time.Minute), false))
@@ -81,20 +82,21 @@
 	is.True(first.pendingNext < second.pendingNext)
 	log.Append(hoursStream, first.pending)
 	log.Append(hoursStream, second.pending)
-	for _, hourly := range []*hourly{first, second} {
-		is.NoErr(hourly.run(ctx, now.Add(time.Minute)))
-		is.Equal(hourly.cursor.next, int64(1)) // both go on after the first sum in the log
+	for _, sumAppender := range []*sumAppender{first, second} {
+		is.NoErr(sumAppender.run(ctx, now.Add(time.Minute)))
+		is.Equal(sumAppender.cursor.next, int64(1)) // both continue after the first sum in the log
 	}
 	is.NoErr(second.run(ctx, now.Add(time.Hour)))
 	reader := NewReader(client)
 	report, err := reader.Report(ctx, now.Add(time.Hour))
 	is.NoErr(err)
-	is.Equal(report.Rows[0].Burns[3].Answers, uint64(2)) // two hours
+	is.Equal(report.Rows[0].Burns[3].Answers, uint64(2)) // the window of two hours
 	is.Equal(reader.cursor.next, int64(2))
 }
 
-// Guards against turns outside the first half of the hour, and an order that is the same in every hour.
-func TestSumTurns(t *testing.T) {
+// Guards against append times outside the first half of the hour, and against the same instance being first in every
+// hour.
+func TestSumAppendTimes(t *testing.T) {
 	is := is.New(t)
 	lowest := make(map[string]bool)
 	for hour := range 50 {
--- a/reporter/batch.go
+++ b/reporter/batch.go
@@ -13,14 +13,14 @@
 
 const (
 	batchFormat = 1
-	// maxBatchRows bounds one record of the log to about 150 KB.
+	// maxBatchRows limits a record of the log to about 150 KB.
 	maxBatchRows = 20_000
-	// maxBatchMinutes bounds the span that a decoded record may claim to cover.
+	// maxBatchMinutes limits the time span of a decoded record.
 	maxBatchMinutes = windowMinutes
 )
 
-// Batch holds consecutive closed minutes of one incarnation. A minute is the same in every batch that holds it, so a
-// reader counts each minute of an incarnation once, however often it was appended.
+// Batch holds consecutive closed minutes of one incarnation. A minute has the same counts in every batch that contains
+// it, so an Aggregator counts each minute of an incarnation once, however often it was appended.
 type Batch struct {
 	domain, instance, incarnation string
 
@@ -29,7 +29,7 @@
 	objectives map[string]Objective
 }
 
-// span returns the first and the last minute.
+// span returns the first and the last minute of the batch.
 func (batch Batch) span() (first, last minute) {
 	return batch.minutes[0].minute, batch.minutes[len(batch.minutes)-1].minute
 }
@@ -46,9 +46,10 @@
 	Objectives  []objectiveRecord `json:"objectives,omitempty"`
 	Kinds       []string          `json:"kinds,omitempty"`
 	Teams       []string          `json:"teams,omitempty"`
-	// Counts follows the JSON, or is part of it in records of earlier versions. It holds unsigned varints: per minute the number of rows, and per row the index in Kinds, the index in
-	// Teams, a mask of the classes that have answers, and their counts. As JSON numbers, a record of 1,200 series had
-	// 69 KB and took 2.9 ms to read.
+	// Counts is stored after the JSON; in records of earlier versions it is part of the JSON. It holds unsigned
+	// varints: per minute the number of rows, and per row the index in Kinds, the index in Teams, a bit mask of the
+	// classes with answers, and the counts of these classes. With JSON numbers instead, a record of 1,200 series had 69
+	// KB and took 2.9 ms to decode.
 	Counts []byte `json:"counts,omitempty"`
 }
 
@@ -65,7 +66,7 @@
 	return strings.Compare(a.Team, b.Team)
 }
 
-// Encode returns the record to append to stream burn; equal batches have equal records.
+// Encode returns the record of the batch for stream burn. Equal batches have equal records.
 func (batch Batch) Encode() ([]byte, error) {
 	first, last := batch.span()
 	record := batchRecord{
@@ -77,7 +78,7 @@
 			objectiveRecord{Kind: kind, WithinMS: objective.within.Milliseconds(), Percent: objective.percent})
 	}
 	slices.SortFunc(record.Objectives, func(a, b objectiveRecord) int { return strings.Compare(a.Kind, b.Kind) })
-	kinds, teams := newNames(), newNames()
+	kinds, teams := newNameIndex(), newNameIndex()
 	for _, closed := range batch.minutes {
 		rows := slices.Clone(closed.rows)
 		slices.SortFunc(rows, func(a, b seriesCounts) int {
@@ -94,13 +95,14 @@
 	counts := record.Counts
 	record.Counts = nil
 	data, err := json.Marshal(record)
-	return seal(data, counts), eris.Wrap(err, "encoding a burn record")
+	return frameRecord(data, counts), eris.Wrap(err, "encoding a burn record")
 }
 
-// DecodeBatch returns the batch in a record of stream burn, or an error if any part of it is out of bounds.
+// DecodeBatch returns the batch in a record of stream burn, or an error if the record is damaged or a value is out of
+// range.
 func DecodeBatch(data []byte) (Batch, error) {
 	var record batchRecord
-	data, counts, err := unseal(data)
+	data, counts, err := unframeRecord(data)
 	if err != nil {
 		return Batch{}, err
 	}
@@ -112,7 +114,7 @@
 	}
 	span := record.Through - record.From
 	if record.Format != batchFormat || record.Incarnation == "" || record.From < 0 || span < 0 || span >= maxBatchMinutes {
-		return Batch{}, eris.Errorf("burn record of format %d for minutes %d to %d of incarnation %q is out of bounds",
+		return Batch{}, eris.Errorf("invalid burn record: format %d, minutes %d to %d, incarnation %q",
 			record.Format, record.From, record.Through, record.Incarnation)
 	}
 	batch := Batch{
@@ -129,27 +131,28 @@
 		}
 		batch.objectives[entry.Kind] = objective
 	}
-	return batch, eris.Wrapf(record.readRows(batch.minutes), "burn record of incarnation %s", record.Incarnation)
+	return batch, eris.Wrapf(record.decodeRows(batch.minutes), "burn record of incarnation %s", record.Incarnation)
 }
 
-// names numbers names in the order of their first use.
-type names struct {
+// nameIndex assigns numbers to names in the order of their first use.
+type nameIndex struct {
 	list    []string
 	indices map[string]uint64
 }
 
-func newNames() *names { return &names{indices: make(map[string]uint64)} }
+func newNameIndex() *nameIndex { return &nameIndex{indices: make(map[string]uint64)} }
 
-func (names *names) index(name string) uint64 {
-	index, ok := names.indices[name]
+func (nameIndex *nameIndex) index(name string) uint64 {
+	index, ok := nameIndex.indices[name]
 	if !ok {
-		index = uint64(len(names.list))
-		names.indices[name] = index
-		names.list = append(names.list, name)
+		index = uint64(len(nameIndex.list))
+		nameIndex.indices[name] = index
+		nameIndex.list = append(nameIndex.list, name)
 	}
 	return index
 }
 
+// appendCounts appends the mask of the classes with answers and their counts to data.
 func appendCounts(data []byte, counts Counts) []byte {
 	mask := uint64(0)
 	for class, count := range counts {
@@ -167,68 +170,68 @@
 }
 
 const (
-	// minRowBytes is the size of the shortest row, which bounds what a record can make a reader allocate.
+	// minRowBytes is the size of the shortest row. It limits the memory that is allocated for the rows of a record.
 	minRowBytes = 3
-	// maxRowCount bounds one count, so that sums over a window do not overflow.
+	// maxRowCount limits a count, so that sums over a window do not overflow.
 	maxRowCount = 1 << 24
 )
 
-// rowReader reads varints and keeps the first fault.
+// rowReader decodes rows of varints. After the first invalid value, it stays invalid.
 type rowReader struct {
-	data  []byte
-	fault bool
+	data    []byte
+	invalid bool
 }
 
-// next returns the next number, or zero after a fault; a number of limit or more is a fault.
+// next returns the next number, or 0 if the data is invalid; a number of limit or more is invalid.
 func (reader *rowReader) next(limit uint64) uint64 {
 	value, size := binary.Uvarint(reader.data)
-	if reader.fault || size <= 0 || value >= limit {
-		reader.fault = true
+	if reader.invalid || size <= 0 || value >= limit {
+		reader.invalid = true
 		return 0
 	}
 	reader.data = reader.data[size:]
 	return value
 }
 
-// row returns the next row; a count of limit or more is a fault.
+// row returns the next row; a count of limit or more is invalid.
 func (reader *rowReader) row(kinds, teams []string, limit uint64) seriesCounts {
 	kind, team := reader.next(uint64(len(kinds))), reader.next(uint64(len(teams)))
-	mask := reader.next(1 << classes)
+	mask := reader.next(1 << numClasses)
 	var counts Counts
 	for class := range counts {
 		if mask>>class&1 == 1 {
 			counts[class] = reader.next(limit)
 		}
 	}
-	if reader.fault {
+	if reader.invalid {
 		return seriesCounts{}
 	}
 	return seriesCounts{series: Series{Kind: kinds[kind], Team: teams[team]}, counts: counts}
 }
 
-// rows returns the rows of one minute, or nil after a fault.
+// rows returns the rows of one minute, or nil if the data is invalid.
 func (reader *rowReader) rows(kinds, teams []string, limit uint64) []seriesCounts {
 	count := reader.next(uint64(len(reader.data)/minRowBytes) + 1)
 	rows := make([]seriesCounts, 0, count)
 	for range count {
 		rows = append(rows, reader.row(kinds, teams, limit))
-		if reader.fault {
+		if reader.invalid {
 			return nil
 		}
 	}
 	return rows
 }
 
-// readRows fills the rows of minutes from the counts of the record.
-func (record batchRecord) readRows(minutes []closedMinute) error {
+// decodeRows decodes the counts of the record into the rows of minutes.
+func (record batchRecord) decodeRows(minutes []closedMinute) error {
 	reader := &rowReader{data: record.Counts}
 	for i := range minutes {
-		if minutes[i].rows = reader.rows(record.Kinds, record.Teams, maxRowCount); reader.fault {
-			return eris.Errorf("the counts of minute %d are out of bounds", minutes[i].minute)
+		if minutes[i].rows = reader.rows(record.Kinds, record.Teams, maxRowCount); reader.invalid {
+			return eris.Errorf("the counts of minute %d are out of range", minutes[i].minute)
 		}
 	}
 	if len(reader.data) > 0 {
-		return eris.New("the counts do not match the minutes")
+		return eris.New("there is data after the counts of the last minute")
 	}
 	return nil
 }
--- a/reporter/reporter_test.go
+++ b/reporter/reporter_test.go
@@ -16,10 +16,10 @@
 
 var testStart = time.Unix(1_800_000_000, 0)
 
-func testReporter(maxClaims, maxSeries int) *Reporter {
+func testReporter(maxKeys, maxSeries int) *Reporter {
 	return New(Config{
 		Domain: "local", Instance: "entry-1", Incarnation: "run-1", Objectives: simulatedObjectives,
-		Retention: 10 * time.Minute, MaxKeys: maxClaims, MaxSeries: maxSeries,
+		Retention: 10 * time.Minute, MaxKeys: maxKeys, MaxSeries: maxSeries,
 	}, testStart)
 }
 
@@ -38,41 +38,42 @@
 	return sums
 }
 
-// Guards against a request that counts at two instances or twice at one, and against claims that outlive their bound.
-func TestClaims(t *testing.T) {
+// Guards against a request that is counted by two instances or twice by one, and against key states that are kept
+// longer than two retention periods.
+func TestCountGrants(t *testing.T) {
 	is := is.New(t)
 	owner, other := testReporter(1000, 100), testReporter(1000, 100)
 	now := testStart
 	is.True(owner.GrantCount("a", "other", now))
 	is.True(owner.GrantCount("a", "other", now))                          // the answer to the first grant was lost
 	is.True(!owner.GrantCount("a", "third", now))                         // another instance asks
-	is.True(!owner.Record(testAnswer("a", "check", "t", KeyOwner), now))  // the caller came back to the owner
-	is.True(other.Record(testAnswer("a", "check", "t", Granted), now))    // the holder counts
+	is.True(!owner.Record(testAnswer("a", "check", "t", KeyOwner), now))  // the caller resubmits to the owner
+	is.True(other.Record(testAnswer("a", "check", "t", Granted), now))    // the holder counts it
 	is.True(!other.Record(testAnswer("a", "check", "t", Granted), now))   // once
 	is.True(!other.Record(testAnswer("b", "check", "t", Denied), now))    // never without the grant
-	is.True(owner.Record(testAnswer("c", "check", "t", KeyOwner), now))   //
-	is.True(!owner.GrantCount("c", "other", now))                         // counted at the owner
-	is.True(other.Record(testAnswer("d", "check", "t", Undecided), now))  // kept apart
+	is.True(owner.Record(testAnswer("c", "check", "t", KeyOwner), now))   // a key that was granted to no instance
+	is.True(!owner.GrantCount("c", "other", now))                         // already counted by the owner
+	is.True(other.Record(testAnswer("d", "check", "t", Undecided), now))  // counted as unclaimed
 	is.True(!other.Record(testAnswer("d", "check", "t", Undecided), now)) // once
-	is.True(other.Record(testAnswer("d", "check", "t", Granted), now))    // and counted when the owner is back
+	is.True(other.Record(testAnswer("d", "check", "t", Granted), now))    // counted once the owner is reachable again
 	now = now.Add(9 * time.Minute)                                        // within the retention period
 	is.True(!owner.GrantCount("a", "third", now) && !owner.GrantCount("c", "x", now))
-	is.True(!owner.GrantCount("a", "third", testStart.Add(15*time.Minute))) // in the older generation; asking does not extend it
+	is.True(!owner.GrantCount("a", "third", testStart.Add(15*time.Minute))) // in the older generation; the request does not extend the lifetime
 	now = testStart.Add(25 * time.Minute)
 	is.True(owner.GrantCount("a", "third", now)) // expired
 
-	full := testReporter(claimShards, 100) // one claim per shard
+	full := testReporter(keyShards, 100) // one key per shard
 	for i := range 1000 {
 		full.Record(testAnswer(fmt.Sprint(i), "check", "t", KeyOwner), now)
 	}
 	batch, _ := full.Batch(now, true)
 	counts := countsOf(batch.minutes[len(batch.minutes)-1])[Series{"check", "t"}]
-	is.Equal(counts[Failed], uint64(claimShards))         // as many as fit
-	is.Equal(counts[Unclaimed], uint64(1000-claimShards)) // the others are kept apart
+	is.Equal(counts[Failed], uint64(keyShards))         // as many as fit
+	is.Equal(counts[Unclaimed], uint64(1000-keyShards)) // the others are unclaimed
 }
 
-// Guards against unbounded memory from kinds and teams that callers invent, and against a kind with an objective that
-// loses answers to the bound.
+// Guards against unbounded memory from arbitrary names of kinds and teams in requests, and against the limit hiding
+// answers of a kind with an objective.
 func TestSeriesAreBounded(t *testing.T) {
 	is := is.New(t)
 	reporter := testReporter(1<<20, countShards)
@@ -94,8 +95,8 @@
 	is.Equal(total, uint64(10000))
 }
 
-// Guards against a backlog in one huge record, and against a final mark on a part that is not the last: if the rest
-// were lost, its minutes would not be missing.
+// Guards against a backlog in one very large record, and against a final mark on a part that is not the last. If the
+// rest was lost, its minutes would not be shown as missing.
 func TestBacklogIsSplit(t *testing.T) {
 	is := is.New(t)
 	reporter := testReporter(1, 1<<20)
@@ -114,7 +115,7 @@
 	is.True(!ok)
 }
 
-// Guards against answers that are lost or counted twice while a batch is collected.
+// Guards against answers that are lost or counted twice when they are recorded while a batch is collected.
 func TestRecordDuringBatches(t *testing.T) {
 	is := is.New(t)
 	reporter, aggregator := testReporter(1<<20, 1000), NewAggregator()
@@ -149,50 +150,50 @@
 	is.Equal(report.Rows[0].burn(6*time.Hour).Answers, uint64(workers*each))
 }
 
-// Guards against a wrong verdict, and against missing data that passes as good.
+// Guards against wrong verdicts, and against missing data that is treated as good.
 func TestVerdicts(t *testing.T) {
-	everywhere := func(burn Burn) [7]Burn { return [7]Burn{burn, burn, burn, burn, burn, burn, burn} }
-	full, gap := extent{100, 100}, extent{100, 90}
+	allWindows := func(burn Burn) [7]Burn { return [7]Burn{burn, burn, burn, burn, burn, burn, burn} }
+	full, gap := completeness{100, 100}, completeness{100, 90}
 	tests := []struct {
-		name   string
-		burns  [7]Burn
-		extent extent
-		want   Verdict
+		name         string
+		burns        [7]Burn
+		completeness completeness
+		want         Verdict
 	}{
-		{"1% bad of 1% allowed", everywhere(Burn{Answers: 1000, Late: 10}), full, OK},
-		{"1.1%", everywhere(Burn{Answers: 1000, Late: 5, Failed: 6}), full, Ticket},
-		{"6.1%", everywhere(Burn{Answers: 1000, Refused: 61}), full, Page},
+		{"1% bad of 1% allowed", allWindows(Burn{Answers: 1000, Late: 10}), full, OK},
+		{"1.1%", allWindows(Burn{Answers: 1000, Late: 5, Failed: 6}), full, Ticket},
+		{"6.1%", allWindows(Burn{Answers: 1000, Refused: 61}), full, Page},
 		{"14.5% in the short pair only", [7]Burn{{Answers: 1000, Unknown: 145}, {Answers: 1000}, {Answers: 1000, Unknown: 145}, {Answers: 1e6}, {Answers: 1e6}, {Answers: 1e6}, {Answers: 1e6}}, full, Page},
 		{"14.5% for five minutes only", [7]Burn{{Answers: 1000, Late: 145}, {Answers: 1e6}, {Answers: 1e6}, {Answers: 1e6}, {Answers: 1e6}, {Answers: 1e6}, {Answers: 1e6}}, full, OK},
-		{"no traffic", everywhere(Burn{}), full, OK},
-		{"nothing expected", everywhere(Burn{}), extent{}, OK},
-		{"all good, a tenth missing", everywhere(Burn{Answers: 1000}), gap, Missing},
-		{"all good, all missing", everywhere(Burn{}), extent{100, 0}, Missing},
-		{"all good, 2% unclaimed", everywhere(Burn{Answers: 980, Unclaimed: 20}), full, Missing},
-		{"a page although a tenth is missing", everywhere(Burn{Answers: 1000, Failed: 200}), gap, Page},
+		{"no traffic", allWindows(Burn{}), full, OK},
+		{"nothing expected", allWindows(Burn{}), completeness{}, OK},
+		{"all good, a tenth missing", allWindows(Burn{Answers: 1000}), gap, Missing},
+		{"all good, all missing", allWindows(Burn{}), completeness{100, 0}, Missing},
+		{"all good, 2% unclaimed", allWindows(Burn{Answers: 980, Unclaimed: 20}), full, Missing},
+		{"a page although a tenth is missing", allWindows(Burn{Answers: 1000, Failed: 200}), gap, Page},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			row := Row{Burns: test.burns[:]}
 			for i := range row.Burns {
-				row.Burns[i].rate(Objective{within: time.Second, percent: 99}, test.extent)
+				row.Burns[i].setRates(Objective{within: time.Second, percent: 99}, test.completeness)
 			}
-			is.Equal(row.judge(), test.want)
+			is.Equal(row.evaluate(), test.want)
 		})
 	}
 }
 
-// hostile returns a record of one minute, one kind and one team with the given counts.
-func hostile(counts ...byte) string {
+// invalidRecord returns a record of one minute, one kind and one team with the given counts.
+func invalidRecord(counts ...byte) string {
 	return fmt.Sprintf(`{"format":1,"incarnation":"x","kinds":["k"],"teams":["t"],"counts":%q}`, base64.StdEncoding.EncodeToString(counts))
 }
 
-// Guards against a crash on a corrupt record, and against a record that changes when it is read and written again.
+// Guards against a crash on a corrupt record, and against a record that changes when it is decoded and encoded again.
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(hostile(1, 0, 0, 3, 1, 2)))
-	f.Add([]byte(hostile(2, 0, 0, 1, 1, 0, 0, 1, 1)))
-	f.Add([]byte(hostile(1, 0, 0, 64)))
+	f.Add([]byte(invalidRecord(1, 0, 0, 3, 1, 2)))
+	f.Add([]byte(invalidRecord(2, 0, 0, 1, 1, 0, 0, 1, 1)))
+	f.Add([]byte(invalidRecord(1, 0, 0, 64)))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		batch, err := DecodeBatch(data)
 		if err != nil {
@@ -213,22 +214,22 @@
 	})
 }
 
-// Guards against a record that could make a reader allocate without bound, crash, or lose current minutes.
-func TestHostileRecords(t *testing.T) {
+// Guards against an invalid record that makes a reader crash, allocate unbounded memory, or drop current minutes.
+func TestInvalidRecords(t *testing.T) {
 	is := is.New(t)
 	for _, record := range []string{
 		``, `{}`, `{"format":2,"incarnation":"x"}`,
 		`{"format":1,"incarnation":"x","from-minute":0,"through-minute":99999999}`,
 		`{"format":1,"incarnation":"x","from-minute":5,"through-minute":4}`,
 		`{"format":1,"incarnation":"x","from-minute":-5,"through-minute":4}`,
-		`{"format":1,"incarnation":"x"}`,            // no rows for its minute
-		hostile(1, 0, 0, 1, 1, 9),                   // more data than rows
-		hostile(1, 1, 0, 1, 1),                      // a kind that is not listed
-		hostile(1, 0, 1, 1, 1),                      // a team that is not listed
-		hostile(1, 0, 0, 64),                        // a class that does not exist
-		hostile(1, 0, 0, 1),                         // a count is missing
-		hostile(0xff, 0xff, 0xff, 0xff, 1),          // more rows than data
-		hostile(1, 0, 0, 1, 0x80, 0x80, 0x80, 0x08), // a count that could overflow a sum
+		`{"format":1,"incarnation":"x"}`,                  // no rows for its minute
+		invalidRecord(1, 0, 0, 1, 1, 9),                   // more data than rows
+		invalidRecord(1, 1, 0, 1, 1),                      // a kind that is not listed
+		invalidRecord(1, 0, 1, 1, 1),                      // a team that is not listed
+		invalidRecord(1, 0, 0, 64),                        // a class that does not exist
+		invalidRecord(1, 0, 0, 1),                         // a count is missing
+		invalidRecord(0xff, 0xff, 0xff, 0xff, 1),          // more rows than data
+		invalidRecord(1, 0, 0, 1, 0x80, 0x80, 0x80, 0x08), // a count that could overflow a sum
 		`{"format":1,"incarnation":"x","objectives":[{"kind":"k","within-ms":1,"percent":100}]}`,
 	} {
 		_, err := DecodeBatch([]byte(record))
@@ -240,11 +241,12 @@
 	aggregator.Add(ahead, testStart)
 	report := aggregator.Report(testStart.Add(10 * time.Minute))
 	is.Equal(report.Unreadable, 1)
-	is.Equal(report.Coverage[0].CoveredMinutes, int64(0)) // its instance is shown as missing
+	is.Equal(report.Coverage[0].CoveredMinutes, int64(0)) // the minutes of its instance are missing
 	is.Equal(report.Coverage[0].ExpectedMinutes, int64(5))
 }
 
-// Guards against markup from a caller's kind or team in the page, references to other files, and gaps drawn as good.
+// Guards against markup injection through kinds and teams, references to other files in the page, and gaps that are
+// drawn as good.
 func TestPageIsSelfContained(t *testing.T) {
 	is := is.New(t)
 	reporter, aggregator := testReporter(1000, 1000), NewAggregator()
@@ -259,5 +261,5 @@
 	is.True(!strings.Contains(page.String(), "http"))
 	is.True(strings.Contains(page.String(), "<polyline") && strings.Contains(page.String(), "<rect"))
 	is.True(strings.Contains(text.String(), "missing"))
-	is.Equal(report.WorstVerdict(), Ticket) // the one answer failed, but longer ago than the short window of a page
+	is.Equal(report.WorstVerdict(), Ticket) // the only answer failed, but before the short windows of Page
 }
