--- a/checker/checker.go
+++ b/checker/checker.go
@@ -85,37 +85,37 @@
 
 // checker indexes a history and collects the violations in it.
 type checker struct {
-	history     []Event
-	bounds      Bounds
-	submissions map[int64]Submitted
-	byKey       map[string][]Submitted
-	started     map[string][]TaskStarted
+	history          []Event
+	bounds           Bounds
+	submissions      map[int64]Submitted
+	submissionsByKey map[string][]Submitted
+	starts           map[string][]TaskStarted
 	// settledAt holds, for each key, when its job ended or was cancelled. A plain key that was submitted again after
 	// its retention has several times.
 	settledAt  map[string][]time.Time
-	refusedAt  map[int64]Refused
+	refusals   map[int64]Refused
 	violations []Violation
 }
 
 func newChecker(history []Event, bounds Bounds) *checker {
 	checker := &checker{
 		history: history, bounds: bounds,
-		submissions: map[int64]Submitted{}, byKey: map[string][]Submitted{}, started: map[string][]TaskStarted{},
-		settledAt: map[string][]time.Time{}, refusedAt: map[int64]Refused{},
+		submissions: map[int64]Submitted{}, submissionsByKey: map[string][]Submitted{}, starts: map[string][]TaskStarted{},
+		settledAt: map[string][]time.Time{}, refusals: map[int64]Refused{},
 	}
 	for _, event := range history {
 		switch event := event.(type) {
 		case Submitted:
 			checker.submissions[event.Submission] = event
-			checker.byKey[event.Key] = append(checker.byKey[event.Key], event)
+			checker.submissionsByKey[event.Key] = append(checker.submissionsByKey[event.Key], event)
 		case TaskStarted:
-			checker.started[event.Key] = append(checker.started[event.Key], event)
+			checker.starts[event.Key] = append(checker.starts[event.Key], event)
 		case JobEnded:
 			checker.recordSettlement(event.Key, event.Time)
 		case Cancelled:
 			checker.recordSettlement(event.Key, decidedAt(event.Decided, event.Time))
 		case Refused:
-			checker.refusedAt[event.Submission] = event
+			checker.refusals[event.Submission] = event
 		}
 	}
 	return checker
@@ -156,8 +156,8 @@
 
 // checkStarts checks SingleStart and AtMostOnce.
 func (checker *checker) checkStarts() {
-	for _, key := range slices.Sorted(maps.Keys(checker.started)) {
-		starts := checker.started[key]
+	for _, key := range slices.Sorted(maps.Keys(checker.starts)) {
+		starts := checker.starts[key]
 		first := map[string]TaskStarted{}
 		for _, start := range starts {
 			earlier, repeated := first[start.Task]
@@ -178,7 +178,7 @@
 }
 
 func (checker *checker) isUnrepeatable(key string) bool {
-	return slices.ContainsFunc(checker.byKey[key], func(submitted Submitted) bool { return submitted.Unrepeatable })
+	return slices.ContainsFunc(checker.submissionsByKey[key], func(submitted Submitted) bool { return submitted.Unrepeatable })
 }
 
 // checkAnswers checks WholeAnswer and OwnAnswer.
@@ -234,7 +234,7 @@
 		return
 	}
 	for _, task := range submitted.Tasks {
-		ran := slices.ContainsFunc(checker.started[submitted.Key], func(start TaskStarted) bool {
+		ran := slices.ContainsFunc(checker.starts[submitted.Key], func(start TaskStarted) bool {
 			return start.Task == task && start.Digest == submitted.Digest && !start.Time.After(answer.Time)
 		})
 		if !ran {
@@ -254,7 +254,7 @@
 			checker.checkCancellation(event)
 		case FailedAnswer:
 			submitted := checker.submissions[event.Submission]
-			for _, start := range checker.started[submitted.Key] {
+			for _, start := range checker.starts[submitted.Key] {
 				if start.Digest == submitted.Digest && slices.Contains(event.NotStarted, start.Task) && start.Time.Before(event.Time) {
 					checker.report(TrueRefusal, submitted.Key, start, event)
 				}
@@ -267,7 +267,7 @@
 // still protected.
 func (checker *checker) checkCancellation(event Cancelled) {
 	decided := decidedAt(event.Decided, event.Time)
-	for _, start := range checker.started[event.Key] {
+	for _, start := range checker.starts[event.Key] {
 		if start.Time.Before(decided) && checker.expired(event.Key, start.Time, decided) {
 			continue
 		}
@@ -285,7 +285,7 @@
 func (checker *checker) checkRefusal(refused Refused) {
 	submitted := checker.submissions[refused.Submission]
 	decided := decidedAt(refused.Decided, refused.Time)
-	for _, start := range checker.started[submitted.Key] {
+	for _, start := range checker.starts[submitted.Key] {
 		if start.Digest != submitted.Digest || checker.expired(submitted.Key, start.Time, decided) {
 			continue
 		}
@@ -298,8 +298,8 @@
 
 // hasOpenSubmission reports whether some submission made before the start had not been refused before it.
 func (checker *checker) hasOpenSubmission(start TaskStarted) bool {
-	return slices.ContainsFunc(checker.byKey[start.Key], func(submitted Submitted) bool {
-		refused, found := checker.refusedAt[submitted.Submission]
+	return slices.ContainsFunc(checker.submissionsByKey[start.Key], func(submitted Submitted) bool {
+		refused, found := checker.refusals[submitted.Submission]
 		return submitted.Digest == start.Digest && submitted.Time.Before(start.Time) && (!found || refused.Time.After(start.Time))
 	})
 }
@@ -341,9 +341,9 @@
 // checkBundles checks TimelyBundle.
 func (checker *checker) checkBundles() {
 	var accepted []BundleAccepted
-	served := map[string]BundleInForce{}
+	inForce := map[string]BundleInForce{}
 	unreachable := map[string]bool{}
-	since := map[string]time.Time{}
+	reachableSince := map[string]time.Time{}
 	for _, event := range checker.history {
 		switch event := event.(type) {
 		case BundleAccepted:
@@ -351,33 +351,33 @@
 		case InstanceUnreachable:
 			unreachable[event.Instance] = true
 		case InstanceReachable:
-			unreachable[event.Instance], since[event.Instance] = false, event.Time
+			unreachable[event.Instance], reachableSince[event.Instance] = false, event.Time
 		case BundleInForce:
-			if earlier := served[event.Instance]; earlier.Version > event.Version {
+			if earlier := inForce[event.Instance]; earlier.Version > event.Version {
 				checker.report(TimelyBundle, event.Instance, earlier, event)
 			}
-			served[event.Instance] = event
+			inForce[event.Instance] = event
 			if !unreachable[event.Instance] {
-				checker.checkBundleDelay(accepted, since[event.Instance], event)
+				checker.checkBundleDelay(accepted, reachableSince[event.Instance], event)
 			}
 		}
 	}
 }
 
 // checkBundleDelay compares a served bundle with the newest one that must be in force by then at a reachable instance.
-func (checker *checker) checkBundleDelay(accepted []BundleAccepted, since time.Time, served BundleInForce) {
+func (checker *checker) checkBundleDelay(accepted []BundleAccepted, reachableSince time.Time, inForce BundleInForce) {
 	due := slices.DeleteFunc(slices.Clone(accepted), func(bundle BundleAccepted) bool {
 		from := bundle.Time
-		if since.After(from) {
-			from = since
+		if reachableSince.After(from) {
+			from = reachableSince
 		}
-		return !served.Time.After(from.Add(checker.bounds.BundleDelay))
+		return !inForce.Time.After(from.Add(checker.bounds.BundleDelay))
 	})
 	if len(due) == 0 {
 		return
 	}
 	newest := slices.MaxFunc(due, func(a, b BundleAccepted) int { return cmp.Compare(a.Version, b.Version) })
-	if newest.Version > served.Version {
-		checker.report(TimelyBundle, served.Instance, newest, served)
+	if newest.Version > inForce.Version {
+		checker.report(TimelyBundle, inForce.Instance, newest, inForce)
 	}
 }
--- a/executor/delegation.go
+++ b/executor/delegation.go
@@ -59,16 +59,16 @@
 		return "", false
 	}
 	eligible := executor.peers.EligiblePeers()
-	sameDomain := make([]linker.Hello, 0, len(eligible))
+	candidates := make([]linker.Hello, 0, len(eligible))
 	for _, peer := range eligible {
 		if peer.Domain == executor.self.Domain && executor.peers.Reachable(peer.Incarnation) {
-			sameDomain = append(sameDomain, peer)
+			candidates = append(candidates, peer)
 		}
 	}
-	if len(sameDomain) == 0 {
-		sameDomain = eligible
+	if len(candidates) == 0 {
+		candidates = eligible
 	}
-	return pickWeighted(sameDomain, rand.Float64())
+	return pickWeighted(candidates, rand.Float64())
 }
 
 // pickWeighted picks an instance with a probability proportional to its weight; drawn is a random number in [0, 1).
@@ -185,8 +185,8 @@
 	ctx, cancel := context.WithCancel(executor.ctx)
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
-	if former, ok := executor.foreignJobs[key]; ok {
-		former()
+	if cancelFormer, ok := executor.foreignJobs[key]; ok {
+		cancelFormer()
 	}
 	executor.foreignJobs[key] = cancel
 	executor.logger.Info("delegated job accepted", "job", job.ID, "origin", from, "age-ms", request.AgeUS/1000, "remaining-ms", request.RemainingUS/1000)
--- a/executor/delegation_test.go
+++ b/executor/delegation_test.go
@@ -94,7 +94,7 @@
 	return poll, nil
 }
 
-func (target *memoryTarget) count(value func() int) int {
+func (target *memoryTarget) readLocked(value func() int) int {
 	target.mu.Lock()
 	defer target.mu.Unlock()
 	return value()
@@ -189,8 +189,8 @@
 	small, _ := newPair(t, target)
 	_, complete := (<-small.submit(t.Context(), memoryJob("j", 3))).(dispatcher.Complete)
 	is.True(complete)
-	is.Equal(target.count(func() int { return target.startsBy["large"] }), 3)
-	is.Equal(target.count(func() int { return target.startsBy["small"] }), 0)
+	is.Equal(target.readLocked(func() int { return target.startsBy["large"] }), 3)
+	is.Equal(target.readLocked(func() int { return target.startsBy["small"] }), 0)
 	is.True(!small.Has("j"))
 	is.Equal(target.closed, []string{"small"}) // targets limit the total number of connections
 }
@@ -203,14 +203,14 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	left := small.submit(ctx, memoryJob("left", 2))
 	cancelled := small.submit(t.Context(), memoryJob("cancelled", 2))
-	await(t, "both jobs run", func() bool { return target.count(func() int { return len(target.running) }) == 4 })
+	await(t, "both jobs run", func() bool { return target.readLocked(func() int { return len(target.running) }) == 4 })
 	is.True(small.Has("left"))
 	cancel()
 	is.Equal(<-left, nil)
 	is.True(small.Cancel("cancelled"))
 	_, unknown := (<-cancelled).(dispatcher.Unknown)
 	is.True(unknown)
-	await(t, "all runs are stopped", func() bool { return target.count(func() int { return target.stopped }) == 4 })
+	await(t, "all runs are stopped", func() bool { return target.readLocked(func() int { return target.stopped }) == 4 })
 	is.True(!large.Has("left") && !large.Has("cancelled"))
 	is.True(!small.Cancel("left"))
 }
@@ -222,7 +222,7 @@
 	target := newMemoryTarget(time.Minute)
 	small, large := newPair(t, target)
 	outcome := small.submit(t.Context(), memoryJob("j", 1))
-	await(t, "the job runs", func() bool { return target.count(func() int { return len(target.running) }) == 1 })
+	await(t, "the job runs", func() bool { return target.readLocked(func() int { return len(target.running) }) == 1 })
 	large.links.Close()
 	_, unknown := (<-outcome).(dispatcher.Unknown)
 	is.True(unknown)
@@ -233,9 +233,9 @@
 	target := newMemoryTarget(time.Minute)
 	small, _ := newPair(t, target)
 	small.submit(t.Context(), memoryJob("j", 2))
-	await(t, "the job runs", func() bool { return target.count(func() int { return len(target.running) }) == 2 })
+	await(t, "the job runs", func() bool { return target.readLocked(func() int { return len(target.running) }) == 2 })
 	small.links.Close()
-	await(t, "the runs are stopped", func() bool { return target.count(func() int { return target.stopped }) == 2 })
+	await(t, "the runs are stopped", func() bool { return target.readLocked(func() int { return target.stopped }) == 2 })
 }
 
 // A job that could not be sent to its delegate must be run locally.
@@ -249,7 +249,7 @@
 	small.mu.Unlock()
 	_, complete := (<-answer).(dispatcher.Complete)
 	is.True(complete)
-	is.Equal(target.count(func() int { return target.startsBy["small"] }), 2)
+	is.Equal(target.readLocked(func() int { return target.startsBy["small"] }), 2)
 }
 
 // A planned stop must wait for the jobs that the instance runs for others.
@@ -258,7 +258,7 @@
 	target := newMemoryTarget(100 * time.Millisecond)
 	small, large := newPair(t, target)
 	outcome := small.submit(t.Context(), memoryJob("j", 1))
-	await(t, "the job runs", func() bool { return target.count(func() int { return len(target.running) }) == 1 })
+	await(t, "the job runs", func() bool { return target.readLocked(func() int { return len(target.running) }) == 1 })
 	large.Leave()
 	large.Drain(t.Context())
 	_, complete := (<-outcome).(dispatcher.Complete)
--- a/executor/executor.go
+++ b/executor/executor.go
@@ -382,7 +382,7 @@
 		lastTick = now
 		if now.Sub(lastDomainCheck) >= domainCheckInterval {
 			lastDomainCheck = now
-			executor.watchDomains()
+			executor.updateSuspendedDomains()
 		}
 		if executor.scheduler.ActiveJobs() > 0 {
 			executor.scheduler.Tick(now)
@@ -412,10 +412,10 @@
 	}
 }
 
-// watchDomains suspends failure domains whose instances are all unresponsive. During a partition, starts would
+// updateSuspendedDomains suspends failure domains whose instances are all unresponsive. During a partition, starts would
 // otherwise be sent to each of their targets until that target is found unreachable on its own. The caller holds the
 // lock.
-func (executor *Executor) watchDomains() {
+func (executor *Executor) updateSuspendedDomains() {
 	for domain, unresponsive := range executor.peers.SilentDomains(domainTimeout) {
 		if domain == executor.self.Domain || executor.unresponsive[domain] == unresponsive {
 			continue
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -46,10 +46,10 @@
 
 // peer is the state of another instance.
 type peer struct {
-	hello        linker.Hello
-	lastHeard    time.Time
-	leaving      bool
-	unresponsive bool
+	hello     linker.Hello
+	lastHeard time.Time
+	leaving   bool
+	lost      bool
 	// delegating means that the instance delegates its jobs. Two delegating instances send each other nothing.
 	delegating bool
 	// busy means that a delegating instance has jobs of its own nevertheless, such as jobs accepted before it knew its
@@ -108,7 +108,7 @@
 		peers:         make(map[string]*peer),
 	}
 	gossiper.group.Go(func() { gossiper.sendOutbox(ctx) })
-	gossiper.group.Go(func() { gossiper.broadcast(ctx) })
+	gossiper.group.Go(func() { gossiper.sendBroadcasts(ctx) })
 	return gossiper
 }
 
@@ -291,8 +291,8 @@
 	return gossiper.urgent
 }
 
-// broadcast sends reports and demand, or a heartbeat if there are no changes, until ctx is done.
-func (gossiper *Gossiper) broadcast(ctx context.Context) {
+// sendBroadcasts sends reports and demand, or a heartbeat if there are no changes, until ctx is done.
+func (gossiper *Gossiper) sendBroadcasts(ctx context.Context) {
 	timer := time.NewTimer(heartbeatInterval)
 	defer timer.Stop()
 	for {
@@ -302,15 +302,15 @@
 		case <-timer.C:
 		case <-gossiper.changed:
 		}
-		pause := gossiper.sendAll()
+		pause := gossiper.sendDueBroadcasts()
 		gossiper.detectLostPeers()
 		timer.Reset(heartbeatInterval)
 		time.Sleep(pause)
 	}
 }
 
-// sendAll sends the due broadcasts and returns the time until the next ones.
-func (gossiper *Gossiper) sendAll() time.Duration {
+// sendDueBroadcasts sends the due broadcasts and returns the time until the next ones.
+func (gossiper *Gossiper) sendDueBroadcasts() time.Duration {
 	gossiper.mu.Lock()
 	links := gossiper.links
 	plan := gossiper.plan(gossiper.now())
@@ -403,8 +403,8 @@
 			// The peer sends nothing to this instance, and nothing depends on detecting its loss quickly.
 			continue
 		}
-		if !peer.unresponsive && now.Sub(peer.lastHeard) > PeerTimeout {
-			peer.unresponsive = true
+		if !peer.lost && now.Sub(peer.lastHeard) > PeerTimeout {
+			peer.lost = true
 			lost = append(lost, incarnation)
 		}
 		if now.Sub(peer.lastHeard) > forgetTimeout {
@@ -451,8 +451,8 @@
 	if len(update.Waiting) > 0 {
 		leaving, known.busy = update.Leaving, update.Busy
 	}
-	changed := !ok || known.unresponsive || leaving != known.leaving
-	known.lastHeard, known.unresponsive, known.leaving = now, false, leaving
+	changed := !ok || known.lost || leaving != known.leaving
+	known.lastHeard, known.lost, known.leaving = now, false, leaving
 	if changed {
 		gossiper.updateRoles()
 	}
@@ -481,7 +481,7 @@
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	peer, ok := gossiper.peers[incarnation]
-	return ok && !peer.unresponsive
+	return ok && !peer.lost
 }
 
 // Reachable reports whether a message can be sent to the instance now.
@@ -504,7 +504,7 @@
 	defer gossiper.mu.Unlock()
 	var eligible []linker.Hello
 	for _, peer := range gossiper.peers {
-		if !peer.unresponsive && !peer.leaving && !peer.delegating {
+		if !peer.lost && !peer.leaving && !peer.delegating {
 			eligible = append(eligible, peer.hello)
 		}
 	}
--- a/gossiper/roles.go
+++ b/gossiper/roles.go
@@ -36,7 +36,7 @@
 	gossiper.peersVersion++
 	weights := []float64{gossiper.self.EffectiveWeight()}
 	for _, peer := range gossiper.peers {
-		if !peer.unresponsive && !peer.leaving {
+		if !peer.lost && !peer.leaving {
 			weights = append(weights, peer.hello.EffectiveWeight())
 		}
 	}
--- a/keeper/node_test.go
+++ b/keeper/node_test.go
@@ -171,14 +171,14 @@
 // forward passes a request to another node and answers unknown if no answer comes in time.
 func (node *node) forward(original *request, to string) {
 	simulation := node.simulation
-	passed := *original
-	passed.submission.Forwarded = true
-	passed.reply = func(outcome dispatcher.Outcome, decided time.Time) {
+	forwarded := *original
+	forwarded.submission.Forwarded = true
+	forwarded.reply = func(outcome dispatcher.Outcome, decided time.Time) {
 		if other := simulation.nodes[to]; other != nil {
 			simulation.transmit(other, node.member.Incarnation, func(*nodeType) { original.reply(outcome, decided) })
 		}
 	}
-	simulation.transmit(node, to, func(target *nodeType) { target.accept(&passed, 0) })
+	simulation.transmit(node, to, func(target *nodeType) { target.accept(&forwarded, 0) })
 	node.schedule(forwardTimeout, func() { original.reply(dispatcher.NewUnknown("forward timed out"), time.Time{}) })
 }
 
@@ -226,14 +226,14 @@
 		node.simulation.onFaultPoint(afterRecord, node)
 		node.schedule(0, func() { node.startTasks(request) })
 	case keeper.AttemptFailed:
-		lost := node.tickets[event.Ticket]
+		failed := node.tickets[event.Ticket]
 		// The request no longer waits for the job: a later job under its key may have another body.
-		node.waiters[event.Key] = slices.DeleteFunc(node.waiters[event.Key], func(waiter *request) bool { return waiter == lost })
-		if event.Resubmit && !lost.submission.Forwarded {
-			node.schedule(time.Millisecond, func() { node.decide(lost) })
+		node.waiters[event.Key] = slices.DeleteFunc(node.waiters[event.Key], func(waiter *request) bool { return waiter == failed })
+		if event.Resubmit && !failed.submission.Forwarded {
+			node.schedule(time.Millisecond, func() { node.decide(failed) })
 			return
 		}
-		lost.reply(event.Outcome, time.Time{})
+		failed.reply(event.Outcome, time.Time{})
 	case keeper.RefusalConfirmed:
 		node.tickets[event.Ticket].reply(event.Refusal, event.Decided)
 	case keeper.RefusalUnconfirmed:
@@ -256,13 +256,13 @@
 	simulation := node.simulation
 	number, view := node.decider.View()
 	var seen []keeper.Member
-	accounted := true
+	allAdopted := true
 	for _, other := range simulation.nodes {
 		if other.dead {
 			continue
 		}
 		if otherNumber, _ := other.decider.View(); otherNumber < number {
-			accounted = false
+			allAdopted = false
 		}
 	}
 	for _, other := range simulation.slots {
@@ -273,7 +273,7 @@
 		node.decider.ClearSuspicion(other.member.Incarnation)
 		seen = append(seen, other.member)
 	}
-	if accounted {
+	if allAdopted {
 		node.decider.SetAdoptedByAll(number, simulation.now)
 	}
 	if simulation.chance(0.15) {
@@ -296,8 +296,8 @@
 	}
 	if len(seen) > 1 && !simulation.noFalseSuspicions && simulation.chance(0.1) {
 		// Leave out a live member: safety must not depend on correct suspicions.
-		lost := simulation.IntN(len(seen))
-		seen = slices.Delete(seen, lost, lost+1)
+		leftOut := simulation.IntN(len(seen))
+		seen = slices.Delete(seen, leftOut, leftOut+1)
 	}
 	var departing []keeper.Member
 	stay := slices.DeleteFunc(slices.Clone(seen), func(member keeper.Member) bool {
--- a/keeper/sync.go
+++ b/keeper/sync.go
@@ -258,8 +258,8 @@
 // any more; without the horizon, every crash of an owner whose slice has a longer history than is kept would close the
 // slice to plain keys.
 func (history *viewHistory) floor(slice int, answered map[string]*SyncedView, horizon int64) (int64, bool) {
-	after := history.current
-	for i := len(history.earlier) - 1; after.predecessor == knownPredecessor && i >= 0; i-- {
+	lowest := history.current
+	for i := len(history.earlier) - 1; lowest.predecessor == knownPredecessor && i >= 0; i-- {
 		view := history.earlier[i]
 		owner := view.owner(slice).Incarnation
 		synced, ownerAnswered := answered[owner]
@@ -267,14 +267,14 @@
 		case ownerAnswered && synced != nil && synced.View == view.number:
 			return synced.Floor, synced.Closed
 		case !ownerAnswered && !view.witnessesAnswered(owner, answered):
-			return after.number, after.number > horizon
+			return lowest.number, lowest.number > horizon
 		}
-		after = view
+		lowest = view
 	}
-	if after.predecessor == firstOfLog {
+	if lowest.predecessor == firstOfLog {
 		return 0, false
 	}
-	return after.number, after.number > horizon
+	return lowest.number, lowest.number > horizon
 }
 
 // witnessesAnswered reports whether the view had members besides the owner and all of them have answered. Together they
--- a/scheduler/admit.go
+++ b/scheduler/admit.go
@@ -129,7 +129,7 @@
 			continue
 		}
 		rate.bestSpeed = max(rate.bestSpeed, target.speedFactor())
-		if !target.isReader {
+		if !target.readBySelf {
 			used := target.Capacity.Minus(target.freeCapacity(now)).MilliCores
 			rate.perHour += used * int64(time.Hour/defaultRunTime) / defaultMilliCores
 			continue
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -77,7 +77,7 @@
 // handleNoRoom handles a rejection for lack of capacity: another instance's report of free capacity is ignored until
 // the next one, and a reader waits for the claim of the run that came first.
 func (scheduler *Scheduler) handleNoRoom(target *target, now time.Time) {
-	if target.isReader || target.reportedAt.IsZero() {
+	if target.readBySelf || target.reportedAt.IsZero() {
 		target.heldUntil = now.Add(rejectionBackoff)
 		return
 	}
@@ -162,7 +162,7 @@
 		if allocation != nil {
 			target.recordEnd(end.Run, allocation, end.Cause, now)
 		}
-		if target.isReader {
+		if target.readBySelf {
 			if allocation == nil || allocation.owner != scheduler.self {
 				scheduler.foreignEnds[targetRun{targetID, end.Run}] = recordedEnd{end, now}
 			}
@@ -178,7 +178,7 @@
 // releaseRun removes the allocation of a run and returns it, or nil if there is none.
 func (scheduler *Scheduler) releaseRun(target *target, run Run) *allocation {
 	allocation := target.releaseRun(run)
-	if allocation != nil && target.isReader {
+	if allocation != nil && target.readBySelf {
 		scheduler.changedTargets[target.ID] = true
 	}
 	return allocation
@@ -247,7 +247,7 @@
 	target.lastHeard, target.lastPolled = now, now
 	if target.unreachable {
 		target.unreachable = false
-		scheduler.changedTargets[targetID] = target.isReader
+		scheduler.changedTargets[targetID] = target.readBySelf
 	}
 	if poll.Incarnation != 0 && poll.Incarnation > target.Incarnation {
 		scheduler.handleTargetRestart(target, poll.Incarnation, now)
@@ -301,9 +301,9 @@
 
 // handleTargetRestart drops the runs and the learned state of the target's previous incarnation.
 func (scheduler *Scheduler) handleTargetRestart(target *target, incarnation int64, now time.Time) {
-	known := target.Incarnation != 0
+	hadIncarnation := target.Incarnation != 0
 	target.Incarnation = incarnation
-	if !known {
+	if !hadIncarnation {
 		return
 	}
 	target.speed = learnedSpeed{}
@@ -331,7 +331,7 @@
 
 func (scheduler *Scheduler) setUnreachable(target *target) {
 	target.unreachable = true
-	if target.isReader {
+	if target.readBySelf {
 		scheduler.changedTargets[target.ID] = true
 	}
 }
@@ -343,7 +343,7 @@
 		return recorded.End, true
 	}
 	target, ok := scheduler.targets[claim.Target]
-	if !ok || !target.isReader {
+	if !ok || !target.readBySelf {
 		return End{}, false
 	}
 	if known, ok := target.allocations[claim.Run]; ok && known.owner == owner {
@@ -373,11 +373,11 @@
 
 // recordRunResources updates the typical resources of a run.
 func (scheduler *Scheduler) recordRunResources(resources Resources) {
-	const weight = 16
+	const smoothingDivisor = 16
 	if scheduler.typicalMilliCores == 0 {
 		scheduler.typicalMilliCores = resources.MilliCores
 	}
-	scheduler.typicalMilliCores += (resources.MilliCores - scheduler.typicalMilliCores) / weight
+	scheduler.typicalMilliCores += (resources.MilliCores - scheduler.typicalMilliCores) / smoothingDivisor
 }
 
 // HandlePeerStop stops a run for an instance that cannot reach the target itself.
@@ -391,7 +391,7 @@
 // target.
 func (scheduler *Scheduler) HandlePeerReport(report CapacityReport, now time.Time) {
 	target, ok := scheduler.targets[report.Target]
-	if !ok || target.isReader {
+	if !ok || target.readBySelf {
 		return
 	}
 	target.reportedFree, target.reportedAt, target.unreachableByReader = report.FreeCapacity, now, report.Unreachable
@@ -420,10 +420,10 @@
 // SetReader sets whether this instance is the reader of a target.
 func (scheduler *Scheduler) SetReader(targetID string, reads bool, now time.Time) {
 	target, ok := scheduler.targets[targetID]
-	if !ok || target.isReader == reads {
+	if !ok || target.readBySelf == reads {
 		return
 	}
-	target.isReader, target.unreachableByReader = reads, false
+	target.readBySelf, target.unreachableByReader = reads, false
 	if reads {
 		// The first poll shows what is running there.
 		target.heldUntil = now.Add(rejectionBackoff)
@@ -442,7 +442,7 @@
 	var claims []Claim
 	for _, name := range slices.Sorted(maps.Keys(scheduler.tasks)) {
 		task := scheduler.tasks[name]
-		if task.mayBeRunning() && task.state != uncertain && !task.runTarget.isReader {
+		if task.mayBeRunning() && task.state != uncertain && !task.runTarget.readBySelf {
 			claims = append(claims, Claim{Target: task.runTarget.ID, Run: task.run(), Resources: task.spec().Resources, Estimate: task.spec().Estimate})
 		}
 	}
@@ -467,7 +467,7 @@
 			continue
 		}
 		delete(scheduler.changedTargets, id)
-		if ok && target.isReader {
+		if ok && target.readBySelf {
 			if report := target.report(now); report != target.lastReport {
 				target.lastReport, target.lastReportAt = report, now
 				reports = append(reports, report)
@@ -480,7 +480,7 @@
 // RenewalReport returns a report for a target whose lease was just renewed, if the last report is old.
 func (scheduler *Scheduler) RenewalReport(targetID string, now time.Time) (CapacityReport, bool) {
 	target, ok := scheduler.targets[targetID]
-	if !ok || !target.isReader || scheduler.offered[targetID] || now.Sub(target.lastReportAt) < reportInterval {
+	if !ok || !target.readBySelf || scheduler.offered[targetID] || now.Sub(target.lastReportAt) < reportInterval {
 		return CapacityReport{}, false
 	}
 	target.lastReport, target.lastReportAt = target.report(now), now
--- a/scheduler/lease_test.go
+++ b/scheduler/lease_test.go
@@ -27,17 +27,17 @@
 			scheduler.HandleStartResult(start.Target, start.Run, StartUnanswered, at(110))
 			is.Equal(len(drain(scheduler).stops), 1)
 			scheduler.HandleStopResult(start.Target, start.Run, test.stopped, at(120))
-			again := -1
-			for now := 120; now < 3000 && again < 0; now++ {
+			restartedAt := -1
+			for now := 120; now < 3000 && restartedAt < 0; now++ {
 				scheduler.Tick(at(now))
 				for _, second := range drain(scheduler).starts {
-					again = now
+					restartedAt = now
 					is.True(second.Run.Attempt > start.Run.Attempt)
 					is.True(second.Target != start.Target)
 				}
 			}
-			is.True(again >= test.earliest)
-			is.True(again < test.earliest+50)
+			is.True(restartedAt >= test.earliest)
+			is.True(restartedAt < test.earliest+50)
 		})
 	}
 }
@@ -136,16 +136,16 @@
 	start := startOne(scheduler, testJob("j", 1, 900, 0))
 	scheduler.NoteRenewal(start.Target, at(400))
 	scheduler.MarkUnreachable(start.Target)
-	end := 400 + int((LeaseDuration+leaseMargin)/time.Millisecond)
-	again := 0
-	for now := 400; now < 2500 && again == 0; now += 5 {
+	leaseEnd := 400 + int((LeaseDuration+leaseMargin)/time.Millisecond)
+	restartedAt := 0
+	for now := 400; now < 2500 && restartedAt == 0; now += 5 {
 		scheduler.Tick(at(now))
 		if len(drain(scheduler).starts) > 0 {
-			again = now
+			restartedAt = now
 		}
 	}
-	is.True(again >= end)
-	is.True(again <= end+5)
+	is.True(restartedAt >= leaseEnd)
+	is.True(restartedAt <= leaseEnd+5)
 }
 
 // After a pause, an instance has missed lease renewals and must not consider its runs lost right away.
@@ -204,13 +204,13 @@
 	acceptStarts(scheduler, starts, at(2))
 	active := ActiveRun{Run: starts[0].Run, MilliCores: 14000}
 	scheduler.HandlePoll(starts[0].Target, PollResult{Incarnation: 1, Running: []ActiveRun{active}, Sent: at(649), Answered: at(650)})
-	end := 650 + int((LeaseDuration+leaseMargin)/time.Millisecond)
-	for now := 660; now < end; now += 10 {
+	leaseEnd := 650 + int((LeaseDuration+leaseMargin)/time.Millisecond)
+	for now := 660; now < leaseEnd; now += 10 {
 		scheduler.Tick(at(now))
 	}
 	is.Equal(len(drain(scheduler).starts), 0)
-	scheduler.Tick(at(end))
-	scheduler.Tick(at(end + 10))
+	scheduler.Tick(at(leaseEnd))
+	scheduler.Tick(at(leaseEnd + 10))
 	is.Equal(len(drain(scheduler).starts), 1)
 }
 
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -70,7 +70,7 @@
 }
 
 func (scheduler *Scheduler) candidatesFor(least Resources, now time.Time) []candidate {
-	candidateBuffer := scheduler.candidateBuffer[:0]
+	candidates := scheduler.candidateBuffer[:0]
 	scheduler.rotation++
 	for index := range scheduler.ordered {
 		target := scheduler.ordered[(index+scheduler.rotation)%len(scheduler.ordered)]
@@ -78,11 +78,11 @@
 			continue
 		}
 		if free := target.freeCapacity(now); least.Fits(free) {
-			candidateBuffer = append(candidateBuffer, candidate{target, free})
+			candidates = append(candidates, candidate{target, free})
 		}
 	}
-	scheduler.candidateBuffer = candidateBuffer
-	return candidateBuffer
+	scheduler.candidateBuffer = candidates
+	return candidates
 }
 
 // chooseTarget returns the candidate with the lowest cost for the task, or nil if none is suitable.
@@ -114,7 +114,7 @@
 		if candidate.Domain != scheduler.domain {
 			cost += crossDomainCost
 		}
-		if !candidate.isReader {
+		if !candidate.readBySelf {
 			cost += nonReaderCost + time.Duration(candidate.nonReaderBias*float64(cost))
 		}
 		if best == nil || cost < bestCost {
@@ -163,7 +163,7 @@
 	runTarget.allocate(task.run(), &allocation{owner: scheduler.self, resources: step.Resources, estimate: step.Estimate, claimedAt: now})
 	runTarget.extendLease(now)
 	scheduler.recordRunResources(step.Resources)
-	if runTarget.isReader {
+	if runTarget.readBySelf {
 		scheduler.changedTargets[runTarget.ID] = true
 	}
 	scheduler.emit(StartTask{
@@ -191,7 +191,7 @@
 func (scheduler *Scheduler) offerCapacity(target *target, now time.Time) {
 	delete(scheduler.offered, target.ID)
 	target.heldUntil = time.Time{}
-	if !target.isReader || target.unreachable || target.Draining || target.freeCapacity(now).MilliCores < scheduler.typicalMilliCores/2 {
+	if !target.readBySelf || target.unreachable || target.Draining || target.freeCapacity(now).MilliCores < scheduler.typicalMilliCores/2 {
 		return
 	}
 	own := scheduler.Demand()
--- a/scheduler/target.go
+++ b/scheduler/target.go
@@ -114,9 +114,9 @@
 	// nonReaderBias is the share of the run time that this instance adds to the cost of the target while another one
 	// reads it.
 	nonReaderBias float64
-	// isReader means that this instance is the reader of the target; it receives all claims and so knows the free
+	// readBySelf means that this instance is the reader of the target; it receives all claims and so knows the free
 	// capacity.
-	isReader bool
+	readBySelf bool
 	// reportedFree is the free capacity that the target's reader reported at reportedAt.
 	reportedFree Resources
 	reportedAt   time.Time
@@ -137,7 +137,7 @@
 // freeCapacity returns the capacity that is believed to be free. The reader knows all claims; other instances combine
 // the reader's report with their own claims.
 func (target *target) freeCapacity(now time.Time) Resources {
-	if target.isReader || target.reportedAt.IsZero() || now.Sub(target.reportedAt) > reportTTL {
+	if target.readBySelf || target.reportedAt.IsZero() || now.Sub(target.reportedAt) > reportTTL {
 		return target.Capacity.Minus(target.used)
 	}
 	freeCapacity := target.reportedFree
@@ -166,7 +166,7 @@
 // freeCapacityAge returns the age of the report that the free capacity is based on, or 0 if this instance knows the
 // capacity itself.
 func (target *target) freeCapacityAge(now time.Time) time.Duration {
-	if target.isReader || target.reportedAt.IsZero() {
+	if target.readBySelf || target.reportedAt.IsZero() {
 		return 0
 	}
 	return now.Sub(target.reportedAt)
--- a/watcher/propose.go
+++ b/watcher/propose.go
@@ -154,7 +154,7 @@
 // If those of them that the instance list still has are more than half of the view, only the others are left out.
 func (watcher *Watcher) exclusions(now time.Time) []Member {
 	var excluded []Member
-	present := 0
+	stillListed := 0
 	for _, member := range watcher.view.Members {
 		peer := watcher.peers[member.Incarnation]
 		if peer == nil || !peer.suspected(now) || !watcher.majoritySuspects(peer, now) {
@@ -162,10 +162,10 @@
 		}
 		excluded = append(excluded, member)
 		if peer.listed || !watcher.listReceived {
-			present++
+			stillListed++
 		}
 	}
-	if 2*present > len(watcher.view.Members) {
+	if 2*stillListed > len(watcher.view.Members) {
 		excluded = slices.DeleteFunc(excluded, func(member Member) bool { return watcher.peers[member.Incarnation].listed || !watcher.listReceived })
 	}
 	return excluded
@@ -177,8 +177,8 @@
 func (watcher *Watcher) majoritySuspects(suspect *peer, now time.Time) bool {
 	votes, voters := watcher.votes(suspect.member.Incarnation, now)
 	if voters == 0 {
-		alone := isolatedTimeoutFactor * SuspicionTimeout
-		return suspect.silence(now) >= alone || !suspect.syncOverdueSince.IsZero() && now.Sub(suspect.syncOverdueSince) >= alone
+		isolatedTimeout := isolatedTimeoutFactor * SuspicionTimeout
+		return suspect.silence(now) >= isolatedTimeout || !suspect.syncOverdueSince.IsZero() && now.Sub(suspect.syncOverdueSince) >= isolatedTimeout
 	}
 	return 2*votes > voters
 }
--- a/watcher/watcher.go
+++ b/watcher/watcher.go
@@ -81,7 +81,7 @@
 			watcher.leaving = watcher.leaving || listed.Leaving
 			continue
 		}
-		if peer := watcher.peer(listed.Member, now); peer != nil {
+		if peer := watcher.findOrAddPeer(listed.Member, now); peer != nil {
 			peer.listed = true
 			peer.leaving = peer.leaving || listed.Leaving
 		}
@@ -105,7 +105,7 @@
 		}
 	}
 	for _, member := range view.Members {
-		watcher.peer(member, now)
+		watcher.findOrAddPeer(member, now)
 	}
 	self := watcher.self.Incarnation
 	watcher.excluded = watcher.excluded || contains(watcher.view.Members, self) && !contains(view.Members, self)
@@ -120,7 +120,7 @@
 	if heartbeat.From.Incarnation == watcher.self.Incarnation {
 		return
 	}
-	peer := watcher.peer(heartbeat.From, now)
+	peer := watcher.findOrAddPeer(heartbeat.From, now)
 	if peer == nil {
 		return
 	}
@@ -195,9 +195,9 @@
 	return suspects
 }
 
-// peer returns the entry of a member, which it adds unless there are maxPeers entries. It returns nil for this instance
+// findOrAddPeer returns the entry of a member, which it adds unless there are maxPeers entries. It returns nil for this instance
 // and for a new member that is not added.
-func (watcher *Watcher) peer(member Member, now time.Time) *peer {
+func (watcher *Watcher) findOrAddPeer(member Member, now time.Time) *peer {
 	if member.Incarnation == watcher.self.Incarnation {
 		return nil
 	}
@@ -212,11 +212,11 @@
 // removeStalePeers drops the incarnations that are neither members, nor listed, nor recently heard.
 func (watcher *Watcher) removeStalePeers(now time.Time) {
 	maps.DeleteFunc(watcher.peers, func(incarnation Incarnation, peer *peer) bool {
-		memory := SuspicionTimeout
+		retention := SuspicionTimeout
 		if peer.excluded {
-			memory = excludedRetention
+			retention = excludedRetention
 		}
-		return !peer.listed && peer.silence(now) >= memory && !contains(watcher.view.Members, incarnation)
+		return !peer.listed && peer.silence(now) >= retention && !contains(watcher.view.Members, incarnation)
 	})
 }
 
--- a/watcher/watcher_test.go
+++ b/watcher/watcher_test.go
@@ -131,15 +131,15 @@
 				return len(simulation.views) - views, simulation.appends - appends, simulation.wronglyExcluded, simulation.members()
 			}
 			views, appends, wronglyExcluded, members := count(func(self Member, now time.Time) viewProposer { return New(self, now) })
-			naiveViews, naiveAppends, naiveWrongful, _ := count(newNaive)
-			t.Logf("views %d (naive %d), appends %d (naive %d), live members left out %d (naive %d)", views, naiveViews, appends, naiveAppends, wronglyExcluded, naiveWrongful)
+			naiveViews, naiveAppends, naiveWronglyExcluded, _ := count(newNaive)
+			t.Logf("views %d (naive %d), appends %d (naive %d), live members left out %d (naive %d)", views, naiveViews, appends, naiveAppends, wronglyExcluded, naiveWronglyExcluded)
 			if views != test.views || wronglyExcluded != test.wronglyExcluded || members != test.members {
 				t.Errorf("got %d views, %d live members left out and members %s; want %d, %d and %s", views, wronglyExcluded, members, test.views, test.wronglyExcluded, test.members)
 			}
 			if appends != max(views, test.appends) {
 				t.Errorf("got %d appends for %d views, want %d", appends, views, max(views, test.appends))
 			}
-			if passes := naiveViews <= views && naiveWrongful <= wronglyExcluded; passes != test.naivePasses {
+			if passes := naiveViews <= views && naiveWronglyExcluded <= wronglyExcluded; passes != test.naivePasses {
 				t.Errorf("the naive version passes: got %t, want %t", passes, test.naivePasses)
 			}
 		})
