--- a/watcher/simulation_test.go
+++ b/watcher/simulation_test.go
@@ -180,11 +180,11 @@
 // append applies the rule of the log: the first record that names the current view as its previous one is the next view.
 func (simulation *simulation) append(proposal Proposal) {
 	simulation.appends++
-	present := int64(NoView)
+	currentNumber := int64(NoView)
 	if len(simulation.views) > 0 {
-		present = simulation.views[len(simulation.views)-1].view.Number
+		currentNumber = simulation.views[len(simulation.views)-1].view.Number
 	}
-	if proposal.Previous != present {
+	if proposal.Previous != currentNumber {
 		return
 	}
 	view := View{Number: int64(simulation.appends), Members: append(slices.Clone(proposal.Keep), proposal.Add...)}
