--- a/checker/checker.go
+++ b/checker/checker.go
@@ -316,8 +316,8 @@
 		case TargetReturned:
 			delete(leaving, event.Target)
 		case TaskStarted:
-			if sign, found := leaving[event.Target]; found && event.Time.After(sign.Time.Add(checker.bounds.Drain)) {
-				checker.report(LeavingDrained, event.Target, sign, event)
+			if firstSign, found := leaving[event.Target]; found && event.Time.After(firstSign.Time.Add(checker.bounds.Drain)) {
+				checker.report(LeavingDrained, event.Target, firstSign, event)
 			}
 		}
 	}
--- a/executor/soak_test.go
+++ b/executor/soak_test.go
@@ -352,8 +352,8 @@
 			callers.Wait()
 			soak.mu.Lock()
 			defer soak.mu.Unlock()
-			for _, broken := range soak.violations {
-				t.Errorf("seed %d: %s", seed, broken)
+			for _, violation := range soak.violations {
+				t.Errorf("seed %d: %s", seed, violation)
 			}
 			t.Logf("complete %d, refused %d, unknown %d, cancelled %d", soak.complete.Load(), soak.refused.Load(), soak.unknown.Load(), soak.cancelled.Load())
 			if soak.complete.Load() == 0 {
--- a/keeper/naive_test.go
+++ b/keeper/naive_test.go
@@ -13,18 +13,18 @@
 type naive struct {
 	// Keeper provides the other methods of decider; without a view they have no effect.
 	*keeper.Keeper
-	seen   map[string]bool
-	issued int
-	held   map[string]dispatcher.Outcome
+	seen     map[string]bool
+	issued   int
+	outcomes map[string]dispatcher.Outcome
 }
 
 func newNaive(simulation *simulation) *naive {
 	idle := keeper.New(keeper.Member{}, domain, simulation.limits, simulation.now)
-	return &naive{Keeper: idle, seen: map[string]bool{}, held: map[string]dispatcher.Outcome{}}
+	return &naive{Keeper: idle, seen: map[string]bool{}, outcomes: map[string]dispatcher.Outcome{}}
 }
 
 func (naive *naive) Submit(submission keeper.Submission, _ time.Time) (keeper.Decision, []keeper.Outgoing) {
-	if outcome, found := naive.held[submission.Key]; found {
+	if outcome, found := naive.outcomes[submission.Key]; found {
 		return keeper.Answer{Outcome: outcome}, nil
 	}
 	if naive.seen[submission.Key] {
@@ -46,12 +46,12 @@
 		return keeper.AlreadyStarted{}, nil
 	}
 	refused := dispatcher.NewRefused(dispatcher.ReasonCancelled, "cancelled", "", time.Time{})
-	naive.seen[key], naive.held[key] = true, refused
+	naive.seen[key], naive.outcomes[key] = true, refused
 	return keeper.Answer{Outcome: refused}, nil
 }
 
 func (naive *naive) Finish(key string, outcome dispatcher.Outcome, _ time.Time) ([]keeper.Event, []keeper.Outgoing) {
-	naive.held[key] = outcome
+	naive.outcomes[key] = outcome
 	return []keeper.Event{keeper.OutcomeKnown{Key: key, Outcome: outcome}}, nil
 }
 
--- a/keeper/simulation_test.go
+++ b/keeper/simulation_test.go
@@ -132,17 +132,17 @@
 func (simulation *simulation) startNode(slot int) *node {
 	simulation.incarnations++
 	member := keeper.Member{Name: fmt.Sprint("n", slot), Incarnation: fmt.Sprintf("n%d-%d", slot, simulation.incarnations)}
-	born := newNode(simulation, slot, member)
-	simulation.slots[slot], simulation.nodes[member.Incarnation] = born, born
-	born.openLog()
-	simulation.repeat(born, 300*time.Millisecond, func() {
-		born.readLog()
+	created := newNode(simulation, slot, member)
+	simulation.slots[slot], simulation.nodes[member.Incarnation] = created, created
+	created.openLog()
+	simulation.repeat(created, 300*time.Millisecond, func() {
+		created.readLog()
 		if !simulation.naive {
-			born.checkMembers()
+			created.checkMembers()
 		}
 	})
-	simulation.repeat(born, 100*time.Millisecond, born.tick)
-	return born
+	simulation.repeat(created, 100*time.Millisecond, created.tick)
+	return created
 }
 
 func (simulation *simulation) repeat(node *node, period time.Duration, act func()) {
