--- a/checker/checker.go
+++ b/checker/checker.go
@@ -20,7 +20,7 @@
 	WholeAnswer Guarantee = "whole-answer"
 	// OwnAnswer means that each submission gets one answer, and that of its own job.
 	OwnAnswer Guarantee = "own-answer"
-	// TrueRefusal means that what an answer says not to run has not run and does not run.
+	// TrueRefusal means that a job or task that an answer reports as not run has not run and will not run.
 	TrueRefusal Guarantee = "true-refusal"
 	// AtMostOnce means that a task of an unrepeatable job never starts twice.
 	AtMostOnce Guarantee = "at-most-once"
@@ -44,7 +44,7 @@
 	Retention time.Duration
 	// Drain is how long a target may still receive new work after the first sign that it leaves.
 	Drain time.Duration
-	// BundleDelay is how long after its acceptance a bundle need not yet be in force at a reachable instance.
+	// BundleDelay is the longest time from the acceptance of a bundle until it is in force at every reachable instance.
 	BundleDelay time.Duration
 }
 
@@ -263,8 +263,8 @@
 	}
 }
 
-// checkCancellation checks one cancellation: it contradicts every start of the job before or after it for which the key is
-// still protected.
+// checkCancellation checks one cancellation. A start of the job, before or after the cancellation, contradicts it if the
+// protection of the key had not ended between the two.
 func (checker *checker) checkCancellation(event Cancelled) {
 	decided := decidedAt(event.Decided, event.Time)
 	for _, start := range checker.starts[event.Key] {
@@ -364,7 +364,8 @@
 	}
 }
 
-// checkBundleDelay compares a served bundle with the newest one that must be in force by then at a reachable instance.
+// checkBundleDelay compares the bundle in force at an instance, which has been reachable since reachableSince, with the
+// newest one that must be in force there by then.
 func (checker *checker) checkBundleDelay(accepted []BundleAccepted, reachableSince time.Time, inForce BundleInForce) {
 	due := slices.DeleteFunc(slices.Clone(accepted), func(bundle BundleAccepted) bool {
 		from := bundle.Time
--- a/executor/delegation.go
+++ b/executor/delegation.go
@@ -16,9 +16,9 @@
 	// delegationMargin is how long to wait beyond a job's deadline for the answer of its delegate, which answers by the
 	// deadline.
 	delegationMargin = 5 * time.Millisecond
-	// abandonRepeatPeriod is how long the request to abandon a job is repeated to its delegate, in case a link broke in
-	// between. After this time the delegate has detected the broken link by itself. A caller sends its job again 1,300
-	// ms after a lost answer.
+	// abandonRepeatPeriod is how long the request to abandon a job is repeated, in case the link to the delegate breaks
+	// and the request is lost. After this time the delegate has detected the broken link itself and stops the job. The
+	// runs must have ended before a caller sends its job again, 1,300 ms after a lost answer.
 	abandonRepeatPeriod = 500 * time.Millisecond
 	// maxDelegatedTasks limits the tasks of a delegated job, since the job is sent as one message.
 	maxDelegatedTasks = 1000
@@ -221,8 +221,8 @@
 	}
 }
 
-// LinkEnded abandons the jobs that this instance runs for an instance to which a link was lost. The origin answers its
-// callers that the outcome is unknown, and they send the jobs again after 1,300 ms.
+// LinkEnded abandons the jobs that this instance runs for another one when a link between the two ends. The origin
+// answers its callers that the outcome is unknown, and they send the jobs again after 1,300 ms.
 func (executor *Executor) LinkEnded(from string) {
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
--- a/executor/delegation_test.go
+++ b/executor/delegation_test.go
@@ -94,6 +94,7 @@
 	return poll, nil
 }
 
+// readLocked returns the result of value, which is called with the lock held.
 func (target *memoryTarget) readLocked(value func() int) int {
 	target.mu.Lock()
 	defer target.mu.Unlock()
--- a/executor/executor.go
+++ b/executor/executor.go
@@ -19,7 +19,8 @@
 	// startupGrace is how long after its start an instance polls only the targets that it uses itself, since it does
 	// not know yet which targets the other instances read. The links between instances are up within half of this time.
 	startupGrace = time.Second
-	// tickInterval is how often time-based events are handled: a quarter of the shortest maximum wait of a job, 39 ms.
+	// tickInterval is how often time-based events are handled: a quarter of 39 ms, the shortest time after which
+	// a job that has not started is refused.
 	tickInterval = 10 * time.Millisecond
 	// idleTickInterval replaces tickInterval while an instance delegates its jobs and has none of its own. It must stay
 	// below pauseThreshold.
@@ -82,8 +83,10 @@
 
 	mu        sync.Mutex
 	scheduler *scheduler.Scheduler
-	waiters   map[string][]chan dispatcher.Outcome
-	pollers   map[string]*poller
+	// waiters holds, by job ID, a channel for each caller that waits for the outcome.
+	waiters map[string][]chan dispatcher.Outcome
+	// pollers holds the poller of each known target by ID.
+	pollers map[string]*poller
 	// unresponsive holds the failure domains whose instances are all unresponsive.
 	unresponsive map[string]bool
 	// assignedVersion is the peers version for which the readers were last assigned.
@@ -262,7 +265,8 @@
 	}
 }
 
-// Drain waits until no job is active or ctx is done.
+// Drain waits until this instance runs no job, or ctx is done. It does not wait for jobs that were delegated to other
+// instances.
 func (executor *Executor) Drain(ctx context.Context) {
 	for {
 		executor.mu.Lock()
@@ -412,9 +416,9 @@
 	}
 }
 
-// updateSuspendedDomains suspends failure domains whose instances are all unresponsive. During a partition, starts would
-// otherwise be sent to each of their targets until that target is found unreachable on its own. The caller holds the
-// lock.
+// updateSuspendedDomains suspends failure domains whose instances are all unresponsive, and resumes those that respond
+// again. During a partition, starts would otherwise be sent to each target there until that target itself is found
+// unreachable. The caller holds the lock.
 func (executor *Executor) updateSuspendedDomains() {
 	for domain, unresponsive := range executor.peers.SilentDomains(domainTimeout) {
 		if domain == executor.self.Domain || executor.unresponsive[domain] == unresponsive {
--- a/executor/poller.go
+++ b/executor/poller.go
@@ -31,7 +31,7 @@
 	readerTimeout = 650 * time.Millisecond
 	// probeInterval is how often an unreachable target is polled.
 	probeInterval = 400 * time.Millisecond
-	// withholdPeriod is how long the acknowledgment of an end is withheld if the run's owner is unknown or unreachable.
+	// withholdPeriod is how long the acknowledgement of an end is withheld if the run's owner is unknown or unreachable.
 	// Within it, owners repeat their claims, or poll the target themselves after readerTimeout. After a loss of all
 	// instances, each one reads all targets until it knows the others. When such ends were acknowledged at once, their
 	// owners started the tasks again.
@@ -210,7 +210,7 @@
 }
 
 // forwardEnd reports an end to the scheduler and to the owner of the run. If the owner is unknown or unreachable, the
-// acknowledgment is withheld for withholdPeriod, so that an owner that polls the target itself still finds the end. The
+// acknowledgement is withheld for withholdPeriod, so that an owner that polls the target itself still finds the end. The
 // caller holds the lock.
 func (executor *Executor) forwardEnd(poller *poller, end scheduler.End, now time.Time) {
 	owner := executor.scheduler.Owner(poller.id, end.Run)
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -12,9 +12,9 @@
 const (
 	// flushDelay is how long a claim waits for further ones to share its frame.
 	flushDelay = 2 * time.Millisecond
-	// broadcastIntervalPerPeer is the time between two broadcasts for each other instance of the same failure domain,
-	// and for every remoteIntervalFactor instances of other domains. Thus each instance receives one frame in this time
-	// in total, however many instances there are.
+	// broadcastIntervalPerPeer is multiplied by the number of peers to get the time between two broadcasts; a peer in
+	// another failure domain counts as 1/remoteIntervalFactor. An instance thus receives about one frame in this time
+	// from all peers together, however many there are.
 	broadcastIntervalPerPeer = 2400 * time.Microsecond
 	// remoteIntervalFactor is how many times less often instances of other failure domains receive reports; they use
 	// these targets only when their own are full or much slower.
@@ -237,7 +237,7 @@
 func (gossiper *Gossiper) SetDemand(demand scheduler.Demand, busy bool) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	// Peers consider busy only for a delegating instance.
+	// Peers use busy only if this instance delegates its jobs.
 	changed := demand != gossiper.demand || busy != gossiper.busy && gossiper.delegating
 	gossiper.demand, gossiper.busy = demand, busy
 	if changed {
@@ -309,7 +309,7 @@
 	}
 }
 
-// sendDueBroadcasts sends the due broadcasts and returns the time until the next ones.
+// sendDueBroadcasts sends the broadcasts that are due and returns the minimum time until the next ones.
 func (gossiper *Gossiper) sendDueBroadcasts() time.Duration {
 	gossiper.mu.Lock()
 	links := gossiper.links
@@ -329,7 +329,7 @@
 	update linker.StateUpdate
 }
 
-// broadcastPlan holds the broadcasts that are due and the time until the next ones.
+// broadcastPlan holds the broadcasts that are due and the minimum time until the next ones.
 type broadcastPlan struct {
 	broadcasts []broadcast
 	pause      time.Duration
@@ -436,8 +436,8 @@
 	}
 }
 
-// recordContact records a sign of life of an instance. Only broadcasts carry the state of the sender; they are
-// recognized by their waiting tasks.
+// recordContact records that a message from an instance has arrived. Only broadcasts carry the state of the sender; they
+// are recognized by their Waiting field, which is never empty.
 func (gossiper *Gossiper) recordContact(from linker.Hello, update linker.StateUpdate) {
 	now := gossiper.now()
 	gossiper.mu.Lock()
--- a/keeper/decision.go
+++ b/keeper/decision.go
@@ -20,7 +20,7 @@
 	Forwarded bool
 }
 
-// Decision is the answer to Submit, Refuse, Cancel and Find.
+// Decision is the result of Submit, Refuse, Cancel and Find.
 type Decision interface{ isDecision() }
 
 // StartNow means that the caller must start the job now and then call Finish.
@@ -42,7 +42,7 @@
 type Answer struct{ Outcome dispatcher.Outcome }
 
 // AnswerLost means that the job started but its answer is not available: its instance cannot be asked, or the answer
-// was dropped. The job is answered as failed, and each task has this fate, Finished or OutcomeUnknown.
+// was dropped. The job is answered as failed, and each task has this fate, FateFinished or FateUnknown.
 type AnswerLost struct{ Fate dispatcher.Fate }
 
 // RetryLater means that the slice is being handed over, or that this instance has to read the log first. Nothing is
@@ -60,10 +60,10 @@
 // ForwardDomain means that an instance of another failure domain decides the job.
 type ForwardDomain struct{ Domain string }
 
-// Running is the answer to Find for a job that waits for its witness or runs here.
+// Running is the result of Find for a job that waits for its witness or runs here.
 type Running struct{}
 
-// Absent is the answer to Find for a job without a record, which the owner would start if it were submitted.
+// Absent is the result of Find for a job without a record, which the owner would start if it were submitted.
 type Absent struct{}
 
 // AlreadyStarted means that the job has started and cannot be cancelled or refused any more.
--- a/keeper/directed_test.go
+++ b/keeper/directed_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// stopAllInTurn stops all instances by plan, the given time apart.
+// stopAllInTurn begins a planned stop of each instance in turn, the given time apart.
 func stopAllInTurn(simulation *simulation, apart time.Duration) {
 	for _, node := range simulation.slots {
 		node.leaving = simulation.now.Add(8 * time.Second)
--- a/keeper/expire.go
+++ b/keeper/expire.go
@@ -75,7 +75,8 @@
 	return effects.events, effects.outgoing
 }
 
-// handleDeadlines returns the number of the view and the incarnations to send a sync request again.
+// handleDeadlines acts on the deadlines of the shard up to now. It returns the number of the view and the incarnations
+// to which a sync request must be sent again.
 func (shard *shard) handleDeadlines(now time.Time, effects *effects) (int64, []string) {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -51,7 +51,7 @@
 	handedOver     atomic.Uint64
 	prefixesIssued atomic.Uint64
 
-	// viewMutex serialises Adopt; it guards viewChain, adoptedAt and nextAnnouncement.
+	// viewMutex serializes Adopt; it guards viewChain, adoptedAt and nextAnnouncement.
 	viewMutex        sync.Mutex
 	viewChain        viewChain
 	adoptedAt        time.Time
@@ -66,7 +66,7 @@
 	fullyAdoptedMutex sync.Mutex
 	fullyAdopted      []fullyAdoptedView
 
-	// suspectMutex serialises Suspect and ClearSuspicion.
+	// suspectMutex serializes Suspect and ClearSuspicion.
 	suspectMutex sync.Mutex
 }
 
@@ -193,7 +193,8 @@
 	return candidates
 }
 
-// Suspect makes the keeper prefer other members to this one until ClearSuspicion.
+// Suspect makes the keeper prefer other members to the given one until ClearSuspicion. Meanwhile the keeper forwards no
+// requests to it as the holder of a record, and ends a sync without its answer if it is departing.
 func (keeper *Keeper) Suspect(incarnation string) { keeper.setSuspect(incarnation, true) }
 
 // ClearSuspicion ends the effect of Suspect.
--- a/keeper/message.go
+++ b/keeper/message.go
@@ -35,7 +35,7 @@
 	View   int64             `cbor:"view"`
 	State  State             `cbor:"state"`
 	// Sequence numbers the records that one owner sends, so that an acknowledgement or withdrawal of an earlier one is
-	// recognised.
+	// recognized.
 	Sequence uint64 `cbor:"sequence"`
 }
 
--- a/keeper/protocol_test.go
+++ b/keeper/protocol_test.go
@@ -257,7 +257,7 @@
 		name string
 		wait time.Duration
 		open bool
-	}{{"accounted long ago", 21 * time.Minute, true}, {"accounted lately", 15 * time.Minute, false}} {
+	}{{"adopted by all long enough ago", 21 * time.Minute, true}, {"adopted by all too recently", 15 * time.Minute, false}} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			cluster, _, _ := newTrio()
--- a/keeper/sync.go
+++ b/keeper/sync.go
@@ -10,10 +10,11 @@
 	// recordsPerPart keeps a part with the longest keys under the 1 MiB limit of a frame: such a record takes about
 	// 400 bytes.
 	recordsPerPart = 2048
-	// departingTimeouts is how many sync timeouts a departing member gets to answer; then the sync ends without it,
-	// as for an excluded member.
+	// departingTimeouts is the time that a departing member has to answer, in sync timeouts; then the sync ends without
+	// it, as for an excluded member.
 	departingTimeouts = 4
-	// announceTimeouts is for how many sync timeouts after a view change owners repeat Synced to departing members.
+	// announceTimeouts is the time after a view change, in sync timeouts, during which owners repeat Synced to departing
+	// members.
 	announceTimeouts = 10
 )
 
@@ -34,7 +35,8 @@
 	remaining int
 }
 
-// startSync returns the incarnations to send a sync request to. If there are no other members, the sync ends at once.
+// startSync begins to collect the records of the slice and returns the incarnations to send a sync request to. If there
+// are no other members, the sync ends at once.
 func (shard *shard) startSync(now time.Time, effects *effects) []string {
 	timeout := shard.keeper.limits.SyncTimeout
 	shard.syncState = &syncState{
@@ -237,7 +239,8 @@
 	}
 }
 
-// handleSyncDeadlines returns the incarnations to send a sync request again.
+// handleSyncDeadlines ends the sync if only departing members are missing and their time has run out. Otherwise it
+// returns the incarnations to which a sync request must be sent again, if any.
 func (shard *shard) handleSyncDeadlines(now time.Time, effects *effects) []string {
 	if now.Before(shard.syncState.resendAt) {
 		return nil
--- a/scheduler/admit.go
+++ b/scheduler/admit.go
@@ -118,7 +118,8 @@
 	return count
 }
 
-// releaseRateOf returns the expected rate of run ends on the healthy targets of a service, and the best learned speed.
+// releaseRateOf returns the expected rate of run ends on the healthy targets of a service, their best learned speed and
+// their free slots. The result is cached for releaseRateTTL.
 func (scheduler *Scheduler) releaseRateOf(service string, now time.Time) releaseRate {
 	if rate, ok := scheduler.releaseRates[service]; ok && now.Before(rate.validUntil) {
 		return rate
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -49,7 +49,7 @@
 	case current:
 		task.state = running
 	case target != nil && (task == nil || !task.latest(target.ID, run) || task.state == waiting):
-		// The job was abandoned while the start request was in flight.
+		// While the start request was in flight, the job was abandoned or the task put back into the queue.
 		scheduler.emit(StopRun{On: target.Target, Run: run, Reason: "job was abandoned"})
 	}
 }
@@ -74,8 +74,9 @@
 	}
 }
 
-// handleNoRoom handles a rejection for lack of capacity: another instance's report of free capacity is ignored until
-// the next one, and a reader waits for the claim of the run that came first.
+// handleNoRoom handles a rejection for lack of capacity. If another instance reads the target, the free capacity in its
+// last report counts as zero until the next report. Otherwise the target gets no work for rejectionBackoff, because the
+// claim of the run that took the capacity is still on its way.
 func (scheduler *Scheduler) handleNoRoom(target *target, now time.Time) {
 	if target.readBySelf || target.reportedAt.IsZero() {
 		target.heldUntil = now.Add(rejectionBackoff)
@@ -268,6 +269,7 @@
 	scheduler.place(now)
 }
 
+// confirmRun records that a target lists a run as running, and adds an allocation if the run was not known.
 func (scheduler *Scheduler) confirmRun(target *target, active ActiveRun, now time.Time) {
 	known, ok := target.allocations[active.Run]
 	if !ok {
@@ -371,7 +373,7 @@
 	}
 }
 
-// recordRunResources updates the typical resources of a run.
+// recordRunResources updates the moving average of the processor capacity that a run claims.
 func (scheduler *Scheduler) recordRunResources(resources Resources) {
 	const smoothingDivisor = 16
 	if scheduler.typicalMilliCores == 0 {
@@ -380,7 +382,7 @@
 	scheduler.typicalMilliCores += (resources.MilliCores - scheduler.typicalMilliCores) / smoothingDivisor
 }
 
-// HandlePeerStop stops a run for an instance that cannot reach the target itself.
+// HandlePeerStop stops a run on behalf of an instance that cannot reach the target.
 func (scheduler *Scheduler) HandlePeerStop(targetID string, run Run) {
 	if target, ok := scheduler.targets[targetID]; ok {
 		scheduler.emit(StopRun{On: target.Target, Run: run, Reason: "its instance cannot reach the target"})
--- a/scheduler/model.go
+++ b/scheduler/model.go
@@ -94,7 +94,7 @@
 	// Arrived is when the whole request had been received, and Deadline is when its caller stops waiting.
 	Arrived  time.Time
 	Deadline time.Time
-	// Objective is the time until which an answer counts as on time.
+	// Objective is the time by which an answer counts as on time.
 	Objective time.Time
 }
 
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -13,8 +13,8 @@
 	completedRetention = 10 * time.Second
 	// minRetryAfter is the shortest retry delay of a refusal; Retry-After has a resolution of one second.
 	minRetryAfter = time.Second
-	// maxWaitDivisor: a job may spend 1/maxWaitDivisor of the time to its objective waiting for its first start. A
-	// later refusal would leave the caller too little time to react.
+	// maxWaitDivisor: a job may wait for its first start for at most 1/maxWaitDivisor of the time from its arrival to its
+	// objective. A later refusal would leave the caller too little time to react.
 	maxWaitDivisor = 4
 	// missingTimeout is how long a run may be missing from its target's list before it counts as lost; its end may
 	// still be on the way through another instance.
@@ -80,7 +80,7 @@
 	jobs        map[string]*job
 	// tasks holds the tasks of this instance's jobs by name.
 	tasks map[string]*task
-	// queue holds the waiting tasks in the sequence in which they will start.
+	// queue holds the waiting tasks, the most urgent first; a task that cannot start yet does not hold up later ones.
 	queue []*task
 	// foreignEnds holds recent ends of other instances' runs on the targets that this instance reads.
 	foreignEnds map[targetRun]recordedEnd
@@ -97,7 +97,7 @@
 	lossDetectionFrom time.Time
 	// offered holds the targets whose capacity was offered to another instance that has not claimed it yet.
 	offered map[string]bool
-	// typicalMilliCores is a moving average of the claimed thousandths of a core.
+	// typicalMilliCores is a moving average of the processor capacity that a run claims, in thousandths of a core.
 	typicalMilliCores int64
 	actions           []Action
 	// candidateBuffer is reused between placements.
@@ -297,7 +297,8 @@
 	scheduler.actions = append(scheduler.actions, action)
 }
 
-// enqueue inserts a waiting task, ordered by priority and then by the latest start that meets the objective.
+// enqueue inserts a waiting task into the queue, which is ordered by priority and then by the latest start that meets
+// the objective.
 func (scheduler *Scheduler) enqueue(added *task) {
 	added.state = waiting
 	at, _ := slices.BinarySearchFunc(scheduler.queue, added, func(queued, added *task) int {
--- a/scheduler/target.go
+++ b/scheduler/target.go
@@ -65,7 +65,8 @@
 	stopRequestedAt time.Time
 }
 
-// learnedSpeed is a moving average of the logarithm of estimated by measured run time.
+// learnedSpeed is a moving average of the logarithm of the speed of runs: their estimated divided by their measured run
+// time.
 type learnedSpeed struct {
 	meanLog float64
 	runs    int
@@ -107,7 +108,7 @@
 	suspended bool
 	// leaseEnd is the latest possible end of the target's lease, judging by the requests that this instance knows of.
 	leaseEnd time.Time
-	// lastHeard is when the target last showed a sign of life, directly or through its reader.
+	// lastHeard is when the target was last known to respond, directly or through its reader.
 	lastHeard time.Time
 	// lastPolled is when the target last listed its runs, directly or through its reader.
 	lastPolled time.Time
@@ -190,7 +191,7 @@
 	return !target.deletedAt.IsZero() && now.Sub(target.deletedAt) > deletedGrace
 }
 
-// speedFactor returns the learned speed: estimated by measured run time.
+// speedFactor returns the learned speed: the estimated divided by the measured run time.
 func (target *target) speedFactor() float64 {
 	version := target.speed.version + target.groupSpeed.version + 1
 	if version == target.cachedVersion {
--- a/scheduler/tick.go
+++ b/scheduler/tick.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// StopOrphans stops the runs on a target whose owner is not alive, or has been unknown for orphanGrace. Only the reader
-// of the target calls it.
+// StopOrphans stops the runs on a target whose owner is lost or has been unknown for orphanGrace, and those that this
+// instance started but has replaced or abandoned. Only the reader of the target calls it.
 func (scheduler *Scheduler) StopOrphans(targetID string, alive func(owner string) bool, now time.Time) {
 	target, ok := scheduler.targets[targetID]
 	if !ok {
@@ -206,7 +206,7 @@
 	// its reader.
 	Unreachable         bool
 	UnreachableByReader bool
-	// LastHeard is when the target last showed a sign of life.
+	// LastHeard is when the target was last known to respond.
 	LastHeard time.Time
 }
 
--- a/watcher/propose.go
+++ b/watcher/propose.go
@@ -115,7 +115,7 @@
 }
 
 // additions returns the listed instances that this one hears, except those that a majority of the members that it hears
-// suspect: these members could not sync with them.
+// suspects, because these members could not sync with them.
 func (watcher *Watcher) additions(now time.Time) []Member {
 	var added []Member
 	for incarnation, peer := range watcher.peers {
@@ -150,8 +150,9 @@
 	return votes, voters
 }
 
-// exclusions returns the members to leave out: the suspected ones that a majority of the heard members suspects as well.
-// If those of them that the instance list still has are more than half of the view, only the others are left out.
+// exclusions returns the members to leave out: those that this instance and a majority of the members that it hears
+// suspect. If more than half of the view would be left out although the instance list still has them, only members that
+// are not listed are left out. Before the first list arrives, every member counts as listed.
 func (watcher *Watcher) exclusions(now time.Time) []Member {
 	var excluded []Member
 	stillListed := 0
@@ -171,9 +172,9 @@
 	return excluded
 }
 
-// majoritySuspects reports whether a majority of the heard members suspects the peer. Without other members to ask, it
-// reports whether the peer has been silent, or its answer to a sync request overdue, for isolatedTimeoutFactor times
-// SuspicionTimeout.
+// majoritySuspects reports whether a majority of the members that this instance hears suspects the peer. If it hears
+// none, it reports whether the peer has been silent, or its answer to a sync request overdue, for isolatedTimeoutFactor
+// times SuspicionTimeout.
 func (watcher *Watcher) majoritySuspects(suspect *peer, now time.Time) bool {
 	votes, voters := watcher.votes(suspect.member.Incarnation, now)
 	if voters == 0 {
--- a/watcher/watcher.go
+++ b/watcher/watcher.go
@@ -195,8 +195,8 @@
 	return suspects
 }
 
-// findOrAddPeer returns the entry of a member, which it adds unless there are maxPeers entries. It returns nil for this instance
-// and for a new member that is not added.
+// findOrAddPeer returns the entry of a member. A new member is added unless there are maxPeers entries already. It
+// returns nil for this instance and for a new member that is not added.
 func (watcher *Watcher) findOrAddPeer(member Member, now time.Time) *peer {
 	if member.Incarnation == watcher.self.Incarnation {
 		return nil
--- a/watcher/watcher_test.go
+++ b/watcher/watcher_test.go
@@ -14,6 +14,7 @@
 	names   string
 	listLag time.Duration
 	run     func(simulation *simulation)
+	// members are the members of the last view.
 	members string
 	// views is the number of views that the case needs, wronglyExcluded that of live members that they may leave out.
 	views, wronglyExcluded int
@@ -104,7 +105,7 @@
 		}
 		simulation.run(30 * time.Second)
 		if simulation.members() != "a-0 b-0 c-0 d-0 e-0" {
-			simulation.wronglyExcluded += 100
+			simulation.wronglyExcluded += 100 // makes the case fail
 		}
 		simulation.run(time.Minute)
 	}, "a-0 b-0", 1, 0, false, 0},
