--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -50,7 +50,7 @@
 		task.state = running
 	case target != nil && (task == nil || !task.latest(target.ID, run) || task.state == waiting):
 		// While the start request was in flight, the job was abandoned or the task put back into the queue.
-		scheduler.emit(StopRun{On: target.Target, Run: run, Reason: "job was abandoned"})
+		scheduler.emit(StopRun{On: target.Target, Run: run, Reason: "run is no longer needed"})
 	}
 }
 
@@ -385,7 +385,7 @@
 // HandlePeerStop stops a run on behalf of an instance that cannot reach the target.
 func (scheduler *Scheduler) HandlePeerStop(targetID string, run Run) {
 	if target, ok := scheduler.targets[targetID]; ok {
-		scheduler.emit(StopRun{On: target.Target, Run: run, Reason: "its instance cannot reach the target"})
+		scheduler.emit(StopRun{On: target.Target, Run: run, Reason: "requested by an instance that cannot reach the target"})
 	}
 }
 
--- a/scheduler/tick.go
+++ b/scheduler/tick.go
@@ -182,7 +182,7 @@
 			continue
 		}
 		allocation.stopRequestedAt = now
-		scheduler.emit(StopRun{On: target.Target, Run: run, Reason: "its instance is lost or abandoned it"})
+		scheduler.emit(StopRun{On: target.Target, Run: run, Reason: "the run's instance is lost or has abandoned it"})
 	}
 }
 
