--- a/checker/checker.go
+++ b/checker/checker.go
@@ -20,7 +20,7 @@
 	WholeAnswer Guarantee = "whole-answer"
 	// OwnAnswer means that each submission gets one answer, and that of its own job.
 	OwnAnswer Guarantee = "own-answer"
-	// TrueRefusal means that what an answer says not to run has not run and does not run.
+	// TrueRefusal means that a job or task that an answer reports as not run has not run and will not run.
 	TrueRefusal Guarantee = "true-refusal"
 	// AtMostOnce means that a task of an unrepeatable job never starts twice.
 	AtMostOnce Guarantee = "at-most-once"
@@ -44,7 +44,7 @@
 	Retention time.Duration
 	// Drain is how long a target may still receive new work after the first sign that it leaves.
 	Drain time.Duration
-	// BundleDelay is how long after its acceptance a bundle need not yet be in force at a reachable instance.
+	// BundleDelay is the longest time from the acceptance of a bundle until it is in force at every reachable instance.
 	BundleDelay time.Duration
 }
 
@@ -85,37 +85,37 @@
 
 // checker indexes a history and collects the violations in it.
 type checker struct {
-	history     []Event
-	bounds      Bounds
-	submissions map[int64]Submitted
-	byKey       map[string][]Submitted
-	started     map[string][]TaskStarted
+	history          []Event
+	bounds           Bounds
+	submissions      map[int64]Submitted
+	submissionsByKey map[string][]Submitted
+	starts           map[string][]TaskStarted
 	// settledAt holds, for each key, when its job ended or was cancelled. A plain key that was submitted again after
 	// its retention has several times.
 	settledAt  map[string][]time.Time
-	refusedAt  map[int64]Refused
+	refusals   map[int64]Refused
 	violations []Violation
 }
 
 func newChecker(history []Event, bounds Bounds) *checker {
 	checker := &checker{
 		history: history, bounds: bounds,
-		submissions: map[int64]Submitted{}, byKey: map[string][]Submitted{}, started: map[string][]TaskStarted{},
-		settledAt: map[string][]time.Time{}, refusedAt: map[int64]Refused{},
+		submissions: map[int64]Submitted{}, submissionsByKey: map[string][]Submitted{}, starts: map[string][]TaskStarted{},
+		settledAt: map[string][]time.Time{}, refusals: map[int64]Refused{},
 	}
 	for _, event := range history {
 		switch event := event.(type) {
 		case Submitted:
 			checker.submissions[event.Submission] = event
-			checker.byKey[event.Key] = append(checker.byKey[event.Key], event)
+			checker.submissionsByKey[event.Key] = append(checker.submissionsByKey[event.Key], event)
 		case TaskStarted:
-			checker.started[event.Key] = append(checker.started[event.Key], event)
+			checker.starts[event.Key] = append(checker.starts[event.Key], event)
 		case JobEnded:
 			checker.recordSettlement(event.Key, event.Time)
 		case Cancelled:
 			checker.recordSettlement(event.Key, decidedAt(event.Decided, event.Time))
 		case Refused:
-			checker.refusedAt[event.Submission] = event
+			checker.refusals[event.Submission] = event
 		}
 	}
 	return checker
@@ -156,8 +156,8 @@
 
 // checkStarts checks SingleStart and AtMostOnce.
 func (checker *checker) checkStarts() {
-	for _, key := range slices.Sorted(maps.Keys(checker.started)) {
-		starts := checker.started[key]
+	for _, key := range slices.Sorted(maps.Keys(checker.starts)) {
+		starts := checker.starts[key]
 		first := map[string]TaskStarted{}
 		for _, start := range starts {
 			earlier, repeated := first[start.Task]
@@ -178,7 +178,7 @@
 }
 
 func (checker *checker) isUnrepeatable(key string) bool {
-	return slices.ContainsFunc(checker.byKey[key], func(submitted Submitted) bool { return submitted.Unrepeatable })
+	return slices.ContainsFunc(checker.submissionsByKey[key], func(submitted Submitted) bool { return submitted.Unrepeatable })
 }
 
 // checkAnswers checks WholeAnswer and OwnAnswer.
@@ -234,7 +234,7 @@
 		return
 	}
 	for _, task := range submitted.Tasks {
-		ran := slices.ContainsFunc(checker.started[submitted.Key], func(start TaskStarted) bool {
+		ran := slices.ContainsFunc(checker.starts[submitted.Key], func(start TaskStarted) bool {
 			return start.Task == task && start.Digest == submitted.Digest && !start.Time.After(answer.Time)
 		})
 		if !ran {
@@ -254,7 +254,7 @@
 			checker.checkCancellation(event)
 		case FailedAnswer:
 			submitted := checker.submissions[event.Submission]
-			for _, start := range checker.started[submitted.Key] {
+			for _, start := range checker.starts[submitted.Key] {
 				if start.Digest == submitted.Digest && slices.Contains(event.NotStarted, start.Task) && start.Time.Before(event.Time) {
 					checker.report(TrueRefusal, submitted.Key, start, event)
 				}
@@ -263,11 +263,11 @@
 	}
 }
 
-// checkCancellation checks one cancellation: it contradicts every start of the job before or after it for which the key is
-// still protected.
+// checkCancellation checks one cancellation. A start of the job, before or after the cancellation, contradicts it if the
+// protection of the key had not ended between the two.
 func (checker *checker) checkCancellation(event Cancelled) {
 	decided := decidedAt(event.Decided, event.Time)
-	for _, start := range checker.started[event.Key] {
+	for _, start := range checker.starts[event.Key] {
 		if start.Time.Before(decided) && checker.expired(event.Key, start.Time, decided) {
 			continue
 		}
@@ -285,7 +285,7 @@
 func (checker *checker) checkRefusal(refused Refused) {
 	submitted := checker.submissions[refused.Submission]
 	decided := decidedAt(refused.Decided, refused.Time)
-	for _, start := range checker.started[submitted.Key] {
+	for _, start := range checker.starts[submitted.Key] {
 		if start.Digest != submitted.Digest || checker.expired(submitted.Key, start.Time, decided) {
 			continue
 		}
@@ -298,8 +298,8 @@
 
 // hasOpenSubmission reports whether some submission made before the start had not been refused before it.
 func (checker *checker) hasOpenSubmission(start TaskStarted) bool {
-	return slices.ContainsFunc(checker.byKey[start.Key], func(submitted Submitted) bool {
-		refused, found := checker.refusedAt[submitted.Submission]
+	return slices.ContainsFunc(checker.submissionsByKey[start.Key], func(submitted Submitted) bool {
+		refused, found := checker.refusals[submitted.Submission]
 		return submitted.Digest == start.Digest && submitted.Time.Before(start.Time) && (!found || refused.Time.After(start.Time))
 	})
 }
@@ -316,8 +316,8 @@
 		case TargetReturned:
 			delete(leaving, event.Target)
 		case TaskStarted:
-			if sign, found := leaving[event.Target]; found && event.Time.After(sign.Time.Add(checker.bounds.Drain)) {
-				checker.report(LeavingDrained, event.Target, sign, event)
+			if firstSign, found := leaving[event.Target]; found && event.Time.After(firstSign.Time.Add(checker.bounds.Drain)) {
+				checker.report(LeavingDrained, event.Target, firstSign, event)
 			}
 		}
 	}
@@ -341,9 +341,9 @@
 // checkBundles checks TimelyBundle.
 func (checker *checker) checkBundles() {
 	var accepted []BundleAccepted
-	served := map[string]BundleInForce{}
+	inForce := map[string]BundleInForce{}
 	unreachable := map[string]bool{}
-	since := map[string]time.Time{}
+	reachableSince := map[string]time.Time{}
 	for _, event := range checker.history {
 		switch event := event.(type) {
 		case BundleAccepted:
@@ -351,33 +351,34 @@
 		case InstanceUnreachable:
 			unreachable[event.Instance] = true
 		case InstanceReachable:
-			unreachable[event.Instance], since[event.Instance] = false, event.Time
+			unreachable[event.Instance], reachableSince[event.Instance] = false, event.Time
 		case BundleInForce:
-			if earlier := served[event.Instance]; earlier.Version > event.Version {
+			if earlier := inForce[event.Instance]; earlier.Version > event.Version {
 				checker.report(TimelyBundle, event.Instance, earlier, event)
 			}
-			served[event.Instance] = event
+			inForce[event.Instance] = event
 			if !unreachable[event.Instance] {
-				checker.checkBundleDelay(accepted, since[event.Instance], event)
+				checker.checkBundleDelay(accepted, reachableSince[event.Instance], event)
 			}
 		}
 	}
 }
 
-// checkBundleDelay compares a served bundle with the newest one that must be in force by then at a reachable instance.
-func (checker *checker) checkBundleDelay(accepted []BundleAccepted, since time.Time, served BundleInForce) {
+// checkBundleDelay compares the bundle in force at an instance, which has been reachable since reachableSince, with the
+// newest one that must be in force there by then.
+func (checker *checker) checkBundleDelay(accepted []BundleAccepted, reachableSince time.Time, inForce BundleInForce) {
 	due := slices.DeleteFunc(slices.Clone(accepted), func(bundle BundleAccepted) bool {
 		from := bundle.Time
-		if since.After(from) {
-			from = since
+		if reachableSince.After(from) {
+			from = reachableSince
 		}
-		return !served.Time.After(from.Add(checker.bounds.BundleDelay))
+		return !inForce.Time.After(from.Add(checker.bounds.BundleDelay))
 	})
 	if len(due) == 0 {
 		return
 	}
 	newest := slices.MaxFunc(due, func(a, b BundleAccepted) int { return cmp.Compare(a.Version, b.Version) })
-	if newest.Version > served.Version {
-		checker.report(TimelyBundle, served.Instance, newest, served)
+	if newest.Version > inForce.Version {
+		checker.report(TimelyBundle, inForce.Instance, newest, inForce)
 	}
 }
--- a/executor/delegation.go
+++ b/executor/delegation.go
@@ -16,9 +16,9 @@
 	// delegationMargin is how long to wait beyond a job's deadline for the answer of its delegate, which answers by the
 	// deadline.
 	delegationMargin = 5 * time.Millisecond
-	// abandonRepeatPeriod is how long the request to abandon a job is repeated to its delegate, in case a link broke in
-	// between. After this time the delegate has detected the broken link by itself. A caller sends its job again 1,300
-	// ms after a lost answer.
+	// abandonRepeatPeriod is how long the request to abandon a job is repeated, in case the link to the delegate breaks
+	// and the request is lost. After this time the delegate has detected the broken link itself and stops the job. The
+	// runs must have ended before a caller sends its job again, 1,300 ms after a lost answer.
 	abandonRepeatPeriod = 500 * time.Millisecond
 	// maxDelegatedTasks limits the tasks of a delegated job, since the job is sent as one message.
 	maxDelegatedTasks = 1000
@@ -59,16 +59,16 @@
 		return "", false
 	}
 	eligible := executor.peers.EligiblePeers()
-	sameDomain := make([]linker.Hello, 0, len(eligible))
+	candidates := make([]linker.Hello, 0, len(eligible))
 	for _, peer := range eligible {
 		if peer.Domain == executor.self.Domain && executor.peers.Reachable(peer.Incarnation) {
-			sameDomain = append(sameDomain, peer)
+			candidates = append(candidates, peer)
 		}
 	}
-	if len(sameDomain) == 0 {
-		sameDomain = eligible
+	if len(candidates) == 0 {
+		candidates = eligible
 	}
-	return pickWeighted(sameDomain, rand.Float64())
+	return pickWeighted(candidates, rand.Float64())
 }
 
 // pickWeighted picks an instance with a probability proportional to its weight; drawn is a random number in [0, 1).
@@ -185,8 +185,8 @@
 	ctx, cancel := context.WithCancel(executor.ctx)
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
-	if former, ok := executor.foreignJobs[key]; ok {
-		former()
+	if cancelFormer, ok := executor.foreignJobs[key]; ok {
+		cancelFormer()
 	}
 	executor.foreignJobs[key] = cancel
 	executor.logger.Info("delegated job accepted", "job", job.ID, "origin", from, "age-ms", request.AgeUS/1000, "remaining-ms", request.RemainingUS/1000)
@@ -221,8 +221,8 @@
 	}
 }
 
-// LinkEnded abandons the jobs that this instance runs for an instance to which a link was lost. The origin answers its
-// callers that the outcome is unknown, and they send the jobs again after 1,300 ms.
+// LinkEnded abandons the jobs that this instance runs for another one when a link between the two ends. The origin
+// answers its callers that the outcome is unknown, and they send the jobs again after 1,300 ms.
 func (executor *Executor) LinkEnded(from string) {
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -12,9 +12,9 @@
 const (
 	// flushDelay is how long a claim waits for further ones to share its frame.
 	flushDelay = 2 * time.Millisecond
-	// broadcastIntervalPerPeer is the time between two broadcasts for each other instance of the same failure domain,
-	// and for every remoteIntervalFactor instances of other domains. Thus each instance receives one frame in this time
-	// in total, however many instances there are.
+	// broadcastIntervalPerPeer is multiplied by the number of peers to get the time between two broadcasts; a peer in
+	// another failure domain counts as 1/remoteIntervalFactor. An instance thus receives about one frame in this time
+	// from all peers together, however many there are.
 	broadcastIntervalPerPeer = 2400 * time.Microsecond
 	// remoteIntervalFactor is how many times less often instances of other failure domains receive reports; they use
 	// these targets only when their own are full or much slower.
@@ -46,10 +46,10 @@
 
 // peer is the state of another instance.
 type peer struct {
-	hello        linker.Hello
-	lastHeard    time.Time
-	leaving      bool
-	unresponsive bool
+	hello     linker.Hello
+	lastHeard time.Time
+	leaving   bool
+	lost      bool
 	// delegating means that the instance delegates its jobs. Two delegating instances send each other nothing.
 	delegating bool
 	// busy means that a delegating instance has jobs of its own nevertheless, such as jobs accepted before it knew its
@@ -108,7 +108,7 @@
 		peers:         make(map[string]*peer),
 	}
 	gossiper.group.Go(func() { gossiper.sendOutbox(ctx) })
-	gossiper.group.Go(func() { gossiper.broadcast(ctx) })
+	gossiper.group.Go(func() { gossiper.sendBroadcasts(ctx) })
 	return gossiper
 }
 
@@ -237,7 +237,7 @@
 func (gossiper *Gossiper) SetDemand(demand scheduler.Demand, busy bool) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	// Peers consider busy only for a delegating instance.
+	// Peers use busy only if this instance delegates its jobs.
 	changed := demand != gossiper.demand || busy != gossiper.busy && gossiper.delegating
 	gossiper.demand, gossiper.busy = demand, busy
 	if changed {
@@ -291,8 +291,8 @@
 	return gossiper.urgent
 }
 
-// broadcast sends reports and demand, or a heartbeat if there are no changes, until ctx is done.
-func (gossiper *Gossiper) broadcast(ctx context.Context) {
+// sendBroadcasts sends reports and demand, or a heartbeat if there are no changes, until ctx is done.
+func (gossiper *Gossiper) sendBroadcasts(ctx context.Context) {
 	timer := time.NewTimer(heartbeatInterval)
 	defer timer.Stop()
 	for {
@@ -302,15 +302,15 @@
 		case <-timer.C:
 		case <-gossiper.changed:
 		}
-		pause := gossiper.sendAll()
+		pause := gossiper.sendDueBroadcasts()
 		gossiper.detectLostPeers()
 		timer.Reset(heartbeatInterval)
 		time.Sleep(pause)
 	}
 }
 
-// sendAll sends the due broadcasts and returns the time until the next ones.
-func (gossiper *Gossiper) sendAll() time.Duration {
+// sendDueBroadcasts sends the broadcasts that are due and returns the minimum time until the next ones.
+func (gossiper *Gossiper) sendDueBroadcasts() time.Duration {
 	gossiper.mu.Lock()
 	links := gossiper.links
 	plan := gossiper.plan(gossiper.now())
@@ -329,7 +329,7 @@
 	update linker.StateUpdate
 }
 
-// broadcastPlan holds the broadcasts that are due and the time until the next ones.
+// broadcastPlan holds the broadcasts that are due and the minimum time until the next ones.
 type broadcastPlan struct {
 	broadcasts []broadcast
 	pause      time.Duration
@@ -403,8 +403,8 @@
 			// The peer sends nothing to this instance, and nothing depends on detecting its loss quickly.
 			continue
 		}
-		if !peer.unresponsive && now.Sub(peer.lastHeard) > PeerTimeout {
-			peer.unresponsive = true
+		if !peer.lost && now.Sub(peer.lastHeard) > PeerTimeout {
+			peer.lost = true
 			lost = append(lost, incarnation)
 		}
 		if now.Sub(peer.lastHeard) > forgetTimeout {
@@ -436,8 +436,8 @@
 	}
 }
 
-// recordContact records a sign of life of an instance. Only broadcasts carry the state of the sender; they are
-// recognized by their waiting tasks.
+// recordContact records that a message from an instance has arrived. Only broadcasts carry the state of the sender; they
+// are recognized by their Waiting field, which is never empty.
 func (gossiper *Gossiper) recordContact(from linker.Hello, update linker.StateUpdate) {
 	now := gossiper.now()
 	gossiper.mu.Lock()
@@ -451,8 +451,8 @@
 	if len(update.Waiting) > 0 {
 		leaving, known.busy = update.Leaving, update.Busy
 	}
-	changed := !ok || known.unresponsive || leaving != known.leaving
-	known.lastHeard, known.unresponsive, known.leaving = now, false, leaving
+	changed := !ok || known.lost || leaving != known.leaving
+	known.lastHeard, known.lost, known.leaving = now, false, leaving
 	if changed {
 		gossiper.updateRoles()
 	}
@@ -481,7 +481,7 @@
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
 	peer, ok := gossiper.peers[incarnation]
-	return ok && !peer.unresponsive
+	return ok && !peer.lost
 }
 
 // Reachable reports whether a message can be sent to the instance now.
@@ -504,7 +504,7 @@
 	defer gossiper.mu.Unlock()
 	var eligible []linker.Hello
 	for _, peer := range gossiper.peers {
-		if !peer.unresponsive && !peer.leaving && !peer.delegating {
+		if !peer.lost && !peer.leaving && !peer.delegating {
 			eligible = append(eligible, peer.hello)
 		}
 	}
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -49,8 +49,8 @@
 	case current:
 		task.state = running
 	case target != nil && (task == nil || !task.latest(target.ID, run) || task.state == waiting):
-		// The job was abandoned while the start request was in flight.
-		scheduler.emit(StopRun{On: target.Target, Run: run, Reason: "job was abandoned"})
+		// While the start request was in flight, the job was abandoned or the task put back into the queue.
+		scheduler.emit(StopRun{On: target.Target, Run: run, Reason: "run is no longer needed"})
 	}
 }
 
@@ -74,10 +74,11 @@
 	}
 }
 
-// handleNoRoom handles a rejection for lack of capacity: another instance's report of free capacity is ignored until
-// the next one, and a reader waits for the claim of the run that came first.
+// handleNoRoom handles a rejection for lack of capacity. If another instance reads the target, the free capacity in its
+// last report counts as zero until the next report. Otherwise the target gets no work for rejectionBackoff, because the
+// claim of the run that took the capacity is still on its way.
 func (scheduler *Scheduler) handleNoRoom(target *target, now time.Time) {
-	if target.isReader || target.reportedAt.IsZero() {
+	if target.readBySelf || target.reportedAt.IsZero() {
 		target.heldUntil = now.Add(rejectionBackoff)
 		return
 	}
@@ -162,7 +163,7 @@
 		if allocation != nil {
 			target.recordEnd(end.Run, allocation, end.Cause, now)
 		}
-		if target.isReader {
+		if target.readBySelf {
 			if allocation == nil || allocation.owner != scheduler.self {
 				scheduler.foreignEnds[targetRun{targetID, end.Run}] = recordedEnd{end, now}
 			}
@@ -178,7 +179,7 @@
 // releaseRun removes the allocation of a run and returns it, or nil if there is none.
 func (scheduler *Scheduler) releaseRun(target *target, run Run) *allocation {
 	allocation := target.releaseRun(run)
-	if allocation != nil && target.isReader {
+	if allocation != nil && target.readBySelf {
 		scheduler.changedTargets[target.ID] = true
 	}
 	return allocation
@@ -247,7 +248,7 @@
 	target.lastHeard, target.lastPolled = now, now
 	if target.unreachable {
 		target.unreachable = false
-		scheduler.changedTargets[targetID] = target.isReader
+		scheduler.changedTargets[targetID] = target.readBySelf
 	}
 	if poll.Incarnation != 0 && poll.Incarnation > target.Incarnation {
 		scheduler.handleTargetRestart(target, poll.Incarnation, now)
@@ -268,6 +269,7 @@
 	scheduler.place(now)
 }
 
+// confirmRun records that a target lists a run as running, and adds an allocation if the run was not known.
 func (scheduler *Scheduler) confirmRun(target *target, active ActiveRun, now time.Time) {
 	known, ok := target.allocations[active.Run]
 	if !ok {
@@ -301,9 +303,9 @@
 
 // handleTargetRestart drops the runs and the learned state of the target's previous incarnation.
 func (scheduler *Scheduler) handleTargetRestart(target *target, incarnation int64, now time.Time) {
-	known := target.Incarnation != 0
+	hadIncarnation := target.Incarnation != 0
 	target.Incarnation = incarnation
-	if !known {
+	if !hadIncarnation {
 		return
 	}
 	target.speed = learnedSpeed{}
@@ -331,7 +333,7 @@
 
 func (scheduler *Scheduler) setUnreachable(target *target) {
 	target.unreachable = true
-	if target.isReader {
+	if target.readBySelf {
 		scheduler.changedTargets[target.ID] = true
 	}
 }
@@ -343,7 +345,7 @@
 		return recorded.End, true
 	}
 	target, ok := scheduler.targets[claim.Target]
-	if !ok || !target.isReader {
+	if !ok || !target.readBySelf {
 		return End{}, false
 	}
 	if known, ok := target.allocations[claim.Run]; ok && known.owner == owner {
@@ -371,19 +373,19 @@
 	}
 }
 
-// recordRunResources updates the typical resources of a run.
+// recordRunResources updates the moving average of the processor capacity that a run claims.
 func (scheduler *Scheduler) recordRunResources(resources Resources) {
-	const weight = 16
+	const smoothingDivisor = 16
 	if scheduler.typicalMilliCores == 0 {
 		scheduler.typicalMilliCores = resources.MilliCores
 	}
-	scheduler.typicalMilliCores += (resources.MilliCores - scheduler.typicalMilliCores) / weight
+	scheduler.typicalMilliCores += (resources.MilliCores - scheduler.typicalMilliCores) / smoothingDivisor
 }
 
-// HandlePeerStop stops a run for an instance that cannot reach the target itself.
+// HandlePeerStop stops a run on behalf of an instance that cannot reach the target.
 func (scheduler *Scheduler) HandlePeerStop(targetID string, run Run) {
 	if target, ok := scheduler.targets[targetID]; ok {
-		scheduler.emit(StopRun{On: target.Target, Run: run, Reason: "its instance cannot reach the target"})
+		scheduler.emit(StopRun{On: target.Target, Run: run, Reason: "requested by an instance that cannot reach the target"})
 	}
 }
 
@@ -391,7 +393,7 @@
 // target.
 func (scheduler *Scheduler) HandlePeerReport(report CapacityReport, now time.Time) {
 	target, ok := scheduler.targets[report.Target]
-	if !ok || target.isReader {
+	if !ok || target.readBySelf {
 		return
 	}
 	target.reportedFree, target.reportedAt, target.unreachableByReader = report.FreeCapacity, now, report.Unreachable
@@ -420,10 +422,10 @@
 // SetReader sets whether this instance is the reader of a target.
 func (scheduler *Scheduler) SetReader(targetID string, reads bool, now time.Time) {
 	target, ok := scheduler.targets[targetID]
-	if !ok || target.isReader == reads {
+	if !ok || target.readBySelf == reads {
 		return
 	}
-	target.isReader, target.unreachableByReader = reads, false
+	target.readBySelf, target.unreachableByReader = reads, false
 	if reads {
 		// The first poll shows what is running there.
 		target.heldUntil = now.Add(rejectionBackoff)
@@ -442,7 +444,7 @@
 	var claims []Claim
 	for _, name := range slices.Sorted(maps.Keys(scheduler.tasks)) {
 		task := scheduler.tasks[name]
-		if task.mayBeRunning() && task.state != uncertain && !task.runTarget.isReader {
+		if task.mayBeRunning() && task.state != uncertain && !task.runTarget.readBySelf {
 			claims = append(claims, Claim{Target: task.runTarget.ID, Run: task.run(), Resources: task.spec().Resources, Estimate: task.spec().Estimate})
 		}
 	}
@@ -467,7 +469,7 @@
 			continue
 		}
 		delete(scheduler.changedTargets, id)
-		if ok && target.isReader {
+		if ok && target.readBySelf {
 			if report := target.report(now); report != target.lastReport {
 				target.lastReport, target.lastReportAt = report, now
 				reports = append(reports, report)
@@ -480,7 +482,7 @@
 // RenewalReport returns a report for a target whose lease was just renewed, if the last report is old.
 func (scheduler *Scheduler) RenewalReport(targetID string, now time.Time) (CapacityReport, bool) {
 	target, ok := scheduler.targets[targetID]
-	if !ok || !target.isReader || scheduler.offered[targetID] || now.Sub(target.lastReportAt) < reportInterval {
+	if !ok || !target.readBySelf || scheduler.offered[targetID] || now.Sub(target.lastReportAt) < reportInterval {
 		return CapacityReport{}, false
 	}
 	target.lastReport, target.lastReportAt = target.report(now), now
--- a/scheduler/target.go
+++ b/scheduler/target.go
@@ -65,7 +65,8 @@
 	stopRequestedAt time.Time
 }
 
-// learnedSpeed is a moving average of the logarithm of estimated by measured run time.
+// learnedSpeed is a moving average of the logarithm of the speed of runs: their estimated divided by their measured run
+// time.
 type learnedSpeed struct {
 	meanLog float64
 	runs    int
@@ -107,16 +108,16 @@
 	suspended bool
 	// leaseEnd is the latest possible end of the target's lease, judging by the requests that this instance knows of.
 	leaseEnd time.Time
-	// lastHeard is when the target last showed a sign of life, directly or through its reader.
+	// lastHeard is when the target was last known to respond, directly or through its reader.
 	lastHeard time.Time
 	// lastPolled is when the target last listed its runs, directly or through its reader.
 	lastPolled time.Time
 	// nonReaderBias is the share of the run time that this instance adds to the cost of the target while another one
 	// reads it.
 	nonReaderBias float64
-	// isReader means that this instance is the reader of the target; it receives all claims and so knows the free
+	// readBySelf means that this instance is the reader of the target; it receives all claims and so knows the free
 	// capacity.
-	isReader bool
+	readBySelf bool
 	// reportedFree is the free capacity that the target's reader reported at reportedAt.
 	reportedFree Resources
 	reportedAt   time.Time
@@ -137,7 +138,7 @@
 // freeCapacity returns the capacity that is believed to be free. The reader knows all claims; other instances combine
 // the reader's report with their own claims.
 func (target *target) freeCapacity(now time.Time) Resources {
-	if target.isReader || target.reportedAt.IsZero() || now.Sub(target.reportedAt) > reportTTL {
+	if target.readBySelf || target.reportedAt.IsZero() || now.Sub(target.reportedAt) > reportTTL {
 		return target.Capacity.Minus(target.used)
 	}
 	freeCapacity := target.reportedFree
@@ -166,7 +167,7 @@
 // freeCapacityAge returns the age of the report that the free capacity is based on, or 0 if this instance knows the
 // capacity itself.
 func (target *target) freeCapacityAge(now time.Time) time.Duration {
-	if target.isReader || target.reportedAt.IsZero() {
+	if target.readBySelf || target.reportedAt.IsZero() {
 		return 0
 	}
 	return now.Sub(target.reportedAt)
@@ -190,7 +191,7 @@
 	return !target.deletedAt.IsZero() && now.Sub(target.deletedAt) > deletedGrace
 }
 
-// speedFactor returns the learned speed: estimated by measured run time.
+// speedFactor returns the learned speed: the estimated divided by the measured run time.
 func (target *target) speedFactor() float64 {
 	version := target.speed.version + target.groupSpeed.version + 1
 	if version == target.cachedVersion {
--- a/watcher/watcher_test.go
+++ b/watcher/watcher_test.go
@@ -14,6 +14,7 @@
 	names   string
 	listLag time.Duration
 	run     func(simulation *simulation)
+	// members are the members of the last view.
 	members string
 	// views is the number of views that the case needs, wronglyExcluded that of live members that they may leave out.
 	views, wronglyExcluded int
@@ -104,7 +105,7 @@
 		}
 		simulation.run(30 * time.Second)
 		if simulation.members() != "a-0 b-0 c-0 d-0 e-0" {
-			simulation.wronglyExcluded += 100
+			simulation.wronglyExcluded += 100 // makes the case fail
 		}
 		simulation.run(time.Minute)
 	}, "a-0 b-0", 1, 0, false, 0},
@@ -131,15 +132,15 @@
 				return len(simulation.views) - views, simulation.appends - appends, simulation.wronglyExcluded, simulation.members()
 			}
 			views, appends, wronglyExcluded, members := count(func(self Member, now time.Time) viewProposer { return New(self, now) })
-			naiveViews, naiveAppends, naiveWrongful, _ := count(newNaive)
-			t.Logf("views %d (naive %d), appends %d (naive %d), live members left out %d (naive %d)", views, naiveViews, appends, naiveAppends, wronglyExcluded, naiveWrongful)
+			naiveViews, naiveAppends, naiveWronglyExcluded, _ := count(newNaive)
+			t.Logf("views %d (naive %d), appends %d (naive %d), live members left out %d (naive %d)", views, naiveViews, appends, naiveAppends, wronglyExcluded, naiveWronglyExcluded)
 			if views != test.views || wronglyExcluded != test.wronglyExcluded || members != test.members {
 				t.Errorf("got %d views, %d live members left out and members %s; want %d, %d and %s", views, wronglyExcluded, members, test.views, test.wronglyExcluded, test.members)
 			}
 			if appends != max(views, test.appends) {
 				t.Errorf("got %d appends for %d views, want %d", appends, views, max(views, test.appends))
 			}
-			if passes := naiveViews <= views && naiveWrongful <= wronglyExcluded; passes != test.naivePasses {
+			if passes := naiveViews <= views && naiveWronglyExcluded <= wronglyExcluded; passes != test.naivePasses {
 				t.Errorf("the naive version passes: got %t, want %t", passes, test.naivePasses)
 			}
 		})
