--- a/limiter/api.go
+++ b/limiter/api.go
@@ -111,9 +111,9 @@
 
 // Grant permits the start of one task; it must be passed to Release exactly once.
 type Grant struct {
-	entry *entry
-	at    time.Time
-	first bool
+	entry     *entry
+	grantedAt time.Time
+	first     bool
 }
 
 // Ticket returns the ticket of the job whose next task may start.
--- a/limiter/entry.go
+++ b/limiter/entry.go
@@ -164,11 +164,11 @@
 	if config.Order != nil {
 		return config.Order
 	}
-	timeFraction := 0.5
+	responseTimeFraction := 0.5
 	if sum := config.ResponseTimeWeight + config.WastedMessageWeight; sum > 0 {
-		timeFraction = config.ResponseTimeWeight / sum
+		responseTimeFraction = config.ResponseTimeWeight / sum
 	}
-	return NewByDeadline(minDeadlineStep + time.Duration(timeFraction*float64(maxDeadlineStep-minDeadlineStep)))
+	return NewByDeadline(minDeadlineStep + time.Duration(responseTimeFraction*float64(maxDeadlineStep-minDeadlineStep)))
 }
 
 func (limiter *Limiter) configure(config Config) {
--- a/limiter/limiter.go
+++ b/limiter/limiter.go
@@ -51,8 +51,8 @@
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	kind, team := limiter.kind(job.kind), limiter.team(job.team)
-	if refused, ok := limiter.checkLimits(job, kind, team, now); ok {
-		return refused
+	if refusal, refused := limiter.checkLimits(job, kind, team, now); refused {
+		return refusal
 	}
 	limiter.lastTicket++
 	entry := &entry{ticket: limiter.lastTicket, kind: kind, team: team, deadline: job.deadline, remaining: job.tasks}
@@ -117,7 +117,7 @@
 
 // grant takes one task of entry, which is at index in the queue, and moves or removes the entry.
 func (limiter *Limiter) grant(index int, entry *entry, now time.Time) Grant {
-	grant := Grant{entry: entry, at: now, first: entry.granted == 0}
+	grant := Grant{entry: entry, grantedAt: now, first: entry.granted == 0}
 	entry.granted++
 	entry.remaining--
 	entry.inFlight++
@@ -145,7 +145,7 @@
 	entry.kind.inFlight--
 	entry.team.inFlight--
 	limiter.inFlight--
-	entry.kind.observeRunTime(now.Sub(grant.at))
+	entry.kind.observeRunTime(now.Sub(grant.grantedAt))
 	limiter.removeIfDone(entry)
 }
 
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -42,8 +42,8 @@
 	ended      int
 }
 
-// counts returns the number of tasks in flight of the kind and of the team of job.
-func (sequence *sequence) counts(job Job) (kind, team int) {
+// tasksInFlight returns the number of tasks in flight of the kind and of the team of job.
+func (sequence *sequence) tasksInFlight(job Job) (kind, team int) {
 	for _, modelJob := range sequence.jobs {
 		if modelJob.job.kind == job.kind {
 			kind += modelJob.inFlight
@@ -63,7 +63,7 @@
 		return cmp.Or(aStep.Compare(bStep), cmp.Compare(a.remaining(), b.remaining()), cmp.Compare(a.ticket, b.ticket))
 	})
 	for _, modelJob := range jobs {
-		kind, team := sequence.counts(modelJob.job)
+		kind, team := sequence.tasksInFlight(modelJob.job)
 		if !modelJob.closed && modelJob.remaining() > 0 && modelJob.job.deadline.After(sequence.now) && modelJob.job.kind != fullKind &&
 			kind < sequence.config.Kinds[modelJob.job.kind].MaxInFlight && team < sequence.config.TeamQuotas[modelJob.job.team] {
 			return modelJob
@@ -126,7 +126,7 @@
 	grant := sequence.openGrants[i]
 	sequence.openGrants = slices.Delete(sequence.openGrants, i, i+1)
 	sequence.find(grant.Ticket()).inFlight--
-	grant.at = sequence.now.Add(-testRunTime)
+	grant.grantedAt = sequence.now.Add(-testRunTime)
 	sequence.limiter.Release(grant, sequence.now)
 }
 
--- a/linker/link.go
+++ b/linker/link.go
@@ -56,12 +56,12 @@
 }
 
 // run serves the connection until it fails or ctx is done, and returns the cause.
-func (link *link) run(ctx context.Context, receive func(*link, Message)) error {
+func (link *link) run(ctx context.Context, deliver func(*link, Message)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	var group sync.WaitGroup
 	group.Go(func() { cancel(link.send(ctx)) })
 	group.Go(func() { cancel(link.monitor(ctx)) })
-	cancel(link.receive(ctx, receive))
+	cancel(link.receive(ctx, deliver))
 	// Closing the connection tells the peer that the link has ended. Messages queued by the peer are lost, as after any
 	// other failure.
 	_ = link.conn.CloseNow()
--- a/linker/linker_test.go
+++ b/linker/linker_test.go
@@ -131,7 +131,7 @@
 }
 
 // Guards against a message type that the decoder does not know, and against a field that is lost in encoding.
-func TestEveryMessageSurvivesTheWire(t *testing.T) {
+func TestEveryMessageRoundTrips(t *testing.T) {
 	is := is.New(t)
 	for _, message := range sampleMessages() {
 		encoded, err := encode(message)
@@ -220,10 +220,10 @@
 		}()
 		return answers
 	}
-	impatient, giveUp := context.WithCancel(context.Background())
+	lateContext, giveUp := context.WithCancel(context.Background())
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	late := call(impatient, "late")
+	late := call(lateContext, "late")
 	lateID := (<-b.messages).(Forward).ID
 	first := call(ctx, "first")
 	firstID := (<-b.messages).(Forward).ID
@@ -346,7 +346,7 @@
 
 // Guards against running jobs for an instance that can no longer pass their answers to its callers: both sides are
 // notified when a link ends.
-func TestEndOfALinkIsTold(t *testing.T) {
+func TestEndOfLinkIsReported(t *testing.T) {
 	is := is.New(t)
 	a, b := startNode(t, "local", "a", testLimits()), startNode(t, "local", "b", testLimits())
 	join(t, a, b)
--- a/measurer/cluster.go
+++ b/measurer/cluster.go
@@ -93,7 +93,7 @@
 		cluster.clock.after(connectTimeout, func() { cluster.routeJob(job) })
 		return
 	}
-	domain.instances[drawIndex(cluster.jobRandom, domain.weights)].handle(job)
+	domain.instances[drawIndex(cluster.jobRandom, domain.weights)].handleJob(job)
 }
 
 // drawIndex returns a random index with a probability proportional to its weight.
--- a/measurer/instance.go
+++ b/measurer/instance.go
@@ -101,8 +101,8 @@
 	instance.cluster.counts.recordRefused(progress)
 }
 
-// handle admits or refuses a job that arrives at the instance.
-func (instance *instance) handle(job *job) {
+// handleJob admits or refuses a job that arrives at the instance.
+func (instance *instance) handleJob(job *job) {
 	if instance.cluster.variant.naive {
 		instance.handleNaive(job)
 		return
@@ -150,7 +150,7 @@
 		}
 		if choice, ok := instance.router.Pick(attempt.progress.job.kind.name, now); ok {
 			attempt.choice = choice
-			instance.send(attempt)
+			instance.sendStart(attempt)
 			continue
 		}
 		instance.retries = append(instance.retries, attempt)
@@ -173,25 +173,25 @@
 		progress.tasksStarted++
 		progress.tasksInFlight++
 		progress.attempts = append(progress.attempts, attempt)
-		instance.send(attempt)
+		instance.sendStart(attempt)
 	}
 }
 
-// send sends the task of attempt to its target.
-func (instance *instance) send(attempt *attempt) {
+// sendStart sends the task of attempt to its target.
+func (instance *instance) sendStart(attempt *attempt) {
 	clock, job := instance.cluster.clock, attempt.progress.job
 	instance.cluster.counts.recordStart(job)
 	attempt.pending = true
 	choice := attempt.choice
 	clock.after(targetDelay, func() {
 		instance.runners[choice.Name()].start(job, attempt.task, func(answer answer) {
-			clock.after(targetDelay, func() { instance.receive(attempt, choice, answer) })
+			clock.after(targetDelay, func() { instance.handleAnswer(attempt, choice, answer) })
 		})
 	})
 }
 
-// receive handles the answer of a target. An answer that arrives after the job was answered is wasted.
-func (instance *instance) receive(attempt *attempt, choice router.Choice, answer answer) {
+// handleAnswer handles the answer of a target. An answer that arrives after the job was answered is wasted.
+func (instance *instance) handleAnswer(attempt *attempt, choice router.Choice, answer answer) {
 	counts, progress, now := &instance.cluster.counts, attempt.progress, instance.cluster.clock.now
 	counts.recordAnswer(progress.job)
 	if !attempt.pending {
--- a/router/api.go
+++ b/router/api.go
@@ -83,7 +83,7 @@
 	target   *target
 	kind     int32
 	inFlight int32
-	at       int64
+	chosenAt int64
 	trial    bool
 }
 
--- a/router/choose.go
+++ b/router/choose.go
@@ -67,7 +67,7 @@
 	target.trialInFlight = target.trialInFlight || trial
 	router.inFlight++
 	router.reindex(target)
-	return Choice{target: target, kind: kindID, inFlight: target.inFlight, at: now, trial: trial}
+	return Choice{target: target, kind: kindID, inFlight: target.inFlight, chosenAt: now, trial: trial}
 }
 
 // candidates are the targets that one decision chooses from: first those with free slots within the share, then
--- a/router/learn.go
+++ b/router/learn.go
@@ -53,7 +53,7 @@
 // call for it.
 func (router *Router) recordFinished(choice Choice, runTime float64, now int64) {
 	target := choice.target
-	elapsed := float64(now - choice.at)
+	elapsed := float64(now - choice.chosenAt)
 	if runTime <= 0 {
 		runTime = elapsed
 	}
--- a/server/bundles.go
+++ b/server/bundles.go
@@ -54,7 +54,7 @@
 			sleeper.For(ctx, logRetryDelay)
 			continue
 		}
-		server.foldPage(bundles, page)
+		server.applyPage(bundles, page)
 		server.renewBundle(ctx, bundles)
 	}
 }
@@ -66,8 +66,8 @@
 	return log.Read(ctx, stream, from, wait)
 }
 
-// foldPage applies the records of the page.
-func (server *Server) foldPage(bundles *bundler.Bundler, page appender.Page) {
+// applyPage applies the records of the page.
+func (server *Server) applyPage(bundles *bundler.Bundler, page appender.Page) {
 	entries := make([]bundler.Entry, len(page.Records))
 	for i, record := range page.Records {
 		entries[i] = bundler.Entry{Offset: record.Offset, Data: record.Data}
--- a/server/bundles_test.go
+++ b/server/bundles_test.go
@@ -23,7 +23,7 @@
 	"github.com/hyssoplift/hyssoplift/submitter"
 )
 
-const switchBundle = `[bundle]
+const bundleTemplate = `[bundle]
 version = %d
 [failure-domain local]
 [target runner-1]
@@ -75,7 +75,7 @@
 	defer logServer.Close()
 	defer runnerServer.Close()
 	address := strings.TrimPrefix(runnerServer.URL, "http://")
-	first, keys, err := signBundle(fmt.Sprintf(switchBundle, 1, address, "loop-check"), nil)
+	first, keys, err := signBundle(fmt.Sprintf(bundleTemplate, 1, address, "loop-check"), nil)
 	is.NoErr(err)
 	log.Append(bundler.Stream, first)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -100,7 +100,7 @@
 	}()
 	<-started
 	replaced := int64(0)
-	second, _, err := signBundle(fmt.Sprintf(switchBundle, 2, address, "circuit-plan"), &replaced)
+	second, _, err := signBundle(fmt.Sprintf(bundleTemplate, 2, address, "circuit-plan"), &replaced)
 	is.NoErr(err)
 	log.Append(bundler.Stream, second)
 	waitFor(t, func() bool { return server.bundle.Load().Version() == 2 })
--- a/server/burn.go
+++ b/server/burn.go
@@ -49,7 +49,7 @@
 		return
 	}
 	now := time.Now()
-	grant := request.grant
+	grant := request.countGrant
 	if _, unknown := outcome.(dispatcher.Unknown); unknown {
 		grant = reporter.Undecided
 	}
@@ -58,15 +58,15 @@
 
 // grantCount reports whether the instance to which the caller sent the request may count it.
 func (server *Server) grantCount(request *request) bool {
-	if request.grant != reporter.KeyOwner {
+	if request.countGrant != reporter.KeyOwner {
 		// The owner is another instance, which has already decided.
-		return request.grant == reporter.Granted
+		return request.countGrant == reporter.Granted
 	}
 	return request.origin != "" && server.accountant.GrantCount(request.job.Key(), request.origin, time.Now())
 }
 
-// handleBurn returns the handler of the burn report.
-func (server *Server) handleBurn() handler {
+// burnHandler returns the handler of the burn report.
+func (server *Server) burnHandler() handler {
 	burn := accountant.Handler(server.log)
 	return func(exchange *exchange) { burn.ServeHTTP(exchange, exchange.request) }
 }
--- a/server/decider.go
+++ b/server/decider.go
@@ -51,8 +51,8 @@
 }
 
 // newDecider returns a decider that triggers the keeper's timeouts until ctx is done.
-func newDecider(ctx context.Context, kept *keeper.Keeper, links *linker.Linker, logger hclog.Logger) *decider {
-	decider := &decider{keeper: kept, linker: links, logger: logger, seed: maphash.MakeSeed()}
+func newDecider(ctx context.Context, jobKeeper *keeper.Keeper, peerLinker *linker.Linker, logger hclog.Logger) *decider {
+	decider := &decider{keeper: jobKeeper, linker: peerLinker, logger: logger, seed: maphash.MakeSeed()}
 	for i := range decider.shards {
 		decider.shards[i] = &deciderShard{tickets: make(map[uint64]*waiter), keys: make(map[string][]*waiter)}
 	}
--- a/server/dispatch.go
+++ b/server/dispatch.go
@@ -70,14 +70,14 @@
 	case taskGrant := <-grants:
 		run.start(ctx, taskGrant)
 	case end := <-run.ends:
-		run.end(end)
+		run.recordEnd(end)
 	case <-run.job.expired:
 		run.failed = true
 	case <-ctx.Done():
 		run.abort()
 		// Tasks in flight end with ctx. Waiting for them keeps the answer complete.
 		for run.ended < run.started {
-			run.end(<-run.ends)
+			run.recordEnd(<-run.ends)
 		}
 	}
 }
@@ -91,8 +91,8 @@
 	}()
 }
 
-// end records the result of a task, and aborts the rest of the job unless the task succeeded.
-func (run *jobRun) end(end taskEnd) {
+// recordEnd records the result of a task, and aborts the rest of the job unless the task succeeded.
+func (run *jobRun) recordEnd(end taskEnd) {
 	run.ended++
 	run.results[end.index] = end.result
 	if _, ok := end.result.(starter.Success); !ok {
--- a/server/drain.go
+++ b/server/drain.go
@@ -84,12 +84,12 @@
 
 // Shutdown makes the instance not ready, keeps serving until balancerWait, waits for the requests and jobs in flight,
 // hands its slices over, and then returns. If ctx is done first, it returns an error that says what was left.
-func (server *Server) Shutdown(ctx context.Context, balancerWait time.Time) error {
+func (server *Server) Shutdown(ctx context.Context, serveUntil time.Time) error {
 	defer server.stop()
 	defer server.linker.Close()
 	server.drainer.start()
 	server.membership.announceLeaving()
-	sleeper.Until(ctx, balancerWait)
+	sleeper.Until(ctx, serveUntil)
 	err := server.http.Shutdown(ctx)
 	for ctx.Err() == nil && (server.drainer.inFlight() > 0 || !server.handedOver()) {
 		sleeper.For(ctx, drainInterval)
--- a/server/filter.go
+++ b/server/filter.go
@@ -137,7 +137,7 @@
 	return func(exchange *exchange) {
 		next(exchange)
 		took := time.Since(exchange.received)
-		server.meter.request(exchange.outcome, took)
+		server.meter.countRequest(exchange.outcome, took)
 		if exchange.status < http.StatusBadRequest && !server.logger.IsDebug() {
 			return
 		}
@@ -173,8 +173,8 @@
 	}
 }
 
-// limitBody reads the whole body, up to the configured maximum.
-func (server *Server) limitBody(next handler) handler {
+// readBody reads the whole body, up to the configured maximum.
+func (server *Server) readBody(next handler) handler {
 	limit := server.settings.Count("max-body-bytes")
 	return func(exchange *exchange) {
 		if exchange.request.ContentLength > limit {
@@ -220,9 +220,9 @@
 			// Set early so that the response to an invalid body and its log line name the job.
 			exchange.key = key
 		}
-		job, fault := encoder.DecodeJob(exchange.body, key, dispatcher.MaxTasks, exchange.received)
-		if fault != nil {
-			exchange.refuse(dispatcher.ReasonInvalid, fault.Field(), fault.Error())
+		job, fieldError := encoder.DecodeJob(exchange.body, key, dispatcher.MaxTasks, exchange.received)
+		if fieldError != nil {
+			exchange.refuse(dispatcher.ReasonInvalid, fieldError.Field(), fieldError.Error())
 			return
 		}
 		if job.Key() != "" {
@@ -238,8 +238,8 @@
 	}
 }
 
-// snapshotBundle attaches the bundle in force to the request, which keeps it until the response.
-func (server *Server) snapshotBundle(next handler) handler {
+// attachBundle attaches the bundle in force to the request, which keeps it until the response.
+func (server *Server) attachBundle(next handler) handler {
 	return func(exchange *exchange) {
 		exchange.bundle = server.bundle.Load()
 		next(exchange)
--- a/server/forward.go
+++ b/server/forward.go
@@ -106,14 +106,14 @@
 		var outcome dispatcher.Outcome
 		answer := response.(linker.ForwardAnswer)
 		if outcome, err = linker.DecodeOutcome(answer.Outcome, time.Now()); err == nil {
-			request.grant = reporter.Denied
+			request.countGrant = reporter.Denied
 			if answer.CountGranted {
-				request.grant = reporter.Granted
+				request.countGrant = reporter.Granted
 			}
 			return outcome
 		}
 	}
-	request.grant = reporter.Undecided
+	request.countGrant = reporter.Undecided
 	server.logger.Warn("forward not answered", "job", request.job.Key(), "error", eris.ToString(err, false))
 	return dispatcher.NewUnknown("the instance that decides this key gave no answer; retry")
 }
--- a/server/lookup.go
+++ b/server/lookup.go
@@ -162,7 +162,7 @@
 		decision, waiter = server.decider.decide(key, func() (keeper.Decision, []keeper.Outgoing) {
 			return server.keeper.Cancel(key, forwarded, time.Now())
 		})
-		if _, early := decision.(keeper.RetryLater); early && time.Now().Before(retryUntil) {
+		if _, undecided := decision.(keeper.RetryLater); undecided && time.Now().Before(retryUntil) {
 			decision = nil
 			sleeper.For(ctx, undecidedRetryDelay)
 		}
--- a/server/membership.go
+++ b/server/membership.go
@@ -46,14 +46,14 @@
 	lister    *lister.Lister
 	retention time.Duration
 	logger    hclog.Logger
-	// status sets the fields of a heartbeat that do not come from the watcher.
-	status func(*linker.Heartbeat)
+	// fillHeartbeat sets the fields of a heartbeat that do not come from the watcher.
+	fillHeartbeat func(*linker.Heartbeat)
 	// excluded is closed when a view has excluded this incarnation.
 	excluded chan struct{}
 
 	mu sync.Mutex
-	// known holds the latest hello from each address of the failure domain.
-	known         map[string]linker.Hello
+	// hellos holds the latest hello from each address of the failure domain.
+	hellos        map[string]linker.Hello
 	lastHeartbeat map[string]lastHeartbeat
 	listed        []lister.Instance
 	listRead      bool
@@ -124,7 +124,7 @@
 		leaving := instance.State == lister.Leaving
 		if instance.Address == membership.self.Address {
 			members = append(members, watcher.ListedInstance{Member: membership.self, Leaving: leaving})
-		} else if hello, ok := membership.known[instance.Address]; ok {
+		} else if hello, ok := membership.hellos[instance.Address]; ok {
 			members = append(members, watcher.ListedInstance{Member: helloMember(hello), Leaving: leaving})
 		}
 	}
@@ -141,10 +141,10 @@
 		return
 	}
 	membership.mu.Lock()
-	if len(membership.known) >= maxKnownPeers {
-		clear(membership.known)
+	if len(membership.hellos) >= maxKnownPeers {
+		clear(membership.hellos)
 	}
-	membership.known[hello.Address] = hello
+	membership.hellos[hello.Address] = hello
 	listed, listRead := membership.listedMembers(), membership.listRead
 	membership.mu.Unlock()
 	if listRead {
@@ -224,7 +224,7 @@
 	for _, suspect := range own.Suspects {
 		heartbeat.Suspects = append(heartbeat.Suspects, string(suspect))
 	}
-	membership.status(&heartbeat)
+	membership.fillHeartbeat(&heartbeat)
 	membership.linker.Broadcast(membership.linker.ConnectedIn(membership.domain), heartbeat)
 }
 
@@ -265,7 +265,7 @@
 		if instance.Address == membership.self.Address {
 			return false
 		}
-		last, heard := membership.lastHeartbeat[membership.known[instance.Address].Incarnation]
+		last, heard := membership.lastHeartbeat[membership.hellos[instance.Address].Incarnation]
 		return !heard || last.view < number
 	})
 	membership.mu.Unlock()
@@ -349,7 +349,7 @@
 	if membership.lister != nil && now.Sub(membership.allGoneSince) < takeoverDelay {
 		return keeper.View{}, false
 	}
-	for address, hello := range membership.known {
+	for address, hello := range membership.hellos {
 		listed := slices.ContainsFunc(membership.listed, func(instance lister.Instance) bool { return instance.Address == address })
 		if listed && now.Sub(membership.lastHeartbeat[hello.Incarnation].at) < watcher.SuspicionTimeout {
 			self = append(self, keeperMembers(helloMember(hello))...)
@@ -366,7 +366,7 @@
 			return true
 		}
 		return slices.ContainsFunc(membership.listed, func(instance lister.Instance) bool {
-			hello, known := membership.known[instance.Address]
+			hello, known := membership.hellos[instance.Address]
 			return instance.Address == member.Address && (!known || hello.Incarnation == member.Incarnation)
 		})
 	})
--- a/server/meter.go
+++ b/server/meter.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// request counts an answered request and records how long it took if it has the outcome of a job.
-func (meter *meter) request(outcome string, duration time.Duration) {
+// countRequest counts an answered request and records how long it took if it has the outcome of a job.
+func (meter *meter) countRequest(outcome string, duration time.Duration) {
 	counter := meter.requests[outcome]
 	if counter == nil {
 		meter.requests["other"].Inc()
--- a/server/metrics_test.go
+++ b/server/metrics_test.go
@@ -27,7 +27,7 @@
 	}
 
 	meter := newMeter(func() float64 { return 0 })
-	meter.request("complete", time.Millisecond) // an empty histogram is not written
+	meter.countRequest("complete", time.Millisecond) // an empty histogram is not written
 	var text bytes.Buffer
 	meter.set.WritePrometheus(&text)
 	var exported []string
--- a/server/server.go
+++ b/server/server.go
@@ -134,8 +134,8 @@
 	server.membership = &membership{
 		self: self, domain: server.domain(), watcher: watcher.New(self, server.started), linker: server.linker,
 		keeper: server.keeper, viewLog: server.viewLog, lister: server.lister, retention: retention, logger: logger,
-		status: server.fillHeartbeat, excluded: make(chan struct{}),
-		known: make(map[string]linker.Hello), lastHeartbeat: make(map[string]lastHeartbeat), suspected: make(map[string]bool),
+		fillHeartbeat: server.fillHeartbeat, excluded: make(chan struct{}),
+		hellos: make(map[string]linker.Hello), lastHeartbeat: make(map[string]lastHeartbeat), suspected: make(map[string]bool),
 		adoptedByAll: keeper.NoView,
 	}
 	go func() { server.viewLog.follow(ctx) }()
@@ -184,7 +184,7 @@
 	mux := http.NewServeMux()
 	mux.Handle(linker.Path, server.linker)
 	mux.Handle("/v1/jobs", methods{
-		http.MethodPost: withCommonFilters(server.submit, server.limitBody, server.decodeJob, server.snapshotBundle, server.trackJobs),
+		http.MethodPost: withCommonFilters(server.submit, server.readBody, server.decodeJob, server.attachBundle, server.trackJobs),
 	})
 	mux.Handle("/v1/jobs/{key}", methods{
 		http.MethodGet:    withCommonFilters(server.handleLookup, server.readKey),
@@ -195,7 +195,7 @@
 	mux.Handle("/healthz", methods{http.MethodGet: withCommonFilters(func(exchange *exchange) { exchange.WriteHeader(http.StatusNoContent) })})
 	mux.Handle("/readyz", methods{http.MethodGet: withCommonFilters(server.handleReady)})
 	mux.Handle("/metrics", methods{http.MethodGet: withCommonFilters(func(exchange *exchange) { server.meter.write(exchange) })})
-	mux.Handle("/v1/burn", methods{http.MethodGet: withCommonFilters(server.handleBurn())})
+	mux.Handle("/v1/burn", methods{http.MethodGet: withCommonFilters(server.burnHandler())})
 	notFound := withCommonFilters(server.handleNotFound)
 	mux.HandleFunc("/", func(writer http.ResponseWriter, request *http.Request) {
 		notFound(&exchange{ResponseWriter: writer, request: request, received: time.Now()})
--- a/server/submit.go
+++ b/server/submit.go
@@ -37,8 +37,8 @@
 	foreign bool
 	// origin is the incarnation to which the caller sent the job, or empty if it is this one.
 	origin string
-	// grant tells whether this instance may count the answer. Forwarding sets it.
-	grant reporter.Grant
+	// countGrant tells whether this instance may count the answer. Forwarding sets it.
+	countGrant reporter.Grant
 	// retryUntil is when to stop retrying while the keeper cannot decide. It is zero before the first attempt.
 	retryUntil time.Time
 }
@@ -99,7 +99,7 @@
 
 // attempt decides the job once. A nil outcome means that the job must be submitted again.
 func (server *Server) attempt(ctx context.Context, request *request) dispatcher.Outcome {
-	request.grant = reporter.KeyOwner
+	request.countGrant = reporter.KeyOwner
 	if outcome := server.forwardToHome(ctx, request); outcome != nil {
 		return outcome
 	}
--- a/server/views.go
+++ b/server/views.go
@@ -88,17 +88,17 @@
 		viewLog.logger.Error("view record ignored", "offset", record.Offset, "error", err.Error())
 		return
 	}
-	before, old := viewLog.decider.keeper.View()
+	previousNumber, previous := viewLog.decider.keeper.View()
 	now := time.Now()
 	viewLog.decider.apply(viewLog.decider.keeper.Adopt(record.Offset, view, now))
 	number, current := viewLog.decider.keeper.View()
-	if number == before {
+	if number == previousNumber {
 		viewLog.logger.Info("view superseded by an earlier record", "offset", record.Offset, "in-force", number)
 		return
 	}
 	viewLog.mu.Lock()
 	viewLog.adoptedAt = now
-	if before == keeper.NoView || current.Reset || isRenewal(old, current) {
+	if previousNumber == keeper.NoView || current.Reset || isRenewal(previous, current) {
 		viewLog.lastRenewal = number
 	}
 	viewLog.mu.Unlock()
