--- a/limiter/api.go
+++ b/limiter/api.go
@@ -35,8 +35,9 @@
 // Order is the order in which waiting jobs start: ByDeadline, ByArrival or ByRemainingWork.
 type Order interface{ isOrder() }
 
-// ByDeadline starts jobs by deadline rounded down to a multiple of step, and jobs with equal rounded deadlines
-// by the total expected run time of their remaining tasks, shortest first.
+// ByDeadline rounds deadlines down to a multiple of step and starts the job with the earliest rounded deadline first.
+// Among jobs with equal rounded deadlines, the one whose remaining tasks have the least total expected run time is
+// first.
 type ByDeadline struct{ step time.Duration }
 
 // ByArrival starts jobs in the order in which they were admitted.
@@ -49,7 +50,8 @@
 func (ByArrival) isOrder()       {}
 func (ByRemainingWork) isOrder() {}
 
-// NewByDeadline returns an order whose deadlines are rounded down to step; 0 compares them exactly.
+// NewByDeadline returns an order that rounds deadlines down to a multiple of step; with a step of 0, it compares them
+// exactly.
 func NewByDeadline(step time.Duration) ByDeadline { return ByDeadline{step: step} }
 
 // Job holds the properties of a job that admission and scheduling depend on.
--- a/limiter/entry.go
+++ b/limiter/entry.go
@@ -18,7 +18,7 @@
 	// defaultRunTime is assumed for a kind that declares no run time.
 	defaultRunTime = 200 * time.Millisecond
 	// minDeadlineStep and maxDeadlineStep bound the step of ByDeadline, within which short jobs overtake long ones.
-	// Up to 2 s, no started job missed its deadline; beyond 10 s, response times did not improve further.
+	// With a step of at most 2 s, no started job missed its deadline; a step above 10 s did not improve response times.
 	minDeadlineStep = 2 * time.Second
 	maxDeadlineStep = 10 * time.Second
 )
@@ -103,11 +103,12 @@
 
 // expectedWait returns the expected time until the tasks ahead of a new entry have been granted.
 //
-// It divides the work ahead by the number of tasks that run at once: for all
-// jobs and, if they are at their limits, for the entry's team and for its kind.
-// The longest of these waits counts. Jobs at the limit of their team or kind do
-// not delay other jobs. Until targets have run out of capacity for the first time,
-// the work ahead of all jobs causes no wait.
+// It is the longest of up to three waits: behind all jobs ahead, behind those of
+// the same team if the team is at its limit, and behind those of the same kind
+// if the kind is at its limit. Each is the run time of the waiting tasks ahead
+// divided by the number of tasks that run at once. Jobs at the limit of their
+// own team or kind do not count among all jobs ahead, and until targets have run
+// out of capacity for the first time, there is no wait behind all jobs.
 func (limiter *Limiter) expectedWait(entry *entry) time.Duration {
 	var all, team, kind time.Duration
 	for _, ahead := range limiter.queue {
@@ -158,8 +159,8 @@
 	return known
 }
 
-// order returns the order of the queue. A started job that misses its deadline wastes its messages, so the step of
-// deadlines shrinks with the weight of wasted messages.
+// order returns the order of the queue. A started job that misses its deadline wastes its messages, so a larger weight
+// of wasted messages gives a smaller step of ByDeadline.
 func (config Config) order() Order {
 	if config.Order != nil {
 		return config.Order
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -55,7 +55,7 @@
 	return kind, team
 }
 
-// nextDue returns the job whose task must be granted next, or nil; kind fullKind has no free target.
+// nextDue returns the job whose task must be granted next, or nil if none may be. The kind fullKind has no free target.
 func (sequence *sequence) nextDue(fullKind string) *modelJob {
 	jobs := slices.Clone(sequence.jobs)
 	slices.SortFunc(jobs, func(a, b *modelJob) int {
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -40,7 +40,7 @@
 	id      uint64
 }
 
-// Full means that the task fits on some worker, but none has enough free capacity now.
+// Full means that the task fits on some worker, but none that is not suspended has enough free capacity now.
 type Full struct{}
 
 // Impossible means that the task is larger than every worker.
@@ -120,7 +120,7 @@
 // Placer places tasks on the workers of one service; it is safe for concurrent use.
 type Placer struct {
 	mu           sync.Mutex
-	states       []*workerState // by rack and name of the worker
+	states       []*workerState // sorted by the rack and the name of the worker
 	byName       map[string]*workerState
 	estimates    map[string]*resourceEstimate
 	reservations map[uint64]reservation
@@ -183,7 +183,7 @@
 }
 
 // ReportUsage records the usage that a worker reported. Usage beyond this instance's reservations is attributed to
-// other instances and kept free until the given time, after which the tasks that caused it have probably ended.
+// other instances and counts as in use until the given time, by which the tasks that cause it have probably ended.
 func (placer *Placer) ReportUsage(worker string, used Resources, until time.Time) {
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
@@ -208,7 +208,8 @@
 	defer placer.mu.Unlock()
 	request := placer.estimate(kind).request(declared)
 	if declared.Fits(placer.largest) {
-		// The estimate may exceed the largest worker. Such a task still runs there, and the worker enforces its limits.
+		// The estimate may exceed every worker although the task was declared smaller. The request is then reduced, so
+		// that the task can still run, and the worker enforces its limits.
 		request = request.minimum(placer.largest)
 	}
 	best := placer.chooseWorker(request, nearRack, now)
--- a/router/api.go
+++ b/router/api.go
@@ -34,11 +34,13 @@
 	DisableEjection bool
 }
 
-// Share is an instance's range in the cumulative weights of the instances of its failure domain, scaled to 0 to 1.
+// Share is the part of the slots of a failure domain that belongs to one instance, as a range between 0 and 1.
 //
-// Instances that list the members of a view in the same order get ranges that
-// do not overlap, and the slots that they derive from them add up to the slots
-// of each target.
+// The ranges follow each other in the order of the instances, and the length of
+// each is the weight of its instance divided by the sum of all weights. Instances
+// that list the members of a view in the same order therefore get ranges that do
+// not overlap, and the slots that they derive from them add up to the slots of
+// each target.
 type Share struct{ low, high float64 }
 
 // NewShare returns the share of instance i among instances with the given weights, which must be positive.
@@ -81,9 +83,9 @@
 // Choice is the target picked for one task; it must be passed to Done exactly once.
 type Choice struct {
 	target   *target
-	kind     int32
-	inFlight int32
-	chosenAt int64
+	kind     int32 // index in Router.kinds
+	inFlight int32 // tasks in flight on the target, including this one, when it was chosen
+	chosenAt int64 // Unix time in nanoseconds
 	trial    bool
 }
 
--- a/router/borrow_test.go
+++ b/router/borrow_test.go
@@ -96,7 +96,7 @@
 	is.Equal(len(fill(router, "check", now)), 1)
 }
 
-// Guards against weights of the bundle without an effect on the ejection threshold.
+// Guards against weights in the bundle that have no effect on the ejection threshold.
 func TestWeightsSetEjection(t *testing.T) {
 	is := is.New(t)
 	for _, test := range []struct {
--- a/router/eject.go
+++ b/router/eject.go
@@ -26,7 +26,7 @@
 	// firstTrialDelay is the base delay from the ejection to the first trial; it doubles with each failed trial,
 	// because each failed trial fails a whole job.
 	firstTrialDelay = 8 * time.Second
-	// trialRetryDelay is the time until a due trial is tried again after the target had no free capacity.
+	// trialRetryDelay is the least time until a trial that did not start when it was checked is checked again.
 	trialRetryDelay = 50 * time.Millisecond
 	// maxTrialDoublings bounds the delay between trials to 8 times the first.
 	maxTrialDoublings = 3
@@ -58,7 +58,8 @@
 	return float64(now-target.lastActivityAt) > overdueRatio*meanRunTime+float64(minOverdue)
 }
 
-// eject ejects a healthy target unless too many are ejected already, and reports whether it did.
+// eject ejects a healthy target and reports whether it did. It does nothing if the target is removed or leaving, or if
+// too many targets are ejected already.
 func (router *Router) eject(target *target, state state, now int64) bool {
 	if router.config.DisableEjection || target.removed || target.leavingUntil != 0 || len(router.ejected) >= router.maxEjected() {
 		return false
@@ -106,7 +107,7 @@
 			due = target
 			continue
 		}
-		// A due trial of a target without free capacity is postponed, so that not every decision checks it again.
+		// A trial that does not start now is postponed, so that not every decision checks it again.
 		target.trialAt = max(target.trialAt, now+int64(trialRetryDelay))
 		router.trialAt = min(router.trialAt, target.trialAt)
 	}
--- a/router/learn.go
+++ b/router/learn.go
@@ -8,8 +8,8 @@
 	targetSmoothing = 0.1
 	// failureSmoothing is the weight of a new result in the failure rate of a target.
 	failureSmoothing = 0.2
-	// borrowStep is the number of slots by which the borrow limit grows when a task that reached the in-flight limit
-	// finishes without having waited.
+	// borrowStep is the number of slots by which the borrow limit of a target grows when a task that brought the tasks
+	// in flight to their limit finishes without having waited for a slot.
 	borrowStep = 1
 	// meanRunTimeSmoothing is the weight of a new run time in the mean of all tasks.
 	meanRunTimeSmoothing = 0.005
@@ -17,10 +17,10 @@
 	overallFailureSmoothing = 0.02
 	// minQueueWait is the longest wait that counts as none; it covers the network delay.
 	minQueueWait = 5 * time.Millisecond
-	// pauseStep is the base time for which a target gets no tasks after it rejected a start; it doubles with each
-	// further rejected start or failure in a row.
+	// pauseStep determines the time for which a target gets no tasks after it rejected a start: it is doubled for each
+	// rejected start or failure in a row and multiplied by 0.5 to 1.5, depending on the weight of wasted messages.
 	pauseStep = 50 * time.Millisecond
-	// maxPauseDoublings bounds the pause to 64 times pauseStep.
+	// maxPauseDoublings bounds the doubled pauseStep to 64 times its value.
 	maxPauseDoublings = 6
 )
 
@@ -49,8 +49,8 @@
 	router.reindex(target)
 }
 
-// recordFinished updates the statistics with a finished task, and ejects its target or ends its ejection if they
-// call for it.
+// recordFinished updates the statistics with a finished task. It ejects a target that has become too slow, and ends the
+// ejection of one that has recovered.
 func (router *Router) recordFinished(choice Choice, runTime float64, now int64) {
 	target := choice.target
 	elapsed := float64(now - choice.chosenAt)
--- a/router/router.go
+++ b/router/router.go
@@ -25,7 +25,7 @@
 	kindIDs           map[string]int32
 	meanRunTime       float64 // run time of all kinds, nanoseconds
 	failureRate       float64 // moving average of failures on all targets, 0 to 1
-	availableShare    int32   // own slots on targets that may get tasks
+	availableShare    int32   // slots within the share on targets that may get tasks
 	inFlight          int
 }
 
@@ -118,8 +118,8 @@
 	return 0.5
 }
 
-// MarkLeaving marks the target named name as leaving. It gets no new tasks until an Update lists it as not leaving;
-// within minLeavingInterval, only an Update after one that listed it as leaving counts.
+// MarkLeaving marks the target named name as leaving. It gets no new tasks until an Update lists it as not leaving.
+// Within minLeavingInterval such an Update is ignored as stale, unless an earlier one listed the target as leaving.
 func (router *Router) MarkLeaving(name string, now time.Time) {
 	router.mu.Lock()
 	defer router.mu.Unlock()
--- a/router/target.go
+++ b/router/target.go
@@ -59,10 +59,11 @@
 	failureRate         float32 // moving average of failures, 0 to 1
 	consecutiveFailures int32   // failures and rejected starts since the last success
 
+	// Times are Unix times in nanoseconds.
 	lastActivityAt  int64 // last answer, or the pick that ended an idle time
-	pickedAt        int64
+	pickedAt        int64 // last pick
 	pausedUntil     int64
-	leavingUntil    int64
+	leavingUntil    int64 // 0 if the target is not leaving, never if the last snapshot lists it as leaving
 	trialAt         int64
 	trialsScheduled int32 // trials scheduled since the target last counted as recovered; sets the delay of the next one
 	byKind          []targetKindStats
@@ -80,9 +81,9 @@
 
 // slotsOf returns the number of target's slots that belong to the share.
 //
-// The offset by the hash of the target's name varies which instances get the
-// fractions of slots, while the shares of all instances still add up to the
-// slots of the target.
+// An offset derived from the FNV-1a hash of the target's name varies from target
+// to target which instances the fractions of slots are rounded up for, while the
+// shares of all instances still add up to the slots of the target.
 func (share Share) slotsOf(target Target) int32 {
 	hash := uint32(2166136261)
 	for i := range len(target.name) {
