--- a/dispatcher/job.go
+++ b/dispatcher/job.go
@@ -33,7 +33,7 @@
 // Payload returns the JSON value that is passed to the target.
 func (task Task) Payload() json.RawMessage { return task.payload }
 
-// Job is a set of tasks of one kind that share a deadline and are answered together.
+// Job is a set of tasks of one kind that share a deadline and get one answer.
 type Job struct {
 	key      string
 	kind     string
--- a/dispatcher/outcome.go
+++ b/dispatcher/outcome.go
@@ -10,7 +10,7 @@
 
 // Fates of a task.
 const (
-	// FateNotStarted means that no target received the task.
+	// FateNotStarted means that the task provably did not start on any target.
 	FateNotStarted Fate = "not-started"
 	// FateUnknown means that the task may have started and its result is not known.
 	FateUnknown Fate = "unknown"
@@ -115,7 +115,7 @@
 	ReasonKeyConflict Reason = "key-conflict"
 	// ReasonCancelled means that the caller cancelled the job before it started.
 	ReasonCancelled Reason = "cancelled"
-	// ReasonOverload means that the queue is full or a quota is used up.
+	// ReasonOverload means that the instance is full, or that the job would wait too long for its deadline.
 	ReasonOverload Reason = "overload"
 	// ReasonUnavailable means that the instance cannot accept the job now.
 	ReasonUnavailable Reason = "unavailable"
--- a/leaser/leaser.go
+++ b/leaser/leaser.go
@@ -22,7 +22,7 @@
 
 const (
 	dialTimeout = time.Second
-	// leaseDuration is the validity that each start and each renewal requests.
+	// leaseDuration is the validity of the lease that each start and each renewal requests.
 	leaseDuration = 10 * time.Second
 	// renewInterval is short enough that the lease survives one lost renewal.
 	renewInterval = 3 * time.Second
@@ -50,7 +50,7 @@
 	leaving bool
 }
 
-// Lost means that the task may have started and that its state could not be determined before the deadline.
+// Lost means that the task may have started and that its result is not known.
 type Lost struct{ detail string }
 
 func (Completed) isResult()  {}
@@ -78,7 +78,7 @@
 // Leaving reports whether the worker is shutting down and accepts no more tasks.
 func (notStarted NotStarted) Leaving() bool { return notStarted.leaving }
 
-// Detail describes the last error seen when contacting the worker.
+// Detail returns why the result is not known.
 func (lost Lost) Detail() string { return lost.detail }
 
 // observedUsage converts the worker's report to a result for the placer.
--- a/linker/linker.go
+++ b/linker/linker.go
@@ -20,7 +20,7 @@
 	// minRedialDelay and maxRedialDelay bound the exponential backoff between connection attempts.
 	minRedialDelay = 50 * time.Millisecond
 	maxRedialDelay = 3 * time.Second
-	// passiveDelay is how long the instance with the greater name waits for the other one to connect, so that two
+	// passiveDelay is how long the instance whose name sorts last waits for the other one to connect, so that two
 	// instances that discover each other at the same time usually end up with one link.
 	passiveDelay = 500 * time.Millisecond
 )
@@ -265,7 +265,8 @@
 	return nil
 }
 
-// maintainLink keeps a link to peer established until ctx is done.
+// maintainLink keeps a link to peer established until ctx is done. It dials only while there is no link, whichever side
+// opened it.
 func (linker *Linker) maintainLink(ctx context.Context, peer Peer) {
 	if linker.self.Name > peer.Name {
 		sleeper.For(ctx, passiveDelay)
--- a/linker/message.go
+++ b/linker/message.go
@@ -52,7 +52,7 @@
 	Suspects      []string `cbor:"suspects,omitempty"`
 	BundleVersion int64    `cbor:"bundle-version"`
 	BundleOffset  int64    `cbor:"bundle-offset"`
-	// Load is the number of tasks queued or in flight.
+	// Load is the number of submitted and forwarded jobs that the sender has not answered yet.
 	Load int64 `cbor:"load"`
 	// Synced means that the sender serves every slice that it owns in View.
 	Synced bool `cbor:"synced"`
--- a/measurer/instance.go
+++ b/measurer/instance.go
@@ -18,7 +18,7 @@
 	router  *router.Router
 	runners map[string]*runner
 	jobs    map[limiter.Ticket]*progress
-	retries []*attempt // granted tasks whose start was rejected and is to be repeated
+	retries []*attempt // granted tasks that are to be started again after a rejected start
 }
 
 // progress is the state of one job at an instance.
--- a/measurer/load.go
+++ b/measurer/load.go
@@ -28,8 +28,8 @@
 	faultyRunners  int           // number of runners with the fault
 	fault          fault
 	rollingRestart bool    // one runner leaves every second and returns 10 s later
-	cancelFraction float64 // fraction of cancelled jobs among those of the first 5 s from faultStart on
-	runTimeError   float64 // largest factor by which declared run times are too long or too short; 0 means exact ones
+	cancelFraction float64 // fraction of the jobs submitted in the 5 s from faultStart on that are cancelled
+	runTimeError   float64 // largest factor by which declared run times are wrong; 0 means that they are exact
 }
 
 // slowdownFactor is the factor by which slow runners slow down.
@@ -61,7 +61,7 @@
 	starts      []int // number of starts of each task
 	submittedAt time.Time
 	deadline    time.Time
-	counted     bool
+	counted     bool // submitted after the warm-up, so that it counts in the results
 	willCancel  bool
 }
 
--- a/starter/starter.go
+++ b/starter/starter.go
@@ -23,7 +23,7 @@
 	maxResultBytes = 1 << 20
 	// maxResponseBytes bounds a response including its headers.
 	maxResponseBytes = maxResultBytes + 64<<10
-	// maxConnections is the number of connections that a runner accepts.
+	// maxConnections is the number of concurrent connections that one runner accepts.
 	maxConnections = 60
 )
 
--- a/submitter/submitter.go
+++ b/submitter/submitter.go
@@ -47,8 +47,9 @@
 func (submitter *Submitter) Resubmissions() int64 { return submitter.resubmissions.Load() }
 
 // Submit sends job, waits for its answer and returns the outcome with the job's key. A job without a key is given one
-// with a prefix issued by the deployment, if it issues any. If the connection is lost or the outcome is unknown, the
-// job is sent again under the same key until its deadline. After an error the job may or may not have run.
+// with a prefix issued by the deployment, or is sent without a key if no prefix could be obtained. If the connection is
+// lost or the outcome is unknown, a job that has a key is sent again under it until its deadline, and one without a key
+// is not. After an error the job may or may not have run.
 func (submitter *Submitter) Submit(ctx context.Context, job dispatcher.Job) (dispatcher.Outcome, string, error) {
 	ctx, cancel := context.WithDeadline(ctx, job.Deadline().Add(answerGrace))
 	defer cancel()
@@ -125,7 +126,7 @@
 	return outcome, key, err
 }
 
-// keyPrefix returns a key prefix, or an empty string if the deployment currently issues none.
+// keyPrefix returns a key prefix that the deployment issued, or an empty string if none could be obtained.
 func (submitter *Submitter) keyPrefix(ctx context.Context) string {
 	if prefix := submitter.prefix.Load(); prefix != nil {
 		return *prefix
@@ -147,8 +148,8 @@
 	return ""
 }
 
-// storePrefix stores the latest prefix, since newer prefixes expire later. It ignores solo prefixes, because a job
-// under one cannot move to another instance.
+// storePrefix replaces the stored prefix, since newer prefixes expire later. It ignores solo prefixes, which an instance
+// issues while it has no view or reaches no other member, because a job under one cannot move to another instance.
 func (submitter *Submitter) storePrefix(prefix string) {
 	if prefix != "" && !strings.Contains(prefix, ".solo") {
 		submitter.prefix.Store(&prefix)
