--- a/server/decider.go
+++ b/server/decider.go
@@ -75,7 +75,7 @@
 	return decider.shards[maphash.String(decider.seed, key)%deciderShards]
 }
 
-// decide calls the keeper, registers a waiter if the decision is to be followed by an event, and sends the messages.
+// decide calls the keeper, registers a waiter if an event will follow the decision, and sends the keeper's messages.
 func (decider *decider) decide(key string, call func() (keeper.Decision, []keeper.Outgoing)) (keeper.Decision, *waiter) {
 	shard := decider.shard(key)
 	shard.mu.Lock()
--- a/server/dispatch.go
+++ b/server/dispatch.go
@@ -75,7 +75,7 @@
 		run.failed = true
 	case <-ctx.Done():
 		run.abort()
-		// Tasks in flight end with ctx. Waiting for them keeps the answer complete.
+		// Tasks in flight end with ctx. Waiting for them lets the answer state the fate of each.
 		for run.ended < run.started {
 			run.recordEnd(<-run.ends)
 		}
@@ -108,8 +108,8 @@
 	}
 }
 
-// startTask runs a task at the granted target. If the task provably did not start there, it tries another target as far
-// as the retry budget allows.
+// startTask runs a task at the granted target. If the task provably did not start there, it tries again, usually on
+// another target, as long as the retry budget allows it.
 func (server *Server) startTask(ctx context.Context, request *request, task dispatcher.Task, taskGrant taskGrant) starter.Result {
 	for {
 		result, routerResult, placerResult := server.runAt(ctx, request, task, taskGrant.place)
@@ -129,7 +129,8 @@
 	}
 }
 
-// pickOtherTarget waits for another target for a task that keeps its grant.
+// pickOtherTarget waits until the task, which keeps its grant, can be given a target again. It returns false if ctx is
+// done first.
 func (server *Server) pickOtherTarget(ctx context.Context, kind string, taskGrant *taskGrant) bool {
 	for ctx.Err() == nil {
 		chosen, ok := server.scheduler.snapshot.Load().pick(kind, time.Now())
--- a/server/drain.go
+++ b/server/drain.go
@@ -82,7 +82,7 @@
 	return len(drainer.jobs), keys
 }
 
-// Shutdown makes the instance not ready, keeps serving until balancerWait, waits for the requests and jobs in flight,
+// Shutdown makes the instance not ready, keeps serving until serveUntil, waits for the requests and jobs in flight,
 // hands its slices over, and then returns. If ctx is done first, it returns an error that says what was left.
 func (server *Server) Shutdown(ctx context.Context, serveUntil time.Time) error {
 	defer server.stop()
--- a/server/lookup.go
+++ b/server/lookup.go
@@ -114,8 +114,9 @@
 	return answer.State, outcome
 }
 
-// homeDecision returns the decision on a plain key whose home is another failure domain, or nil if this one decides.
-// received means that another instance sent the request, which is then not forwarded again.
+// homeDecision returns the decision on a plain key that the keeper is not asked about: to forward the request to the
+// key's home, which is another failure domain, or an unknown outcome. It returns nil if the keeper decides. received
+// means that another instance sent the request, which is then not forwarded again.
 func (server *Server) homeDecision(key string, received bool) keeper.Decision {
 	parsed, err := keeper.ParseKey(key)
 	bundle := server.bundle.Load()
--- a/server/membership.go
+++ b/server/membership.go
@@ -52,7 +52,7 @@
 	excluded chan struct{}
 
 	mu sync.Mutex
-	// hellos holds the latest hello from each address of the failure domain.
+	// hellos holds the latest hello from each instance of the failure domain, by address.
 	hellos        map[string]linker.Hello
 	lastHeartbeat map[string]lastHeartbeat
 	listed        []lister.Instance
@@ -256,8 +256,8 @@
 	}
 }
 
-// checkAdoption tells the keeper when every listed instance has adopted the view in force, so that no earlier owner can
-// start jobs any more.
+// checkAdoption tells the keeper once every listed instance has adopted the view in force. From then on no owner of an
+// earlier view can start jobs.
 func (membership *membership) checkAdoption(now time.Time) {
 	number, _ := membership.keeper.View()
 	membership.mu.Lock()
@@ -329,7 +329,8 @@
 
 // takeover returns the view that replaces one whose members are all gone, or the first view of an instance that has no
 // instance list and is therefore alone. The watcher proposes views only for members, of which none is left. The
-// takeover is safe because the floor rule closes the epochs of the lost view.
+// takeover is safe although the start records of the lost view may be gone: the keeper starts no job under a key that
+// was issued below the view floor, or under a plain key while its slice is closed.
 func (membership *membership) takeover(now time.Time, trimmed bool) (keeper.View, bool) {
 	number, view := membership.keeper.View()
 	self := keeperMembers(membership.self)
--- a/server/meter.go
+++ b/server/meter.go
@@ -20,7 +20,8 @@
 	duration *metrics.Histogram
 }
 
-// outcomeNames are the values of the label outcome. Requests without the outcome of a job are counted as other.
+// outcomeNames are the values of the label outcome. Requests answered without an outcome are counted as other. Problem
+// documents have one even if their request submitted no job.
 var outcomeNames = []string{"complete", "failed", "refused", "unknown", "other"}
 
 func newMeter(inFlight func() float64) *meter {
@@ -65,7 +66,7 @@
 	}
 }
 
-// countRequest counts an answered request and records how long it took if it has the outcome of a job.
+// countRequest counts an answered request, and records how long it took if it was answered with an outcome.
 func (meter *meter) countRequest(outcome string, duration time.Duration) {
 	counter := meter.requests[outcome]
 	if counter == nil {
--- a/server/offers.go
+++ b/server/offers.go
@@ -41,7 +41,7 @@
 }
 
 // randomOtherDomain picks a random failure domain of the bundle in force. It returns false if that is this instance's
-// own or if no other can be reached.
+// own, if there is no other, or if no instance list is configured.
 func (server *Server) randomOtherDomain() (string, bool) {
 	bundle := server.bundle.Load()
 	if bundle == nil || server.lister == nil || len(bundle.FailureDomains()) < 2 {
--- a/server/server.go
+++ b/server/server.go
@@ -107,7 +107,7 @@
 	return server
 }
 
-// setUpMembership creates the components that make the instance a member of its failure domain.
+// setUpMembership creates and starts the components that make the instance a member of its failure domain.
 func (server *Server) setUpMembership(ctx context.Context) {
 	settings, logger := server.settings, server.logger
 	retention := time.Duration(settings.Count("retention")) * time.Millisecond
--- a/server/submit.go
+++ b/server/submit.go
@@ -37,7 +37,7 @@
 	foreign bool
 	// origin is the incarnation to which the caller sent the job, or empty if it is this one.
 	origin string
-	// countGrant tells whether this instance may count the answer. Forwarding sets it.
+	// countGrant tells whether this instance may count the answer in the burn report. Forwarding sets it.
 	countGrant reporter.Grant
 	// retryUntil is when to stop retrying while the keeper cannot decide. It is zero before the first attempt.
 	retryUntil time.Time
@@ -83,8 +83,8 @@
 	return &refused
 }
 
-// resolve returns the job's outcome. It submits the job again when the slice has moved to another owner in the
-// meantime.
+// resolve returns the job's outcome. It submits the job again while the keeper cannot decide, and after the slice has
+// moved to another owner in the meantime.
 func (server *Server) resolve(ctx context.Context, request *request) dispatcher.Outcome {
 	for {
 		outcome := server.attempt(ctx, request)
@@ -115,7 +115,7 @@
 		return server.refuse(ctx, request, *newRefusal(dispatcher.ReasonImpossible, "kind", detail, time.Time{}))
 	}
 	if !server.wouldStart(request) {
-		// Another instance decides, or the answer is known or pending: the job needs no place in the queue.
+		// Another instance decides, or the answer is known or pending, so the job needs no place in the queue.
 		return server.decide(ctx, request, nil, taskGrant{})
 	}
 	return server.enqueue(ctx, request)
@@ -199,7 +199,8 @@
 }
 
 // carryOut acts on the keeper's decision and reports whether the job must be started now. If not, it returns a function
-// for the outcome, because a forward takes time and the caller must first give up its place in the queue.
+// that obtains the outcome. The function may block, as for a forward, so the caller first gives up the job's place in
+// the queue.
 func (server *Server) carryOut(ctx context.Context, request *request, decision keeper.Decision, waiter *waiter) (start bool, outcome func() dispatcher.Outcome) {
 	answer := func(outcome dispatcher.Outcome) (bool, func() dispatcher.Outcome) {
 		return false, func() dispatcher.Outcome { return outcome }
--- a/server/views.go
+++ b/server/views.go
@@ -39,7 +39,7 @@
 	appending bool
 	// adoptedAt is the time at which the view in force was read.
 	adoptedAt time.Time
-	// lastRenewal is the number of the last renewal, or of the first view.
+	// lastRenewal is the number of the last renewal or reset, or of the first view if there was none.
 	lastRenewal int64
 }
 
