--- a/linker/linker_test.go
+++ b/linker/linker_test.go
@@ -81,13 +81,13 @@
 	for _, node := range nodes {
 		for _, peer := range peers {
 			if peer.Incarnation != node.self.Incarnation {
-				waitFor(tb, "the mesh is up", func() bool { return node.Connected(peer.Incarnation) })
+				waitFor(tb, "all instances are linked", func() bool { return node.Connected(peer.Incarnation) })
 			}
 		}
 	}
 }
 
-// sampleMessages returns one message of every type with its fields set.
+// sampleMessages returns one message of every type with most of its fields set.
 func sampleMessages() []Message {
 	outcome := EncodeOutcome(dispatcher.NewFailed("cut", []dispatcher.TaskFate{{Name: "t", Fate: dispatcher.FateFinished, Detail: "d"}}), time.Time{})
 	return []Message{
@@ -315,6 +315,7 @@
 	response, err := a.CallRemote(ctx, b.address(), Lookup{Key: "k"})
 	is.NoErr(err)
 	is.Equal(response.(LookupAnswer).State, "b")
+	// The first link may be closed for being idle at any time, which frees its place.
 	if a.Connected("b-1") {
 		_, err = a.CallRemote(ctx, c.address(), Lookup{Key: "k"})
 		is.True(err == ErrTooManyLinks || !a.Connected("b-1"))
@@ -352,5 +353,5 @@
 	join(t, a, b)
 	is.Equal(b.ended.Load(), int64(0))
 	a.Close()
-	waitFor(t, "the end of the link is told", func() bool { return a.ended.Load() > 0 && b.ended.Load() > 0 })
+	waitFor(t, "both sides are notified", func() bool { return a.ended.Load() > 0 && b.ended.Load() > 0 })
 }
--- a/lister/lister.go
+++ b/lister/lister.go
@@ -22,7 +22,7 @@
 // State is the state of an instance as seen by the platform.
 type State string
 
-// States of an instance.
+// States of a listed instance.
 const (
 	// Live means that the instance is in service.
 	Live State = "live"
@@ -89,7 +89,7 @@
 func (list InstanceList) validate(failureDomain string) error {
 	for _, instance := range list.Instances {
 		if instance.Name == "" || instance.FailureDomain != failureDomain {
-			return eris.Errorf("instance list entry %q has failure domain %q, expected %q", instance.Name, instance.FailureDomain, failureDomain)
+			return eris.Errorf("instance list entry has name %q and failure domain %q, expected a name and failure domain %q", instance.Name, instance.FailureDomain, failureDomain)
 		}
 		if instance.State != Live && instance.State != Leaving {
 			return eris.Errorf("instance list entry %s has unknown state %q", instance.Name, instance.State)
--- a/lister/lister_test.go
+++ b/lister/lister_test.go
@@ -46,9 +46,9 @@
 		body   string
 		good   bool
 	}{
-		{"good", 200, `{"instances":[{"name":"a","failure-domain":"ahd","address":"127.0.0.1:1","state":"leaving"}]}`, true},
-		{"down", 503, ``, false},
-		{"cut", 200, `{"instances":[`, false},
+		{"valid", 200, `{"instances":[{"name":"a","failure-domain":"ahd","address":"127.0.0.1:1","state":"leaving"}]}`, true},
+		{"unavailable", 503, ``, false},
+		{"truncated", 200, `{"instances":[`, false},
 		{"other failure domain", 200, `{"instances":[{"name":"a","failure-domain":"srt","address":"127.0.0.1:1","state":"live"}]}`, false},
 		{"no port", 200, `{"instances":[{"name":"a","failure-domain":"ahd","address":"127.0.0.1","state":"live"}]}`, false},
 		{"unknown state", 200, `{"instances":[{"name":"a","failure-domain":"ahd","address":"127.0.0.1:1","state":"dead"}]}`, false},
--- a/server/cluster_test.go
+++ b/server/cluster_test.go
@@ -117,7 +117,7 @@
 		notRun  bool
 	}{
 		{"forwarded to the owner", "POST", 1, prefix + "a", body("loop-check", "a"), 200, "complete", false},
-		{"held answer replayed", "POST", 2, prefix + "a", body("loop-check", "a"), 200, "complete", false},
+		{"stored answer repeated", "POST", 2, prefix + "a", body("loop-check", "a"), 200, "complete", false},
 		{"from another failure domain", "POST", 3, prefix + "a", body("loop-check", "a"), 200, "complete", false},
 		{"key with another body", "POST", 1, prefix + "a", body("loop-check", "b"), 409, "refused", true},
 		{"found", "GET", 2, prefix + "a", "", 200, "complete", false},
@@ -133,8 +133,8 @@
 		{"unknown kind, confirmed", "POST", 1, prefix + "d", body("other", "d"), 404, "refused", true},
 		{"order needs an issued key", "POST", 1, "order-1", body("wheel-order", "e"), 400, "refused", true},
 		{"order under an issued key", "POST", 1, prefix + "order-1", body("wheel-order", "f"), 200, "complete", false},
-		{"solo key of nobody", "POST", 1, "~ahd.gone.solo-0.x", body("loop-check", "g"), 504, "unknown", false},
-		{"epoch to come", "POST", 1, "~ahd.999.1.x", body("loop-check", "h"), 504, "unknown", false},
+		{"solo key of an unknown incarnation", "POST", 1, "~ahd.gone.solo-0.x", body("loop-check", "g"), 504, "unknown", false},
+		{"epoch in the future", "POST", 1, "~ahd.999.1.x", body("loop-check", "h"), 504, "unknown", false},
 	}
 	for _, step := range steps {
 		t.Run(step.name, func(t *testing.T) {
--- a/starter/starter_test.go
+++ b/starter/starter_test.go
@@ -17,7 +17,8 @@
 	"github.com/hyssoplift/hyssoplift/dispatcher"
 )
 
-// target responds to each request with what answer returns, and closes the connection if it returns an empty string.
+// target is a runner that responds to each request with the text that a function returns, and closes the connection if
+// the text is empty. It counts the requests and the connections.
 type target struct {
 	address string
 	starts  atomic.Int64
@@ -93,7 +94,7 @@
 		{"not JSON", fixed(reply("200 OK", "", "{")), "starter.TaskFailed", 1},
 		{"result too large", fixed(reply("200 OK", "", strings.Repeat("1", maxResultBytes+1))), "starter.TaskFailed", 1},
 		{"closed after the request", fixed(""), "starter.Lost", 1},
-		{"cut in the body", fixed("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 9\r\n\r\n7"), "starter.Lost", 1},
+		{"closed within the body", fixed("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 9\r\n\r\n7"), "starter.Lost", 1},
 		{"endless header", endless, "starter.Lost", 1},
 		{"silent until the deadline", hold, "starter.Lost", 1},
 	}
