--- a/router/router_test.go
+++ b/router/router_test.go
@@ -91,9 +91,9 @@
 // cheapest returns the candidates with the lowest cost, and whether any candidate is overdue.
 func (sequence *sequence) cheapest(candidates []*target, kindID int32) ([]*target, bool) {
 	var cheapest []*target
-	lowest, silent := 0.0, false
+	lowest, anyOverdue := 0.0, false
 	for _, candidate := range candidates {
-		silent = silent || sequence.router.overdue(candidate, sequence.now.UnixNano())
+		anyOverdue = anyOverdue || sequence.router.overdue(candidate, sequence.now.UnixNano())
 		cost := expectedCompletion(sequence.router, candidate, kindID, sequence.now.UnixNano())
 		if len(cheapest) == 0 || cost < lowest {
 			cheapest, lowest = nil, cost
@@ -102,19 +102,19 @@
 			cheapest = append(cheapest, candidate)
 		}
 	}
-	return cheapest, silent
+	return cheapest, anyOverdue
 }
 
 func (sequence *sequence) pick() {
 	kind := fmt.Sprint("kind-", sequence.random.IntN(3))
 	kindID := sequence.router.kindID(kind)
 	candidates := sequence.candidates(kindID)
-	cheapest, silent := sequence.cheapest(candidates, kindID)
+	cheapest, anyOverdue := sequence.cheapest(candidates, kindID)
 	ejected := slices.Clone(sequence.router.ejected)
 	choice, ok := sequence.router.Pick(kind, sequence.now)
 	_, least := sequence.router.config.Policy.(LeastExpectedCompletion)
 	switch {
-	case !ok && len(candidates) > 0 && !silent:
+	case !ok && len(candidates) > 0 && !anyOverdue:
 		sequence.Fatalf("no target was picked, %d have free capacity", len(candidates))
 	case !ok:
 		return
@@ -124,7 +124,7 @@
 		sequence.Fatalf("%s was picked for a trial, but was not ejected", choice.Name())
 	case !choice.trial && !slices.Contains(candidates, choice.target):
 		sequence.Fatalf("%s was picked, but is ejected or has no free capacity", choice.Name())
-	case least && !choice.trial && !silent && !slices.Contains(cheapest, choice.target):
+	case least && !choice.trial && !anyOverdue && !slices.Contains(cheapest, choice.target):
 		sequence.Fatalf("%s was picked, but does not have the least expected completion", choice.Name())
 	}
 	sequence.reference.inFlight[choice.target]++
@@ -185,7 +185,7 @@
 		if router.config.DisableBorrowing && target.inFlight > target.share || int(target.inFlight) > target.slots {
 			sequence.Fatalf("%s has %d tasks in flight, its share is %d of %d slots", name, target.inFlight, target.share, target.slots)
 		}
-		if up := sequence.reference.isEligible(name) && target.state == healthy; up {
+		if eligible := sequence.reference.isEligible(name) && target.state == healthy; eligible {
 			availableShare += target.share
 			if hasCapacity := target.inFlight < router.inFlightLimit(target); hasCapacity != (target.targetList != nil) {
 				sequence.Fatalf("%s has free capacity: %v, the lists say %v", name, hasCapacity, !hasCapacity)
--- a/server/cluster_test.go
+++ b/server/cluster_test.go
@@ -21,7 +21,7 @@
 	"github.com/hyssoplift/hyssoplift/lister"
 )
 
-const twoDomains = `[bundle]
+const twoDomainBundle = `[bundle]
 version = 1
 [failure-domain ahd]
 [failure-domain srt]
@@ -51,7 +51,7 @@
 	tb.Helper()
 	records, list := emulator.NewLog(), emulator.NewList(0)
 	target, log, instances := httptest.NewServer(runner), httptest.NewServer(records), httptest.NewServer(list)
-	record, keys, err := signBundle(fmt.Sprintf(twoDomains, target.Listener.Addr()), nil)
+	record, keys, err := signBundle(fmt.Sprintf(twoDomainBundle, target.Listener.Addr()), nil)
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/server/dispatch.go
+++ b/server/dispatch.go
@@ -121,7 +121,7 @@
 		}
 		server.meter.retries.Inc()
 		releasePlace(taskGrant.place, routerResult, placerResult, time.Now())
-		if !server.pickOtherTarget(ctx, request.kind.Name(), &taskGrant) {
+		if !server.awaitTarget(ctx, request.kind.Name(), &taskGrant) {
 			server.scheduler.limiter.Release(taskGrant.grant, time.Now())
 			server.scheduler.issueGrants(time.Now())
 			return result
@@ -129,9 +129,9 @@
 	}
 }
 
-// pickOtherTarget waits until the task, which keeps its grant, can be given a target again. It returns false if ctx is
+// awaitTarget waits until the task, which keeps its grant, can be given a target again. It returns false if ctx is
 // done first.
-func (server *Server) pickOtherTarget(ctx context.Context, kind string, taskGrant *taskGrant) bool {
+func (server *Server) awaitTarget(ctx context.Context, kind string, taskGrant *taskGrant) bool {
 	for ctx.Err() == nil {
 		chosen, ok := server.scheduler.snapshot.Load().pick(kind, time.Now())
 		if ok {
--- a/server/offers_test.go
+++ b/server/offers_test.go
@@ -57,7 +57,7 @@
 	}
 	waitFor(t, inForce(1)) // started while the log was down
 
-	first := fmt.Sprintf(twoDomains, "127.0.0.1:1")
+	first := fmt.Sprintf(twoDomainBundle, "127.0.0.1:1")
 	replaces := int64(0)
 	second, _, err := signBundle(strings.Replace(first, "version = 1", "version = 2", 1), &replaces)
 	is.NoErr(err)
