--- a/server/decider.go
+++ b/server/decider.go
@@ -179,7 +179,7 @@
 	for _, out := range outgoing {
 		// The keeper retransmits what is required, so a message that cannot be sent is treated as lost.
 		if err := decider.linker.Send(out.To.Incarnation, linker.KeeperMessage{Message: out.Message}); err != nil {
-			decider.logger.Debug("message to keeper not sent", "peer", out.To.Name, "error", eris.ToString(err, false))
+			decider.logger.Debug("message to peer keeper not sent", "peer", out.To.Name, "error", eris.ToString(err, false))
 		}
 	}
 }
