--- a/linker/linker_test.go
+++ b/linker/linker_test.go
@@ -81,13 +81,13 @@
 	for _, node := range nodes {
 		for _, peer := range peers {
 			if peer.Incarnation != node.self.Incarnation {
-				waitFor(tb, "the mesh is up", func() bool { return node.Connected(peer.Incarnation) })
+				waitFor(tb, "all instances are linked", func() bool { return node.Connected(peer.Incarnation) })
 			}
 		}
 	}
 }
 
-// sampleMessages returns one message of every type with its fields set.
+// sampleMessages returns one message of every type with most of its fields set.
 func sampleMessages() []Message {
 	outcome := EncodeOutcome(dispatcher.NewFailed("cut", []dispatcher.TaskFate{{Name: "t", Fate: dispatcher.FateFinished, Detail: "d"}}), time.Time{})
 	return []Message{
@@ -131,7 +131,7 @@
 }
 
 // Guards against a message type that the decoder does not know, and against a field that is lost in encoding.
-func TestEveryMessageSurvivesTheWire(t *testing.T) {
+func TestEveryMessageRoundTrips(t *testing.T) {
 	is := is.New(t)
 	for _, message := range sampleMessages() {
 		encoded, err := encode(message)
@@ -220,10 +220,10 @@
 		}()
 		return answers
 	}
-	impatient, giveUp := context.WithCancel(context.Background())
+	lateContext, giveUp := context.WithCancel(context.Background())
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	late := call(impatient, "late")
+	late := call(lateContext, "late")
 	lateID := (<-b.messages).(Forward).ID
 	first := call(ctx, "first")
 	firstID := (<-b.messages).(Forward).ID
@@ -315,6 +315,7 @@
 	response, err := a.CallRemote(ctx, b.address(), Lookup{Key: "k"})
 	is.NoErr(err)
 	is.Equal(response.(LookupAnswer).State, "b")
+	// The first link may be closed for being idle at any time, which frees its place.
 	if a.Connected("b-1") {
 		_, err = a.CallRemote(ctx, c.address(), Lookup{Key: "k"})
 		is.True(err == ErrTooManyLinks || !a.Connected("b-1"))
@@ -346,11 +347,11 @@
 
 // Guards against running jobs for an instance that can no longer pass their answers to its callers: both sides are
 // notified when a link ends.
-func TestEndOfALinkIsTold(t *testing.T) {
+func TestEndOfLinkIsReported(t *testing.T) {
 	is := is.New(t)
 	a, b := startNode(t, "local", "a", testLimits()), startNode(t, "local", "b", testLimits())
 	join(t, a, b)
 	is.Equal(b.ended.Load(), int64(0))
 	a.Close()
-	waitFor(t, "the end of the link is told", func() bool { return a.ended.Load() > 0 && b.ended.Load() > 0 })
+	waitFor(t, "both sides are notified", func() bool { return a.ended.Load() > 0 && b.ended.Load() > 0 })
 }
--- a/server/decider.go
+++ b/server/decider.go
@@ -51,8 +51,8 @@
 }
 
 // newDecider returns a decider that triggers the keeper's timeouts until ctx is done.
-func newDecider(ctx context.Context, kept *keeper.Keeper, links *linker.Linker, logger hclog.Logger) *decider {
-	decider := &decider{keeper: kept, linker: links, logger: logger, seed: maphash.MakeSeed()}
+func newDecider(ctx context.Context, jobKeeper *keeper.Keeper, peerLinker *linker.Linker, logger hclog.Logger) *decider {
+	decider := &decider{keeper: jobKeeper, linker: peerLinker, logger: logger, seed: maphash.MakeSeed()}
 	for i := range decider.shards {
 		decider.shards[i] = &deciderShard{tickets: make(map[uint64]*waiter), keys: make(map[string][]*waiter)}
 	}
@@ -75,7 +75,7 @@
 	return decider.shards[maphash.String(decider.seed, key)%deciderShards]
 }
 
-// decide calls the keeper, registers a waiter if the decision is to be followed by an event, and sends the messages.
+// decide calls the keeper, registers a waiter if an event will follow the decision, and sends the keeper's messages.
 func (decider *decider) decide(key string, call func() (keeper.Decision, []keeper.Outgoing)) (keeper.Decision, *waiter) {
 	shard := decider.shard(key)
 	shard.mu.Lock()
@@ -179,7 +179,7 @@
 	for _, out := range outgoing {
 		// The keeper retransmits what is required, so a message that cannot be sent is treated as lost.
 		if err := decider.linker.Send(out.To.Incarnation, linker.KeeperMessage{Message: out.Message}); err != nil {
-			decider.logger.Debug("message to keeper not sent", "peer", out.To.Name, "error", eris.ToString(err, false))
+			decider.logger.Debug("message to peer keeper not sent", "peer", out.To.Name, "error", eris.ToString(err, false))
 		}
 	}
 }
--- a/server/dispatch.go
+++ b/server/dispatch.go
@@ -70,14 +70,14 @@
 	case taskGrant := <-grants:
 		run.start(ctx, taskGrant)
 	case end := <-run.ends:
-		run.end(end)
+		run.recordEnd(end)
 	case <-run.job.expired:
 		run.failed = true
 	case <-ctx.Done():
 		run.abort()
-		// Tasks in flight end with ctx. Waiting for them keeps the answer complete.
+		// Tasks in flight end with ctx. Waiting for them lets the answer state the fate of each.
 		for run.ended < run.started {
-			run.end(<-run.ends)
+			run.recordEnd(<-run.ends)
 		}
 	}
 }
@@ -91,8 +91,8 @@
 	}()
 }
 
-// end records the result of a task, and aborts the rest of the job unless the task succeeded.
-func (run *jobRun) end(end taskEnd) {
+// recordEnd records the result of a task, and aborts the rest of the job unless the task succeeded.
+func (run *jobRun) recordEnd(end taskEnd) {
 	run.ended++
 	run.results[end.index] = end.result
 	if _, ok := end.result.(starter.Success); !ok {
@@ -108,8 +108,8 @@
 	}
 }
 
-// startTask runs a task at the granted target. If the task provably did not start there, it tries another target as far
-// as the retry budget allows.
+// startTask runs a task at the granted target. If the task provably did not start there, it tries again, usually on
+// another target, as long as the retry budget allows it.
 func (server *Server) startTask(ctx context.Context, request *request, task dispatcher.Task, taskGrant taskGrant) starter.Result {
 	for {
 		result, routerResult, placerResult := server.runAt(ctx, request, task, taskGrant.place)
@@ -121,7 +121,7 @@
 		}
 		server.meter.retries.Inc()
 		releasePlace(taskGrant.place, routerResult, placerResult, time.Now())
-		if !server.pickOtherTarget(ctx, request.kind.Name(), &taskGrant) {
+		if !server.awaitTarget(ctx, request.kind.Name(), &taskGrant) {
 			server.scheduler.limiter.Release(taskGrant.grant, time.Now())
 			server.scheduler.issueGrants(time.Now())
 			return result
@@ -129,8 +129,9 @@
 	}
 }
 
-// pickOtherTarget waits for another target for a task that keeps its grant.
-func (server *Server) pickOtherTarget(ctx context.Context, kind string, taskGrant *taskGrant) bool {
+// awaitTarget waits until the task, which keeps its grant, can be given a target again. It returns false if ctx is
+// done first.
+func (server *Server) awaitTarget(ctx context.Context, kind string, taskGrant *taskGrant) bool {
 	for ctx.Err() == nil {
 		chosen, ok := server.scheduler.snapshot.Load().pick(kind, time.Now())
 		if ok {
--- a/server/membership.go
+++ b/server/membership.go
@@ -46,14 +46,14 @@
 	lister    *lister.Lister
 	retention time.Duration
 	logger    hclog.Logger
-	// status sets the fields of a heartbeat that do not come from the watcher.
-	status func(*linker.Heartbeat)
+	// fillHeartbeat sets the fields of a heartbeat that do not come from the watcher.
+	fillHeartbeat func(*linker.Heartbeat)
 	// excluded is closed when a view has excluded this incarnation.
 	excluded chan struct{}
 
 	mu sync.Mutex
-	// known holds the latest hello from each address of the failure domain.
-	known         map[string]linker.Hello
+	// hellos holds the latest hello from each instance of the failure domain, by address.
+	hellos        map[string]linker.Hello
 	lastHeartbeat map[string]lastHeartbeat
 	listed        []lister.Instance
 	listRead      bool
@@ -124,7 +124,7 @@
 		leaving := instance.State == lister.Leaving
 		if instance.Address == membership.self.Address {
 			members = append(members, watcher.ListedInstance{Member: membership.self, Leaving: leaving})
-		} else if hello, ok := membership.known[instance.Address]; ok {
+		} else if hello, ok := membership.hellos[instance.Address]; ok {
 			members = append(members, watcher.ListedInstance{Member: helloMember(hello), Leaving: leaving})
 		}
 	}
@@ -141,10 +141,10 @@
 		return
 	}
 	membership.mu.Lock()
-	if len(membership.known) >= maxKnownPeers {
-		clear(membership.known)
+	if len(membership.hellos) >= maxKnownPeers {
+		clear(membership.hellos)
 	}
-	membership.known[hello.Address] = hello
+	membership.hellos[hello.Address] = hello
 	listed, listRead := membership.listedMembers(), membership.listRead
 	membership.mu.Unlock()
 	if listRead {
@@ -224,7 +224,7 @@
 	for _, suspect := range own.Suspects {
 		heartbeat.Suspects = append(heartbeat.Suspects, string(suspect))
 	}
-	membership.status(&heartbeat)
+	membership.fillHeartbeat(&heartbeat)
 	membership.linker.Broadcast(membership.linker.ConnectedIn(membership.domain), heartbeat)
 }
 
@@ -256,8 +256,8 @@
 	}
 }
 
-// checkAdoption tells the keeper when every listed instance has adopted the view in force, so that no earlier owner can
-// start jobs any more.
+// checkAdoption tells the keeper once every listed instance has adopted the view in force. From then on no owner of an
+// earlier view can start jobs.
 func (membership *membership) checkAdoption(now time.Time) {
 	number, _ := membership.keeper.View()
 	membership.mu.Lock()
@@ -265,7 +265,7 @@
 		if instance.Address == membership.self.Address {
 			return false
 		}
-		last, heard := membership.lastHeartbeat[membership.known[instance.Address].Incarnation]
+		last, heard := membership.lastHeartbeat[membership.hellos[instance.Address].Incarnation]
 		return !heard || last.view < number
 	})
 	membership.mu.Unlock()
@@ -329,7 +329,8 @@
 
 // takeover returns the view that replaces one whose members are all gone, or the first view of an instance that has no
 // instance list and is therefore alone. The watcher proposes views only for members, of which none is left. The
-// takeover is safe because the floor rule closes the epochs of the lost view.
+// takeover is safe although the start records of the lost view may be gone: the keeper starts no job under a key that
+// was issued below the view floor, or under a plain key while its slice is closed.
 func (membership *membership) takeover(now time.Time, trimmed bool) (keeper.View, bool) {
 	number, view := membership.keeper.View()
 	self := keeperMembers(membership.self)
@@ -349,7 +350,7 @@
 	if membership.lister != nil && now.Sub(membership.allGoneSince) < takeoverDelay {
 		return keeper.View{}, false
 	}
-	for address, hello := range membership.known {
+	for address, hello := range membership.hellos {
 		listed := slices.ContainsFunc(membership.listed, func(instance lister.Instance) bool { return instance.Address == address })
 		if listed && now.Sub(membership.lastHeartbeat[hello.Incarnation].at) < watcher.SuspicionTimeout {
 			self = append(self, keeperMembers(helloMember(hello))...)
@@ -366,7 +367,7 @@
 			return true
 		}
 		return slices.ContainsFunc(membership.listed, func(instance lister.Instance) bool {
-			hello, known := membership.known[instance.Address]
+			hello, known := membership.hellos[instance.Address]
 			return instance.Address == member.Address && (!known || hello.Incarnation == member.Incarnation)
 		})
 	})
