--- a/bundler/fold_test.go
+++ b/bundler/fold_test.go
@@ -158,7 +158,7 @@
 			if i, got := runSteps(New(testKeys), test.steps); i >= 0 {
 				t.Errorf("step %d: got %q, want %q", i, got, test.steps[i].want)
 			}
-			if i, _ := runSteps(&naive{}, test.steps); i < 0 {
+			if i, _ := runSteps(&naiveConsumer{}, test.steps); i < 0 {
 				t.Error("the naive consumer passes, so the case tests nothing")
 			}
 		})
--- a/bundler/parse.go
+++ b/bundler/parse.go
@@ -119,8 +119,8 @@
 	return reader.choice(key, fallback, "true", "false") == "true"
 }
 
-// close returns the first error of the section. A key that is not in known is an error.
-func (reader *reader) close(known ...string) error {
+// finish returns the first error of the section. A key that is not in known is an error.
+func (reader *reader) finish(known ...string) error {
 	if reader.err != nil || reader.used == len(reader.section.keys) {
 		return reader.err
 	}
@@ -141,7 +141,7 @@
 	if err := scanSections(text, parser.add); err != nil {
 		return nil, eris.Wrap(err, "reading the bundle")
 	}
-	return parser.close()
+	return parser.finish()
 }
 
 // parser builds a bundle from its sections.
@@ -185,14 +185,14 @@
 	case "bundle":
 		bundle.version = reader.number("version", required, 1, maxVersion)
 		bundle.part, _ = reader.lookup("part")
-		return reader.close("version", "part")
+		return reader.finish("version", "part")
 	case "policy":
 		bundle.policy.responseTimeWeight = int(reader.number("response-time-weight", defaultWeight, 0, maxWeight))
 		bundle.policy.wastedMessageWeight = int(reader.number("wasted-message-weight", defaultWeight, 0, maxWeight))
-		return reader.close("response-time-weight", "wasted-message-weight")
+		return reader.finish("response-time-weight", "wasted-message-weight")
 	default:
 		bundle.retention.log = reader.seconds("log-seconds", defaultLogSeconds)
-		return reader.close("log-seconds")
+		return reader.finish("log-seconds")
 	}
 }
 
@@ -203,24 +203,24 @@
 		bundle.failureDomains = append(bundle.failureDomains, name)
 		domain := FailureDomain{name: name, leaving: reader.boolean("leaving", "false"), split: reader.boolean("split", "false")}
 		setOnce(reader, bundle.domains, name, domain)
-		return reader.close("leaving", "split")
+		return reader.finish("leaving", "split")
 	case "service":
 		protocol := reader.choice("protocol", string(ProtocolRunner), string(ProtocolRunner), string(ProtocolWorker))
 		setOnce(reader, bundle.services, name, Service{name: name, protocol: Protocol(protocol)})
-		return reader.close("protocol")
+		return reader.finish("protocol")
 	case "target":
 		bundle.targets = append(bundle.targets, readTarget(reader, name))
-		return reader.close("failure-domain", "service", "address", "slots", "rack", "milli-cores", "memory-mb", "accelerators")
+		return reader.finish("failure-domain", "service", "address", "slots", "rack", "milli-cores", "memory-mb", "accelerators")
 	case "kind":
 		setOnce(reader, bundle.kinds, name, readKind(reader, name))
-		return reader.close("service", "repeatable", "max-tasks", "max-in-flight", "run-ms", "milli-cores", "memory-mb", "accelerators")
+		return reader.finish("service", "repeatable", "max-tasks", "max-in-flight", "run-ms", "milli-cores", "memory-mb", "accelerators")
 	case "team":
 		setOnce(reader, bundle.teams, name, Team{name: name, maxInFlight: int(reader.number("max-in-flight", required, 0, maxInFlight))})
-		return reader.close("max-in-flight")
+		return reader.finish("max-in-flight")
 	case "objective":
 		within := time.Duration(reader.number("within-ms", required, 0, maxRunMS)) * time.Millisecond
 		setOnce(reader, bundle.objectives, name, Objective{kind: name, within: within, targetPercent: reader.percent("target-percent")})
-		return reader.close("within-ms", "target-percent")
+		return reader.finish("within-ms", "target-percent")
 	}
 	return eris.Errorf("line %d: %s: is not a known section", reader.section.line, reader.section.title())
 }
@@ -284,8 +284,8 @@
 	return nil
 }
 
-// close completes the bundle after the last section.
-func (parser *parser) close() (*Bundle, error) {
+// finish completes the bundle after the last section.
+func (parser *parser) finish() (*Bundle, error) {
 	bundle := parser.bundle
 	if bundle.version == 0 {
 		return nil, eris.New("[bundle] version: is missing")
--- a/bundler/schedule_test.go
+++ b/bundler/schedule_test.go
@@ -38,8 +38,8 @@
 // concurrently. inForceOffset and inForceSince are the reference for the bundle in force.
 type simulation struct {
 	random *rand.Rand
-	// make returns a new consumer for an instance.
-	make          func() consumer
+	// newConsumer returns a new consumer for an instance.
+	newConsumer   func() consumer
 	now           time.Time
 	log           []logRecord
 	earliest      int64
@@ -59,7 +59,7 @@
 
 func newSimulation(seed uint64, newConsumer func() consumer) *simulation {
 	simulation := &simulation{
-		random: rand.New(rand.NewPCG(seed, 1)), make: newConsumer, now: start, inForceOffset: noOffset,
+		random: rand.New(rand.NewPCG(seed, 1)), newConsumer: newConsumer, now: start, inForceOffset: noOffset,
 		logCutUntil: make(map[string]time.Time), linksCutUntil: make(map[string]time.Time),
 	}
 	for _, domain := range []string{"ahd", "srt", "vdr"} {
@@ -79,9 +79,9 @@
 	return simulation.now.Add(time.Duration(1+simulation.random.IntN(seconds)) * time.Second)
 }
 
-// append adds a record to the log and updates the reference, which is derived from the whole history of the log: a valid
+// appendRecord adds a record to the log and updates the reference, which is derived from the whole history of the log: a valid
 // record comes into force if it replaces the bundle in force and has a higher version.
-func (simulation *simulation) append(record Record, data []byte, valid bool) {
+func (simulation *simulation) appendRecord(record Record, data []byte, valid bool) {
 	offset := int64(len(simulation.log))
 	entry := logRecord{data: data, record: record, at: simulation.now, valid: valid, replacedOffset: record.replacedOffset()}
 	version := int64(0)
@@ -131,9 +131,9 @@
 			simulation.checkOutcome(operator.publication, outcome)
 			operator.publication = nil
 		} else if !simulation.now.Before(operator.due) {
-			simulation.append(operator.publication.record, operator.publication.Data(), true)
+			simulation.appendRecord(operator.publication.record, operator.publication.Data(), true)
 			if simulation.random.IntN(4) == 0 { // the response is late, and the operator appends again
-				simulation.append(operator.publication.record, operator.publication.Data(), true)
+				simulation.appendRecord(operator.publication.record, operator.publication.Data(), true)
 			}
 		}
 	}
@@ -162,18 +162,18 @@
 	switch simulation.random.IntN(4) {
 	case 0:
 		data := encode(record)
-		simulation.append(Record{}, data[:simulation.random.IntN(len(data))], false)
+		simulation.appendRecord(Record{}, data[:simulation.random.IntN(len(data))], false)
 	case 1:
 		record.Text += "# forged\n"
-		simulation.append(record, encode(record), false)
+		simulation.appendRecord(record, encode(record), false)
 	case 2: // an old record is appended again, or one that lost a race
 		if len(simulation.log) > 0 {
 			old := simulation.log[simulation.random.IntN(len(simulation.log))]
-			simulation.append(old.record, old.data, old.valid)
+			simulation.appendRecord(old.record, old.data, old.valid)
 		}
 	default:
 		record = signed(bundleText(record.Version, "broken", "[team none]\nmax-in-flight = 0"), simulation.inForceOffset)
-		simulation.append(record, encode(record), false)
+		simulation.appendRecord(record, encode(record), false)
 	}
 }
 
@@ -189,7 +189,7 @@
 	}
 	if simulation.chance(4) {
 		instance := simulation.instances[simulation.random.IntN(len(simulation.instances))]
-		instance.consumer, instance.lastOffset, instance.reachableSince = simulation.make(), noOffset, time.Time{}
+		instance.consumer, instance.lastOffset, instance.reachableSince = simulation.newConsumer(), noOffset, time.Time{}
 	}
 }
 
@@ -229,7 +229,7 @@
 				panic(err)
 			}
 			record, _ := DecodeRecord(data)
-			simulation.append(record, data, false)
+			simulation.appendRecord(record, data, false)
 		}
 	}
 	peer := simulation.instances[simulation.random.IntN(len(simulation.instances))]
@@ -300,7 +300,7 @@
 		if len(simulation.violations) > 0 {
 			t.Errorf("seed %d: %d violations, first: %s", seed, len(simulation.violations), simulation.violations[0])
 		}
-		naiveSimulation := newSimulation(seed, func() consumer { return &naive{} })
+		naiveSimulation := newSimulation(seed, func() consumer { return &naiveConsumer{} })
 		naiveSimulation.run()
 		if len(naiveSimulation.violations) == 0 {
 			t.Errorf("seed %d: the naive consumer passes, so the schedule tests nothing", seed)
--- a/bundler/support_test.go
+++ b/bundler/support_test.go
@@ -88,7 +88,7 @@
 	return page
 }
 
-// consumer is the interface under test. Bundler implements it, and naive, which the tests must catch.
+// consumer is the interface under test. Bundler implements it, and so does naiveConsumer, which must fail the tests.
 type consumer interface {
 	NextOffset() int64
 	ApplyPage(Page, time.Time) []Event
@@ -96,16 +96,17 @@
 	Offer() (Offer, bool)
 }
 
-// naive is a faulty consumer: it puts every record that parses in force, whether it comes from the log or from a peer.
-type naive struct {
+// naiveConsumer is a faulty consumer: it puts every record that parses in force, whether it comes from the log or from
+// a peer.
+type naiveConsumer struct {
 	next  int64
 	offer Offer
 	known bool
 }
 
-func (naive *naive) NextOffset() int64 { return naive.next }
+func (naive *naiveConsumer) NextOffset() int64 { return naive.next }
 
-func (naive *naive) ApplyPage(page Page, _ time.Time) []Event {
+func (naive *naiveConsumer) ApplyPage(page Page, _ time.Time) []Event {
 	for _, entry := range page.Entries {
 		naive.next = entry.Offset + 1
 		if record, err := DecodeRecord(entry.Data); err == nil {
@@ -115,7 +116,7 @@
 	return nil
 }
 
-func (naive *naive) HandleOffer(offer Offer, _ time.Time) ([]Event, error) {
+func (naive *naiveConsumer) HandleOffer(offer Offer, _ time.Time) ([]Event, error) {
 	if _, err := parseText(offer.Record.Text); err != nil {
 		return nil, err
 	}
@@ -123,7 +124,7 @@
 	return nil, nil
 }
 
-func (naive *naive) Offer() (Offer, bool) { return naive.offer, naive.known }
+func (naive *naiveConsumer) Offer() (Offer, bool) { return naive.offer, naive.known }
 
 // inForceNote returns the note of the bundle in force, or an empty string if there is none.
 func inForceNote(consumer consumer) string {
--- a/cmd/hyssoplift/cluster_test.go
+++ b/cmd/hyssoplift/cluster_test.go
@@ -87,9 +87,9 @@
 	cluster.t.Fatalf("the members did not agree on one view; last status: %s", last)
 }
 
-// fetchJSON decodes the JSON document at url into the value and returns its text. After an error it returns the text of
-// the error, and the value may be unchanged.
-func fetchJSON(url string, into any) string {
+// fetchJSON decodes the JSON document at url into value and returns its text. After an error, it returns the text of
+// the error, and value may be unchanged.
+func fetchJSON(url string, value any) string {
 	client := http.Client{Timeout: 2 * time.Second}
 	response, err := client.Get(url)
 	if err != nil {
@@ -97,7 +97,7 @@
 	}
 	defer response.Body.Close()
 	text, _ := io.ReadAll(response.Body)
-	_ = json.Unmarshal(text, into)
+	_ = json.Unmarshal(text, value)
 	return string(text)
 }
 
--- a/commander/bundle.go
+++ b/commander/bundle.go
@@ -302,11 +302,11 @@
 
 // bundleInForce returns the bundle of part that is in force according to the log, or nil if the log proves none.
 func (flags *bundleFlags) bundleInForce(ctx context.Context, part string) (*bundler.Bundle, error) {
-	bundles, _, err := flags.readLog(ctx, part)
-	if err != nil || bundles.Snapshot() == nil {
+	partBundler, _, err := flags.readLog(ctx, part)
+	if err != nil || partBundler.Snapshot() == nil {
 		return nil, err
 	}
-	return bundles.Snapshot().Bundle(), nil
+	return partBundler.Snapshot().Bundle(), nil
 }
 
 // readLog returns a bundler that has read the stream of part to its end, and an event for each record.
@@ -318,17 +318,17 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	bundles := bundler.NewPart(keys, part)
-	events, err := readToEnd(ctx, appender.New(flags.log), bundles)
-	return bundles, events, err
+	partBundler := bundler.NewPart(keys, part)
+	events, err := readToEnd(ctx, appender.New(flags.log), partBundler)
+	return partBundler, events, err
 }
 
 func (flags *bundleFlags) status(ctx context.Context, _ []string) error {
-	bundles, _, err := flags.readLog(ctx, flags.part)
+	partBundler, _, err := flags.readLog(ctx, flags.part)
 	if err != nil {
 		return err
 	}
-	snapshot := bundles.Snapshot()
+	snapshot := partBundler.Snapshot()
 	if snapshot == nil {
 		return eris.New("the log proves no bundle to be in force")
 	}
--- a/commander/publish.go
+++ b/commander/publish.go
@@ -36,21 +36,21 @@
 	if err != nil {
 		return err
 	}
-	bundles, _, err := flags.readLog(ctx, bundle.Part())
+	partBundler, _, err := flags.readLog(ctx, bundle.Part())
 	if err != nil {
 		return err
 	}
-	if snapshot := bundles.Snapshot(); snapshot != nil && snapshot.Text() == record.Text {
+	if snapshot := partBundler.Snapshot(); snapshot != nil && snapshot.Text() == record.Text {
 		return flags.printInForce(record, snapshot.Offset())
 	}
 	if err := flags.checkLint(ctx, bundle); err != nil {
 		return err
 	}
-	publication, err := bundles.Publish(record)
+	publication, err := partBundler.Publish(record)
 	if err != nil {
 		return err
 	}
-	outcome, err := appendAndWait(ctx, appender.New(flags.log), bundles, publication)
+	outcome, err := appendAndWait(ctx, appender.New(flags.log), partBundler, publication)
 	if err != nil {
 		return err
 	}
@@ -85,11 +85,11 @@
 
 // appendAndWait appends the publication and reads the log until that record or another one has replaced the bundle in
 // force. An append that failed may still have reached the log; it is repeated only if reads do not show the record.
-func appendAndWait(ctx context.Context, log *appender.Appender, bundles *bundler.Bundler, publication *bundler.Publication) (bundler.Outcome, error) {
+func appendAndWait(ctx context.Context, log *appender.Appender, partBundler *bundler.Bundler, publication *bundler.Publication) (bundler.Outcome, error) {
 	for ctx.Err() == nil {
-		appendErr := appendOnce(ctx, log, bundles, publication)
+		appendErr := appendOnce(ctx, log, partBundler, publication)
 		for reads := 0; ctx.Err() == nil && (appendErr == nil || reads < readsBeforeReappend); {
-			events, _, err := readOnce(ctx, log, bundles, readWait)
+			events, _, err := readOnce(ctx, log, partBundler, readWait)
 			if err != nil {
 				sleeper.For(ctx, readRetryDelay)
 				continue
@@ -103,19 +103,19 @@
 	return nil, eris.New("the log did not show the outcome in time: the bundle may still come into force; run hyssoplift bundle status, then publish again")
 }
 
-func appendOnce(ctx context.Context, log *appender.Appender, bundles *bundler.Bundler, publication *bundler.Publication) error {
+func appendOnce(ctx context.Context, log *appender.Appender, partBundler *bundler.Bundler, publication *bundler.Publication) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	_, err := log.Append(ctx, bundles.Stream(), publication.Data())
+	_, err := log.Append(ctx, partBundler.Stream(), publication.Data())
 	return err
 }
 
-// readOnce reads one page of the log into bundles. It returns the events of the page and whether the page reached the
+// readOnce reads one page of the log into partBundler. It returns the events of the page and whether the page reached the
 // end of the log.
-func readOnce(ctx context.Context, log *appender.Appender, bundles *bundler.Bundler, wait time.Duration) ([]bundler.Event, bool, error) {
+func readOnce(ctx context.Context, log *appender.Appender, partBundler *bundler.Bundler, wait time.Duration) ([]bundler.Event, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
-	page, err := log.Read(ctx, bundles.Stream(), bundles.NextOffset(), wait)
+	page, err := log.Read(ctx, partBundler.Stream(), partBundler.NextOffset(), wait)
 	if err != nil {
 		return nil, false, err
 	}
@@ -123,15 +123,15 @@
 	for i, record := range page.Records {
 		entries[i] = bundler.Entry{Offset: record.Offset, Data: record.Data}
 	}
-	events := bundles.ApplyPage(bundler.Page{Earliest: page.Earliest, Next: page.Next, Entries: entries}, time.Now())
-	return events, bundles.NextOffset() >= page.Next, nil
+	events := partBundler.ApplyPage(bundler.Page{Earliest: page.Earliest, Next: page.Next, Entries: entries}, time.Now())
+	return events, partBundler.NextOffset() >= page.Next, nil
 }
 
-// readToEnd reads the log into bundles up to its end and returns all events; with an error, those up to the failure.
-func readToEnd(ctx context.Context, log *appender.Appender, bundles *bundler.Bundler) ([]bundler.Event, error) {
+// readToEnd reads the log into partBundler up to its end. It returns all events; after an error, those before it.
+func readToEnd(ctx context.Context, log *appender.Appender, partBundler *bundler.Bundler) ([]bundler.Event, error) {
 	var all []bundler.Event
 	for {
-		events, end, err := readOnce(ctx, log, bundles, 0)
+		events, end, err := readOnce(ctx, log, partBundler, 0)
 		all = append(all, events...)
 		if err != nil || end {
 			return all, err
--- a/commander/report.go
+++ b/commander/report.go
@@ -37,11 +37,11 @@
 	kind, value, hasValue := strings.Cut(text, "=")
 	milliseconds, percent, hasPercent := strings.Cut(value, ":")
 	within, err := strconv.ParseInt(milliseconds, 10, 32)
-	share, shareErr := strconv.ParseFloat(percent, 64)
-	if kind == "" || !hasValue || !hasPercent || err != nil || shareErr != nil {
+	targetPercent, percentErr := strconv.ParseFloat(percent, 64)
+	if kind == "" || !hasValue || !hasPercent || err != nil || percentErr != nil {
 		return eris.Errorf("got %q, want KIND=MS:PERCENT, such as loop-check=500:99.9", text)
 	}
-	objective, err := reporter.NewObjective(time.Duration(within)*time.Millisecond, share)
+	objective, err := reporter.NewObjective(time.Duration(within)*time.Millisecond, targetPercent)
 	objectiveFlag[kind] = objective
 	return err
 }
--- a/configurer/configurer.go
+++ b/configurer/configurer.go
@@ -100,7 +100,7 @@
 	for _, setting := range Table() {
 		flagValue := &flagValue{setting: setting, text: setting.defaultValue}
 		values = append(values, flagValue)
-		flags.Var(flagValue, setting.name, setting.text)
+		flags.Var(flagValue, setting.name, setting.description)
 	}
 	err := ff.Parse(flags, args, ff.WithEnvVarPrefix(envPrefix), ff.WithConfigFileFlag("config"), ff.WithConfigFileParser(parseINI))
 	if errors.Is(err, flag.ErrHelp) {
@@ -125,11 +125,11 @@
 	return envPrefix + "_" + strings.ToUpper(strings.ReplaceAll(name, "-", "_"))
 }
 
-func newReadError(err error, config string) error {
-	if config == "" {
+func newReadError(err error, configPath string) error {
+	if configPath == "" {
 		return eris.Errorf("reading settings: %v", err)
 	}
-	return eris.Errorf("reading settings (file %s): %v", config, err)
+	return eris.Errorf("reading settings (file %s): %v", configPath, err)
 }
 
 func parseINI(source io.Reader, set func(name, value string) error) error {
@@ -157,6 +157,6 @@
 func writeUsage(writer io.Writer) {
 	fmt.Fprintln(writer, "Settings (flag, environment variable or INI file, in this order of precedence):")
 	for _, setting := range Table() {
-		fmt.Fprintf(writer, "  --%-18s %s  [%s, default %q, %s]\n", setting.name, setting.text, setting.unit, setting.defaultValue, envName(setting.name))
+		fmt.Fprintf(writer, "  --%-18s %s  [%s, default %q, %s]\n", setting.name, setting.description, setting.unit, setting.defaultValue, envName(setting.name))
 	}
 }
--- a/configurer/table.go
+++ b/configurer/table.go
@@ -27,7 +27,7 @@
 	minimum      int64
 	maximum      int64
 	required     bool
-	text         string
+	description  string
 }
 
 // Name returns the setting's name in the INI file and on the command line.
@@ -40,23 +40,23 @@
 func (setting Setting) Default() string { return setting.defaultValue }
 
 // Description returns the help text of the setting.
-func (setting Setting) Description() string { return setting.text }
+func (setting Setting) Description() string { return setting.description }
 
 // Table returns all settings of an entry instance.
 func Table() []Setting {
 	return []Setting{
-		{name: "failure-domain", unit: UnitText, required: true, text: "Failure domain that this instance is in."},
-		{name: "instance", unit: UnitText, required: true, text: "Name of this instance, unique in its failure domain."},
-		{name: "listen", unit: UnitAddress, defaultValue: "127.0.0.1:8480", text: "Address on which callers, operators and peers are served."},
-		{name: "log", unit: UnitAddress, required: true, text: "Address of the platform's log service."},
-		{name: "bundle-keys", unit: UnitKeys, required: true, text: "Public keys of the operators who may sign bundles, as NAME:KEY,NAME:KEY."},
-		{name: "list", unit: UnitAddress, text: "Address of the platform's instance list; without it, the instance has no peers in its failure domain."},
-		{name: "advertise", unit: UnitAddress, text: "Address at which the other instances reach this one; defaults to the address that it listens on."},
-		{name: "retention", unit: UnitMilliseconds, defaultValue: "600000", minimum: 1000, maximum: (24 * time.Hour).Milliseconds(), text: "How long answers are kept, and the interval of view renewals."},
-		{name: "max-records", unit: UnitCount, defaultValue: "1000000", minimum: 1000, maximum: 100_000_000, text: "Maximum number of start records; above it, new jobs are refused."},
-		{name: "max-answer-bytes", unit: UnitCount, defaultValue: "268435456", minimum: 1 << 20, maximum: 1 << 40, text: "Maximum size of the answers kept for resubmissions, in bytes; above it, the oldest are dropped and answered as lost."},
-		{name: "stop-timeout", unit: UnitMilliseconds, defaultValue: "30000", minimum: 100, maximum: (10 * time.Minute).Milliseconds(), text: "Maximum duration of a planned stop."},
-		{name: "balancer-wait", unit: UnitMilliseconds, defaultValue: "5000", minimum: 0, maximum: (5 * time.Minute).Milliseconds(), text: "How long a stopping instance keeps serving while it is not ready, so that the balancer notices."},
-		{name: "max-body-bytes", unit: UnitCount, defaultValue: "4194304", minimum: 1024, maximum: 64 << 20, text: "Maximum size of a request body, in bytes."},
+		{name: "failure-domain", unit: UnitText, required: true, description: "Failure domain that this instance is in."},
+		{name: "instance", unit: UnitText, required: true, description: "Name of this instance, unique in its failure domain."},
+		{name: "listen", unit: UnitAddress, defaultValue: "127.0.0.1:8480", description: "Address on which callers, operators and peers are served."},
+		{name: "log", unit: UnitAddress, required: true, description: "Address of the platform's log service."},
+		{name: "bundle-keys", unit: UnitKeys, required: true, description: "Public keys of the operators who may sign bundles, as NAME:KEY,NAME:KEY."},
+		{name: "list", unit: UnitAddress, description: "Address of the platform's instance list; without it, the instance has no peers in its failure domain."},
+		{name: "advertise", unit: UnitAddress, description: "Address at which the other instances reach this one; defaults to the address that it listens on."},
+		{name: "retention", unit: UnitMilliseconds, defaultValue: "600000", minimum: 1000, maximum: (24 * time.Hour).Milliseconds(), description: "How long answers are kept, and the interval of view renewals."},
+		{name: "max-records", unit: UnitCount, defaultValue: "1000000", minimum: 1000, maximum: 100_000_000, description: "Maximum number of start records; above it, new jobs are refused."},
+		{name: "max-answer-bytes", unit: UnitCount, defaultValue: "268435456", minimum: 1 << 20, maximum: 1 << 40, description: "Maximum size of the answers kept for resubmissions, in bytes; above it, the oldest are dropped and answered as lost."},
+		{name: "stop-timeout", unit: UnitMilliseconds, defaultValue: "30000", minimum: 100, maximum: (10 * time.Minute).Milliseconds(), description: "Maximum duration of a planned stop."},
+		{name: "balancer-wait", unit: UnitMilliseconds, defaultValue: "5000", minimum: 0, maximum: (5 * time.Minute).Milliseconds(), description: "How long a stopping instance keeps serving while it is not ready, so that the balancer notices."},
+		{name: "max-body-bytes", unit: UnitCount, defaultValue: "4194304", minimum: 1024, maximum: 64 << 20, description: "Maximum size of a request body, in bytes."},
 	}
 }
--- a/estimator/estimator_test.go
+++ b/estimator/estimator_test.go
@@ -28,18 +28,18 @@
 	is := is.New(t)
 	measurements, err := Parse(strings.NewReader(testOutput))
 	is.NoErr(err)
-	fit, ok := measurements.fit(series{"alpha.Beta", "items", "ns/op"})
+	fit, ok := measurements.fit(seriesKey{"alpha.Beta", "items", "ns/op"})
 	is.True(ok && fit.Fitted())
 	is.True(approxEqual(fit.Slope(), 8.0/11))
 	is.True(approxEqual(fit.Intercept(), 16.0/11))
 	is.True(approxEqual(fit.Spread(), math.Sqrt(1.0/11)))
 	is.True(fit.Covers(4) && !fit.Covers(5))
 
-	fit, ok = measurements.fit(series{"alpha.Gamma/ini/cols=3", "rows", "ns/op"})
+	fit, ok = measurements.fit(seriesKey{"alpha.Gamma/ini/cols=3", "rows", "ns/op"})
 	is.True(ok && !fit.Fitted() && approxEqual(fit.At(1000), 7)) // no slope is derived from one size
-	_, ok = measurements.fit(series{"alpha.Bare", "size", "ns/op"})
+	_, ok = measurements.fit(seriesKey{"alpha.Bare", "size", "ns/op"})
 	is.True(ok)
-	fit, ok = measurements.fit(series{"alpha.Delta", "", "ns/op"})
+	fit, ok = measurements.fit(seriesKey{"alpha.Delta", "", "ns/op"})
 	is.True(ok && !fit.Fitted() && approxEqual(fit.At(0), 9)) // a benchmark without a size
 }
 
--- a/estimator/fit.go
+++ b/estimator/fit.go
@@ -83,7 +83,7 @@
 }
 
 // fit returns the line fitted to the samples of one series, and false if there are none.
-func (measurements *Measurements) fit(key series) (Fit, bool) {
+func (measurements *Measurements) fit(key seriesKey) (Fit, bool) {
 	samples := measurements.samples[key]
 	if len(samples) == 0 {
 		return Fit{}, false
--- a/estimator/page.go
+++ b/estimator/page.go
@@ -127,13 +127,13 @@
 	page.linef("\n## Fitted lines\n")
 	page.linef("Value = intercept + slope x size; the spread is the standard deviation of the residuals, in percent of the values.\n")
 	page.linef("| benchmark | unit | size is | measured sizes | slope | intercept | spread |\n|---|---|---|---|---|---|---|")
-	keys := make([]series, 0, len(estimate.measurements.samples))
+	keys := make([]seriesKey, 0, len(estimate.measurements.samples))
 	for key := range estimate.measurements.samples {
 		if key.unit != "allocs/op" {
 			keys = append(keys, key)
 		}
 	}
-	slices.SortFunc(keys, func(a, b series) int {
+	slices.SortFunc(keys, func(a, b seriesKey) int {
 		return strings.Compare(a.family+" "+a.dimension+" "+a.unit, b.family+" "+b.dimension+" "+b.unit)
 	})
 	for _, key := range keys {
--- a/estimator/parse.go
+++ b/estimator/parse.go
@@ -19,13 +19,13 @@
 // sample is one measured value at one size.
 type sample struct{ size, value float64 }
 
-// series identifies the samples that one line is fitted to. The family is package.Name with the labels that stay
+// seriesKey identifies the samples that one line is fitted to. The family is package.Name with the labels that stay
 // fixed, the dimension is the label that varies (empty for a benchmark without sizes).
-type series struct{ family, dimension, unit string }
+type seriesKey struct{ family, dimension, unit string }
 
 // Measurements holds the parsed output of go test -bench.
 type Measurements struct {
-	samples map[series][]sample
+	samples map[seriesKey][]sample
 	cpu     string
 }
 
@@ -44,7 +44,7 @@
 // Parse reads the output of go test -bench. It fails on a malformed benchmark line and on a failed package, because a
 // table without the lost measurements would look complete.
 func Parse(reader io.Reader) (*Measurements, error) {
-	measurements := &Measurements{samples: make(map[series][]sample)}
+	measurements := &Measurements{samples: make(map[seriesKey][]sample)}
 	lines := bufio.NewScanner(reader)
 	lines.Buffer(nil, maxLineBytes)
 	packageName := ""
@@ -99,11 +99,11 @@
 		}
 		hasSize = true
 		others := append(append([]string(nil), labels[:i]...), labels[i+1:]...)
-		key := series{family: prefix + strings.Join(others, "/"), dimension: dimension, unit: unit}
+		key := seriesKey{family: prefix + strings.Join(others, "/"), dimension: dimension, unit: unit}
 		measurements.samples[key] = append(measurements.samples[key], sample{size: size, value: value})
 	}
 	if !hasSize {
-		key := series{family: prefix + strings.Join(labels, "/"), unit: unit}
+		key := seriesKey{family: prefix + strings.Join(labels, "/"), unit: unit}
 		measurements.samples[key] = append(measurements.samples[key], sample{value: value})
 	}
 }
--- a/estimator/row.go
+++ b/estimator/row.go
@@ -8,7 +8,7 @@
 // term is one summand of a quantity: the value of a fitted line at a size, times a multiplier. Without a family it is
 // the multiplier alone.
 type term struct {
-	series
+	seriesKey
 	size       float64
 	multiplier float64
 	// fallback replaces a family without measurements; the family is still listed as missing.
@@ -23,7 +23,7 @@
 
 // measuredTerm returns the term for one unit of a benchmark family at a size, times a multiplier.
 func measuredTerm(family, dimension, unit string, size, multiplier float64) term {
-	return term{series: series{family: family, dimension: dimension, unit: unit}, size: size, multiplier: multiplier}
+	return term{seriesKey: seriesKey{family: family, dimension: dimension, unit: unit}, size: size, multiplier: multiplier}
 }
 
 // cpuTerm returns the share of a core taken by an operation that runs rate times per second.
@@ -90,7 +90,7 @@
 	if term.family == "" {
 		return Quantity{value: term.multiplier}
 	}
-	fit, ok := measurements.fit(term.series)
+	fit, ok := measurements.fit(term.seriesKey)
 	switch {
 	case !ok && term.fallback != nil:
 		return measurements.evaluateTerm(*term.fallback).plus(Quantity{missing: []string{term.family}})
--- a/supervisor/supervisor.go
+++ b/supervisor/supervisor.go
@@ -53,9 +53,8 @@
 type Supervisor struct {
 	// settings are the settings in use. Only the goroutine of Run accesses them and the next two fields.
 	settings platform.Settings
-	// restartRequired are the settings read last that differ from settings in a way that takes effect only after a
-	// restart.
-	restartRequired platform.Settings
+	// deferredSettings are the settings of the last reload that changed a setting which takes effect only after a restart.
+	deferredSettings platform.Settings
 	// settingsUnreadable means that the last attempt to read the settings file failed.
 	settingsUnreadable bool
 	logWriter          *recorder.AsyncWriter
@@ -245,13 +244,13 @@
 		supervisor.logger.Info("settings unchanged")
 	}
 	supervisor.settingsUnreadable = err != nil
-	if err != nil || settings == previous || settings == supervisor.restartRequired {
+	if err != nil || settings == previous || settings == supervisor.deferredSettings {
 		return
 	}
 	supervisor.store.SetAddress(settings.StoreAddress)
 	supervisor.settings.StoreAddress, supervisor.settings.GraceMS = settings.StoreAddress, settings.GraceMS
 	if settings != supervisor.settings {
-		supervisor.restartRequired = settings
+		supervisor.deferredSettings = settings
 		supervisor.logger.Warn("some changed settings take effect only after a restart", "instance", settings.Name)
 	}
 	supervisor.logger.Info("settings changed", "store", settings.StoreAddress, "grace-ms", settings.GraceMS)
