--- a/appender/appender.go
+++ b/appender/appender.go
@@ -13,7 +13,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// MaxResponseBytes limits the body that is read of one response of the log.
+// MaxResponseBytes is the size of the largest response body that the client accepts from the log.
 const MaxResponseBytes = 16 << 20
 
 // maxPageBytes is the limit on the total record size that a read requests. Base64 adds a third, and the log may
--- a/bundler/bundler.go
+++ b/bundler/bundler.go
@@ -11,7 +11,8 @@
 const (
 	// noOffset is the offset before the first record; it means that there is no record.
 	noOffset = -1
-	// maxPendingBytes limits the text of the records that wait for a renewal; an instance has 64 MB of memory in total.
+	// maxPendingBytes limits the text of the records that wait for a renewal. The budget for all control work of an
+	// instance is 64 MB of memory.
 	maxPendingBytes = 16 << 20
 )
 
--- a/estimator/scale.go
+++ b/estimator/scale.go
@@ -1,7 +1,7 @@
 package estimator
 
 // Scale is the size of a deployment. The first group of fields is given by section 1 of docs/design.md, the second
-// group is assumed and printed with the table.
+// group is assumed. The capacity page prints the most important assumptions.
 type Scale struct {
 	targets            float64
 	startRate          float64 // task starts per second at the peak
--- a/supervisor/registry.go
+++ b/supervisor/registry.go
@@ -27,8 +27,8 @@
 	return &targetRegistry{logger: logger, targets: make(map[string]scheduler.Target)}
 }
 
-// update applies records of targets and reports whether the list of targets may have changed. A record that only
-// repeats what is known, such as a heartbeat, changes nothing.
+// update applies records of targets and reports whether the list of targets may have changed. A snapshot always counts
+// as a change. A record that only repeats what is known, such as a heartbeat, does not.
 func (registry *targetRegistry) update(update follower.Update) bool {
 	changed := false
 	if update.Snapshot {
--- a/supervisor/supervisor.go
+++ b/supervisor/supervisor.go
@@ -34,7 +34,8 @@
 	settingsPollInterval = 2 * time.Second
 	// maxRemoteLinks bounds the number of links to instances of other failure domains.
 	maxRemoteLinks = 512
-	// linkTimeout is how long the peer of a link may be silent. Instances exchange messages far more often.
+	// linkTimeout bounds the response to a ping, the handshake, and a write on a link. Instances exchange messages far more
+	// often.
 	linkTimeout = 700 * time.Millisecond
 )
 
