--- a/supervisor/registry.go
+++ b/supervisor/registry.go
@@ -57,7 +57,7 @@
 	}
 	target, err := platform.DecodeTarget(record.Key, record.Value)
 	if err != nil {
-		registry.logger.Debug("ignoring invalid target entry", "target", record.Key, "error", eris.ToString(err, false))
+		registry.logger.Debug("target entry is invalid, target not used", "target", record.Key, "error", eris.ToString(err, false))
 		delete(registry.targets, record.Key)
 		return ok
 	}
