--- a/bundler/bundler.go
+++ b/bundler/bundler.go
@@ -157,8 +157,8 @@
 	}
 	if bundler.current != nil && offer.Offset < bundler.current.offset {
 		if _, err := bundler.open(offer.Record); err == nil {
-			// The peer has an older bundle in force, so this newer one may come into force before the end of the log is
-			// read.
+			// The peer has an older bundle in force, so the newer one here may come into force before the end of the log
+			// is read.
 			bundler.activate()
 		}
 		return nil, eris.Errorf("the peer's bundle at offset %d is older than that at offset %d", offer.Offset, bundler.current.offset)
--- a/bundler/doc.go
+++ b/bundler/doc.go
@@ -1,11 +1,13 @@
 // Package bundler parses, checks and signs configuration bundles, and decides which of the published bundles is in
 // force. It performs no I/O.
 //
-// The bundle in force is identified by the offset of its record. A second offset, through, states that no record up to
-// it replaced the bundle. A reader that has every record after through can continue from there. A reader that misses
-// some of them waits for a renewal in the log or for a peer, which carry a later through. Without through, a reader of
-// a trimmed log could not tell whether a record that it still finds came into force or lost against a record that has
-// been trimmed.
+// The log is trimmed, so instances repeat the bundle in force from time to time in a record called a renewal.
+//
+// The bundle in force is identified by the offset of the record that published it. A second offset, through, states
+// that no record up to it replaced the bundle. A reader that has every record after through can continue from there. A
+// reader that misses some of them waits for a later through, which a renewal in the log or a peer brings. Without
+// through, a reader of a trimmed log could not tell whether a record that it still finds came into force or lost
+// against a record that has been trimmed.
 //
 // A large bundle can be split: the common part is published on one stream and the targets of each split failure domain
 // on a stream of their own. Each stream has its own versions, signatures and renewals. An instance reads the common
--- a/bundler/parse.go
+++ b/bundler/parse.go
@@ -119,7 +119,8 @@
 	return reader.choice(key, fallback, "true", "false") == "true"
 }
 
-// finish returns the first error of the section. A key that is not in known is an error.
+// finish returns the first error of the section after all keys have been looked up. A key that is not in known is an
+// error.
 func (reader *reader) finish(known ...string) error {
 	if reader.err != nil || reader.used == len(reader.section.keys) {
 		return reader.err
--- a/bundler/publication.go
+++ b/bundler/publication.go
@@ -66,8 +66,8 @@
 // Data returns the encoded record to append to the log.
 func (publication *Publication) Data() []byte { return publication.data }
 
-// Observe returns the outcome if it follows from events, which must be all events since the call of Publish. It
-// recognizes the publication by its text and signers, so the log's response to the append is not needed.
+// Observe returns the outcome, or false if events do not show it yet. The calls together must pass all events since the
+// call of Publish. The publication is recognized by its text and signers; the log's response to the append is not needed.
 func (publication *Publication) Observe(events []Event) (Outcome, bool) {
 	for _, event := range events {
 		if event.Decision != DecisionInForce {
--- a/cmd/hyssoplift-standin/main.go
+++ b/cmd/hyssoplift-standin/main.go
@@ -1,5 +1,5 @@
-// Command hyssoplift-standin runs one stand-in of the platform for tests: the log service, the instance list, a runner or
-// a worker.
+// Command hyssoplift-standin runs one emulated service of the platform for tests: the log, the instance list, a runner
+// or a worker.
 package main
 
 import (
--- a/cmd/hyssoplift/main_test.go
+++ b/cmd/hyssoplift/main_test.go
@@ -35,8 +35,9 @@
 `
 
 // linkedPackages makes the test binary depend on the packages of the commands. Together with the source file that
-// buildCommands reads, it invalidates the test cache when the commands change: go test caches by the packages that the
-// test binary links and the files of the module that it opens, and would report a result of earlier commands.
+// buildCommands reads, it invalidates the cached test result when the commands change. The cache key of go test covers
+// only the packages that the test binary links and the files of the module that it opens, so without this a result of
+// earlier commands could be reported.
 var linkedPackages = []any{commander.Run, emulator.NewList}
 
 // buildCommands builds hyssoplift and hyssoplift-standin and returns the folder with the binaries.
--- a/commander/batch.go
+++ b/commander/batch.go
@@ -132,8 +132,8 @@
 	tally.add(line.number, key, outcome, err)
 }
 
-// add counts one answer and prints it. Without --json, complete answers are counted but not printed. An err means that
-// the outcome is unknown.
+// add counts one answer and prints it. Without --json, complete answers are counted but not printed. A non-nil err means
+// that the outcome is unknown.
 func (tally *tally) add(line int, key string, outcome dispatcher.Outcome, err error) {
 	if err != nil {
 		outcome = dispatcher.NewUnknown(err.Error())
--- a/commander/bundle_test.go
+++ b/commander/bundle_test.go
@@ -18,7 +18,7 @@
 	"github.com/hyssoplift/hyssoplift/emulator"
 )
 
-// bundleFixture runs the bundle subcommands in a folder with the keys of two operators, against a log stand-in.
+// bundleFixture runs the bundle subcommands in a folder with the keys of two operators, against an emulated log.
 type bundleFixture struct {
 	t      *testing.T
 	folder string
--- a/emulator/list.go
+++ b/emulator/list.go
@@ -48,7 +48,7 @@
 	return list
 }
 
-// ServeHTTP serves reads and changes of the list and the settings for lag and faults.
+// ServeHTTP serves reads and changes of the list, and requests that set the lag or inject a fault.
 func (list *List) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	list.mux.ServeHTTP(writer, request)
 }
--- a/emulator/worker.go
+++ b/emulator/worker.go
@@ -102,6 +102,8 @@
 	worker.respond(writer, request, lease, body.WaitMS)
 }
 
+// start starts a task under a lease. If the worker rejects the task, the lease is nil and the int is the status of the
+// response. start also returns the fault that applied.
 func (worker *Worker) start(id string, body leaser.LeaseRequest, payload WorkerPayload) (*taskLease, int, WorkerFault) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
--- a/estimator/estimate.go
+++ b/estimator/estimate.go
@@ -77,7 +77,8 @@
 	return quantity
 }
 
-// minInstancesPerDomain leaves a witness and one spare after the loss of one instance.
+// minInstancesPerDomain is the smallest number of instances of a failure domain: after the loss of one, its witness and
+// one spare are left.
 const minInstancesPerDomain = 3
 
 // requiredPerDomain returns how many instances of the given size each failure domain needs to serve demand when its
--- a/estimator/fit.go
+++ b/estimator/fit.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// minSizes is the number of distinct sizes from which growth is fitted; two points always lie on a line.
+// minSizes is the smallest number of distinct sizes that a line is fitted to. Two points always lie on a line, so they
+// would say nothing about the quality of the fit.
 const minSizes = 3
 
 // Fit is a line fitted by weighted least squares to the samples of one unit of one benchmark family.
--- a/estimator/model.go
+++ b/estimator/model.go
@@ -111,8 +111,8 @@
 	bundlesPerSecond := scale.bundleRate()
 	viewsPerSecond := scale.viewRate()
 	part := scale.targets / scale.domains
-	records := scale.jobRate() * 4 * scale.retentionSeconds
-	unsummedRecords := scale.burnRecordRate() * maxSumLagSeconds // burn records since the last hourly sum
+	records := scale.jobRate() * 4 * scale.retentionSeconds      // as in requestRows
+	unsummedRecords := scale.burnRecordRate() * maxSumLagSeconds // at most, burn records since the last hourly sum
 	return []row{
 		{
 			role: roleConfig, function: "bundles as one record: read, verify, parse", driver: byTargets, limits: budget,
--- a/supervisor/supervisor.go
+++ b/supervisor/supervisor.go
@@ -34,14 +34,14 @@
 	settingsPollInterval = 2 * time.Second
 	// maxRemoteLinks bounds the number of links to instances of other failure domains.
 	maxRemoteLinks = 512
-	// linkTimeout bounds the response to a ping, the handshake, and a write on a link. Instances exchange messages far more
-	// often.
+	// linkTimeout bounds the response to a ping, the handshake, and a write on a link. Instances exchange messages far
+	// more often.
 	linkTimeout = 700 * time.Millisecond
 )
 
 var (
-	// configurationPolling detects a connection that stops responding early enough for a new version to be in force 2 s
-	// after the store has acknowledged it.
+	// configurationPolling detects an unresponsive connection early enough that a new version is in force within 2 s after
+	// the store has acknowledged it.
 	configurationPolling = follower.PollOptions{MaxWait: 700 * time.Millisecond, Interval: 10 * time.Millisecond, TimeoutMargin: 700 * time.Millisecond}
 	// targetPolling reads the frequent heartbeats of the targets in batches and notices a leaving target well within 2 s.
 	targetPolling = follower.PollOptions{Interval: 500 * time.Millisecond, TimeoutMargin: 800 * time.Millisecond}
@@ -69,8 +69,9 @@
 	ctx                context.Context
 	cancel             context.CancelFunc
 	group              sync.WaitGroup
-	servers            []*http.Server
-	serveErrors        chan error
+	// servers are in the order in which start creates them; the first one serves callers.
+	servers     []*http.Server
+	serveErrors chan error
 
 	mu       sync.Mutex
 	stopping bool
