--- a/cmd/hyssoplift/main_test.go
+++ b/cmd/hyssoplift/main_test.go
@@ -43,6 +43,7 @@
 // buildCommands builds hyssoplift and hyssoplift-standin and returns the folder with the binaries.
 func buildCommands(t *testing.T) string {
 	t.Helper()
+	// The check of linkedPackages never fails; without a use, staticcheck reports the variable.
 	if _, err := os.ReadFile("../hyssoplift-standin/main.go"); err != nil || slices.Contains(linkedPackages, nil) {
 		t.Fatalf("reading the source of the stand-ins: %v", err)
 	}
--- a/commander/batch.go
+++ b/commander/batch.go
@@ -157,8 +157,8 @@
 	}
 	switch {
 	case tally.asJSON:
-		// Encoding cannot fail, because the answer was decoded from JSON. A write error is ignored: writing to a closed
-		// pipe on standard output ends the process.
+		// Encoding cannot fail, because the results in the answer were decoded from JSON. A write error is ignored: writing
+		// to a closed pipe on standard output ends the process.
 		_ = json.NewEncoder(tally.stdout).Encode(lineAnswer{Line: line, Answer: answer})
 	case answer.Outcome != "complete" && key == "":
 		fmt.Fprintf(tally.stdout, "line %d: %s: %s\n", line, answer.Outcome, answer.Detail)
--- a/configurer/configurer.go
+++ b/configurer/configurer.go
@@ -89,9 +89,9 @@
 	return nil
 }
 
-// Read returns the settings from args, the environment and the INI file named by --config. Its error is a single line
-// that names the source, the setting, its value and the allowed values. If args ask for help, Read writes the usage
-// text and returns flag.ErrHelp.
+// Read returns the settings from args, the environment and the INI file named by --config. Its error is a single line;
+// for an invalid value, it names the source, the setting, the value and the allowed values. If args ask for help, Read
+// writes the usage text and returns flag.ErrHelp.
 func Read(args []string, usage io.Writer) (Settings, error) {
 	flags := flag.NewFlagSet("serve", flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
--- a/estimator/estimate.go
+++ b/estimator/estimate.go
@@ -101,12 +101,12 @@
 
 func (estimate *Estimate) losses() []loss {
 	domains := estimate.scale.domains
-	largest := math.Ceil(domains / estimate.scale.regions)
+	largestRegionDomains := math.Ceil(domains / estimate.scale.regions)
 	return []loss{
 		{name: "one failure domain, work goes to all others", lost: 1, absorbing: domains - 1},
-		{name: "one failure domain of the largest region, work stays in the region", lost: 1, absorbing: largest - 1},
+		{name: "one failure domain of the largest region, work stays in the region", lost: 1, absorbing: largestRegionDomains - 1},
 		{name: "one failure domain of a region with three, work stays in the region", lost: 1, absorbing: 2},
-		{name: "the largest region, work goes to all others", lost: largest, absorbing: domains - largest},
+		{name: "the largest region, work goes to all others", lost: largestRegionDomains, absorbing: domains - largestRegionDomains},
 	}
 }
 
--- a/estimator/model.go
+++ b/estimator/model.go
@@ -110,7 +110,7 @@
 	budget := limits{cpu: budgetCPU, memory: budgetMemory, wire: budgetWire}
 	bundlesPerSecond := scale.bundleRate()
 	viewsPerSecond := scale.viewRate()
-	part := scale.targets / scale.domains
+	targetsPerDomain := scale.targets / scale.domains
 	records := scale.jobRate() * 4 * scale.retentionSeconds      // as in requestRows
 	unsummedRecords := scale.burnRecordRate() * maxSumLagSeconds // at most, burn records since the last hourly sum
 	return []row{
@@ -133,16 +133,16 @@
 		{
 			// Upper bound: all changes affect the part of the instance's own failure domain.
 			role: roleConfig, function: "bundles split per failure domain: read, verify, parse", control: true, driver: byTargets, limits: budget,
-			state: []term{measuredTerm("bundler.Parse", "targets", "held-B", part, 2), scale.partRecord(1)},
+			state: []term{measuredTerm("bundler.Parse", "targets", "held-B", targetsPerDomain, 2), scale.partRecord(1)},
 			memory: []term{
-				measuredTerm("bundler.Parse", "targets", "B/op", part, 1),
-				measuredTerm("appender.Read", "bytes", "B/op", part*bundleBytesPerTarget, 1),
+				measuredTerm("bundler.Parse", "targets", "B/op", targetsPerDomain, 1),
+				measuredTerm("appender.Read", "bytes", "B/op", targetsPerDomain*bundleBytesPerTarget, 1),
 			},
 			messages: []term{constantTerm(2 * bundlesPerSecond)},
 			wire:     []term{scale.partRecord(bundlesPerSecond * base64Growth)},
 			cpu: []term{
-				cpuTerm("bundler.Parts/part", "targets", scale.targets, bundlesPerSecond).withFallback(cpuTerm("bundler.Parse", "targets", part, bundlesPerSecond)),
-				socketCPUTerm("appender.Read", "bytes", part*bundleBytesPerTarget, bundlesPerSecond),
+				cpuTerm("bundler.Parts/part", "targets", scale.targets, bundlesPerSecond).withFallback(cpuTerm("bundler.Parse", "targets", targetsPerDomain, bundlesPerSecond)),
+				socketCPUTerm("appender.Read", "bytes", targetsPerDomain*bundleBytesPerTarget, bundlesPerSecond),
 			},
 			mechanism:     "each change publishes the targets of one failure domain, or the common part",
 			bottleneck:    "every instance reads all targets of its failure domain for each change",
