--- a/bundler/bundler.go
+++ b/bundler/bundler.go
@@ -11,7 +11,8 @@
 const (
 	// noOffset is the offset before the first record; it means that there is no record.
 	noOffset = -1
-	// maxPendingBytes limits the text of the records that wait for a renewal; an instance has 64 MB of memory in total.
+	// maxPendingBytes limits the text of the records that wait for a renewal. The budget for all control work of an
+	// instance is 64 MB of memory.
 	maxPendingBytes = 16 << 20
 )
 
@@ -156,8 +157,8 @@
 	}
 	if bundler.current != nil && offer.Offset < bundler.current.offset {
 		if _, err := bundler.open(offer.Record); err == nil {
-			// The peer has an older bundle in force, so this newer one may come into force before the end of the log is
-			// read.
+			// The peer has an older bundle in force, so the newer one here may come into force before the end of the log
+			// is read.
 			bundler.activate()
 		}
 		return nil, eris.Errorf("the peer's bundle at offset %d is older than that at offset %d", offer.Offset, bundler.current.offset)
--- a/cmd/hyssoplift/main_test.go
+++ b/cmd/hyssoplift/main_test.go
@@ -35,13 +35,15 @@
 `
 
 // linkedPackages makes the test binary depend on the packages of the commands. Together with the source file that
-// buildCommands reads, it invalidates the test cache when the commands change: go test caches by the packages that the
-// test binary links and the files of the module that it opens, and would report a result of earlier commands.
+// buildCommands reads, it invalidates the cached test result when the commands change. The cache key of go test covers
+// only the packages that the test binary links and the files of the module that it opens, so without this a result of
+// earlier commands could be reported.
 var linkedPackages = []any{commander.Run, emulator.NewList}
 
 // buildCommands builds hyssoplift and hyssoplift-standin and returns the folder with the binaries.
 func buildCommands(t *testing.T) string {
 	t.Helper()
+	// The check of linkedPackages never fails; without a use, staticcheck reports the variable.
 	if _, err := os.ReadFile("../hyssoplift-standin/main.go"); err != nil || slices.Contains(linkedPackages, nil) {
 		t.Fatalf("reading the source of the stand-ins: %v", err)
 	}
--- a/estimator/estimate.go
+++ b/estimator/estimate.go
@@ -77,7 +77,8 @@
 	return quantity
 }
 
-// minInstancesPerDomain leaves a witness and one spare after the loss of one instance.
+// minInstancesPerDomain is the smallest number of instances of a failure domain: after the loss of one, its witness and
+// one spare are left.
 const minInstancesPerDomain = 3
 
 // requiredPerDomain returns how many instances of the given size each failure domain needs to serve demand when its
@@ -100,12 +101,12 @@
 
 func (estimate *Estimate) losses() []loss {
 	domains := estimate.scale.domains
-	largest := math.Ceil(domains / estimate.scale.regions)
+	largestRegionDomains := math.Ceil(domains / estimate.scale.regions)
 	return []loss{
 		{name: "one failure domain, work goes to all others", lost: 1, absorbing: domains - 1},
-		{name: "one failure domain of the largest region, work stays in the region", lost: 1, absorbing: largest - 1},
+		{name: "one failure domain of the largest region, work stays in the region", lost: 1, absorbing: largestRegionDomains - 1},
 		{name: "one failure domain of a region with three, work stays in the region", lost: 1, absorbing: 2},
-		{name: "the largest region, work goes to all others", lost: largest, absorbing: domains - largest},
+		{name: "the largest region, work goes to all others", lost: largestRegionDomains, absorbing: domains - largestRegionDomains},
 	}
 }
 
--- a/supervisor/registry.go
+++ b/supervisor/registry.go
@@ -27,8 +27,8 @@
 	return &targetRegistry{logger: logger, targets: make(map[string]scheduler.Target)}
 }
 
-// update applies records of targets and reports whether the list of targets may have changed. A record that only
-// repeats what is known, such as a heartbeat, changes nothing.
+// update applies records of targets and reports whether the list of targets may have changed. A snapshot always counts
+// as a change. A record that only repeats what is known, such as a heartbeat, does not.
 func (registry *targetRegistry) update(update follower.Update) bool {
 	changed := false
 	if update.Snapshot {
@@ -57,7 +57,7 @@
 	}
 	target, err := platform.DecodeTarget(record.Key, record.Value)
 	if err != nil {
-		registry.logger.Debug("ignoring invalid target entry", "target", record.Key, "error", eris.ToString(err, false))
+		registry.logger.Debug("target entry is invalid, target not used", "target", record.Key, "error", eris.ToString(err, false))
 		delete(registry.targets, record.Key)
 		return ok
 	}
--- a/supervisor/supervisor.go
+++ b/supervisor/supervisor.go
@@ -34,13 +34,14 @@
 	settingsPollInterval = 2 * time.Second
 	// maxRemoteLinks bounds the number of links to instances of other failure domains.
 	maxRemoteLinks = 512
-	// linkTimeout is how long the peer of a link may be silent. Instances exchange messages far more often.
+	// linkTimeout bounds the response to a ping, the handshake, and a write on a link. Instances exchange messages far
+	// more often.
 	linkTimeout = 700 * time.Millisecond
 )
 
 var (
-	// configurationPolling detects a connection that stops responding early enough for a new version to be in force 2 s
-	// after the store has acknowledged it.
+	// configurationPolling detects an unresponsive connection early enough that a new version is in force within 2 s after
+	// the store has acknowledged it.
 	configurationPolling = follower.PollOptions{MaxWait: 700 * time.Millisecond, Interval: 10 * time.Millisecond, TimeoutMargin: 700 * time.Millisecond}
 	// targetPolling reads the frequent heartbeats of the targets in batches and notices a leaving target well within 2 s.
 	targetPolling = follower.PollOptions{Interval: 500 * time.Millisecond, TimeoutMargin: 800 * time.Millisecond}
@@ -53,9 +54,8 @@
 type Supervisor struct {
 	// settings are the settings in use. Only the goroutine of Run accesses them and the next two fields.
 	settings platform.Settings
-	// restartRequired are the settings read last that differ from settings in a way that takes effect only after a
-	// restart.
-	restartRequired platform.Settings
+	// deferredSettings are the settings of the last reload that changed a setting which takes effect only after a restart.
+	deferredSettings platform.Settings
 	// settingsUnreadable means that the last attempt to read the settings file failed.
 	settingsUnreadable bool
 	logWriter          *recorder.AsyncWriter
@@ -69,8 +69,9 @@
 	ctx                context.Context
 	cancel             context.CancelFunc
 	group              sync.WaitGroup
-	servers            []*http.Server
-	serveErrors        chan error
+	// servers are in the order in which start creates them; the first one serves callers.
+	servers     []*http.Server
+	serveErrors chan error
 
 	mu       sync.Mutex
 	stopping bool
@@ -245,13 +246,13 @@
 		supervisor.logger.Info("settings unchanged")
 	}
 	supervisor.settingsUnreadable = err != nil
-	if err != nil || settings == previous || settings == supervisor.restartRequired {
+	if err != nil || settings == previous || settings == supervisor.deferredSettings {
 		return
 	}
 	supervisor.store.SetAddress(settings.StoreAddress)
 	supervisor.settings.StoreAddress, supervisor.settings.GraceMS = settings.StoreAddress, settings.GraceMS
 	if settings != supervisor.settings {
-		supervisor.restartRequired = settings
+		supervisor.deferredSettings = settings
 		supervisor.logger.Warn("some changed settings take effect only after a restart", "instance", settings.Name)
 	}
 	supervisor.logger.Info("settings changed", "store", settings.StoreAddress, "grace-ms", settings.GraceMS)
