--- a/accountant/accountant.go
+++ b/accountant/accountant.go
@@ -44,7 +44,7 @@
 			if !sleeper.Until(ctx, now.Truncate(time.Minute).Add(time.Minute+offset)) {
 				return
 			}
-			accountant.flush(ctx, time.Now(), false)
+			accountant.tryFlush(ctx, time.Now(), false)
 		}
 	})
 	sumAppender := newSumAppender(log, config.Domain, config.Instance)
@@ -73,8 +73,8 @@
 	return accountant.flushAll(ctx, time.Now(), true)
 }
 
-// flush appends all closed minutes, and logs an error.
-func (accountant *Accountant) flush(ctx context.Context, now time.Time, final bool) {
+// tryFlush appends all closed minutes, and logs an error.
+func (accountant *Accountant) tryFlush(ctx context.Context, now time.Time, final bool) {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	if err := accountant.flushAll(ctx, now, final); err != nil {
--- a/accountant/sum_appender.go
+++ b/accountant/sum_appender.go
@@ -65,7 +65,7 @@
 		}
 		// If the sum ended early because it was full, continue with the next one. After a lost answer the rest is left
 		// to the next hour.
-		if ours, err := sumAppender.confirmPending(ctx, now); err != nil || !ours || !full {
+		if confirmed, err := sumAppender.confirmPending(ctx, now); err != nil || !confirmed || !full {
 			return err
 		}
 	}
@@ -74,7 +74,7 @@
 // confirmPending reads the new sums and reports whether the pending one is the first of them that is used. If another
 // one is, the coverage includes records beyond that sum, so it is discarded and all sums are read again.
 func (sumAppender *sumAppender) confirmPending(ctx context.Context, now time.Time) (bool, error) {
-	ours := false
+	confirmed := false
 	for sumAppender.pending != nil {
 		page, err := sumAppender.log.Read(ctx, hoursStream, sumAppender.cursor.nextSum, 0)
 		if err != nil {
@@ -87,7 +87,7 @@
 			if bytes.Equal(record.Data, sumAppender.pending) {
 				sumAppender.cursor.next, sumAppender.cursor.nextSum = sumAppender.pendingNext, record.Offset+1
 				sumAppender.cursor.hour = now.Truncate(time.Hour)
-				sumAppender.pending, ours = nil, true
+				sumAppender.pending, confirmed = nil, true
 				break
 			}
 			if sum, err := reporter.DecodeSum(record.Data); err == nil && sum.From() >= sumAppender.cursor.next {
@@ -102,7 +102,7 @@
 		return false, err
 	}
 	sumAppender.builder.Prune(now)
-	return ours, nil
+	return confirmed, nil
 }
 
 // prepare builds the sum of the records after the last sum, unless a sum is pending. It reports whether the sum is
@@ -112,8 +112,8 @@
 		return false, nil
 	}
 	from := int64(-1)
-	end := sumAppender.cursor
-	err = end.readRecords(ctx, toEnd, func(record appender.Record) bool {
+	lookahead := sumAppender.cursor
+	err = lookahead.readRecords(ctx, toEnd, func(record appender.Record) bool {
 		if from < 0 {
 			from = record.Offset
 			sumAppender.builder.Begin(from)
--- a/reporter/aggregator.go
+++ b/reporter/aggregator.go
@@ -15,8 +15,8 @@
 	spareMinutes = reportLagMinutes + maxAheadMinutes + 1
 	fineSlots    = fineMinutes + spareMinutes
 	coarseSlots  = windowMinutes/coarseMinutes + 2 + spareMinutes/coarseMinutes + 1
-	// maxSeries limits the series of a report; the answers of further ones are added up in one series.
-	maxSeries = 20_000
+	// maxReportSeries limits the series of a report; the answers of further ones are added up in one series.
+	maxReportSeries = 20_000
 	// maxIncarnations limits the incarnations; three days at the target scale have about 5,100.
 	maxIncarnations = 20_000
 )
@@ -91,7 +91,7 @@
 	histories    map[Series]*history
 	objectives   map[string]Objective
 	objectivesAt map[string]minute
-	incarnations map[string]*coverage
+	incarnations map[string]*incarnationCoverage
 	unreadable   int
 	complete     bool
 	coverageOnly bool // counts are not stored, because a SumBuilder needs only the coverage
@@ -100,7 +100,7 @@
 // NewAggregator returns an aggregator without any counts.
 func NewAggregator() *Aggregator {
 	return &Aggregator{
-		histories: make(map[Series]*history), incarnations: make(map[string]*coverage),
+		histories: make(map[Series]*history), incarnations: make(map[string]*incarnationCoverage),
 		objectives: make(map[string]Objective), objectivesAt: make(map[string]minute),
 	}
 }
@@ -128,18 +128,18 @@
 // markCovered marks the minutes of batch as counted and returns those that were not counted before.
 func (aggregator *Aggregator) markCovered(batch Batch, now time.Time) []closedMinute {
 	first, through := batch.span()
-	covered := aggregator.incarnation(batch.domain, batch.instance, batch.incarnation, min(first, minuteOf(now)))
-	if covered == nil || through > minuteOf(now)+maxAheadMinutes {
+	coverage := aggregator.coverageOf(batch.domain, batch.instance, batch.incarnation, min(first, minuteOf(now)))
+	if coverage == nil || through > minuteOf(now)+maxAheadMinutes {
 		aggregator.unreadable++
 		return nil
 	}
 	var added []closedMinute
 	for _, closed := range batch.minutes {
-		if covered.add(closed.minute) {
+		if coverage.add(closed.minute) {
 			added = append(added, closed)
 		}
 	}
-	covered.final = covered.final || batch.final
+	coverage.final = coverage.final || batch.final
 	for kind, objective := range batch.objectives {
 		aggregator.setObjectiveAt(kind, objective, through)
 	}
@@ -156,20 +156,20 @@
 	}
 }
 
-// incarnation returns the coverage of an incarnation and creates it, starting at minute first, if necessary. It returns
+// coverageOf returns the coverage of an incarnation and creates it, starting at minute first, if necessary. It returns
 // nil if there are too many incarnations.
-func (aggregator *Aggregator) incarnation(domain, instance, name string, first minute) *coverage {
-	covered := aggregator.incarnations[name]
-	if covered == nil && len(aggregator.incarnations) < maxIncarnations {
-		covered = &coverage{domain: domain, instance: instance, first: first, last: -1}
-		aggregator.incarnations[name] = covered
+func (aggregator *Aggregator) coverageOf(domain, instance, name string, first minute) *incarnationCoverage {
+	coverage := aggregator.incarnations[name]
+	if coverage == nil && len(aggregator.incarnations) < maxIncarnations {
+		coverage = &incarnationCoverage{domain: domain, instance: instance, first: first, last: -1}
+		aggregator.incarnations[name] = coverage
 	}
-	return covered
+	return coverage
 }
 
 // setObjectiveAt sets the objective that was in effect at a minute, unless a later one is known.
 func (aggregator *Aggregator) setObjectiveAt(kind string, objective Objective, at minute) {
-	if _, known := aggregator.objectives[kind]; !known && len(aggregator.objectives) >= maxSeries {
+	if _, known := aggregator.objectives[kind]; !known && len(aggregator.objectives) >= maxReportSeries {
 		return
 	}
 	if at >= aggregator.objectivesAt[kind] {
@@ -181,7 +181,7 @@
 // history that all further ones share.
 func (aggregator *Aggregator) history(series Series) *history {
 	found := aggregator.histories[series]
-	if found == nil && len(aggregator.histories) >= maxSeries {
+	if found == nil && len(aggregator.histories) >= maxReportSeries {
 		series = Series{Kind: OtherName, Team: OtherName}
 		found = aggregator.histories[series]
 	}
--- a/reporter/batch.go
+++ b/reporter/batch.go
@@ -176,14 +176,14 @@
 	maxRowCount = 1 << 24
 )
 
-// rowReader decodes rows of varints. After the first invalid value, it stays invalid.
-type rowReader struct {
+// varintReader decodes rows of varints. After the first invalid value, it stays invalid.
+type varintReader struct {
 	data    []byte
 	invalid bool
 }
 
 // next returns the next number, or 0 if the data is invalid; a number of limit or more is invalid.
-func (reader *rowReader) next(limit uint64) uint64 {
+func (reader *varintReader) next(limit uint64) uint64 {
 	value, size := binary.Uvarint(reader.data)
 	if reader.invalid || size <= 0 || value >= limit {
 		reader.invalid = true
@@ -194,7 +194,7 @@
 }
 
 // row returns the next row; a count of limit or more is invalid.
-func (reader *rowReader) row(kinds, teams []string, limit uint64) seriesCounts {
+func (reader *varintReader) row(kinds, teams []string, limit uint64) seriesCounts {
 	kind, team := reader.next(uint64(len(kinds))), reader.next(uint64(len(teams)))
 	mask := reader.next(1 << numClasses)
 	var counts Counts
@@ -210,7 +210,7 @@
 }
 
 // rows returns the rows of one minute, or nil if the data is invalid.
-func (reader *rowReader) rows(kinds, teams []string, limit uint64) []seriesCounts {
+func (reader *varintReader) rows(kinds, teams []string, limit uint64) []seriesCounts {
 	count := reader.next(uint64(len(reader.data)/minRowBytes) + 1)
 	rows := make([]seriesCounts, 0, count)
 	for range count {
@@ -224,7 +224,7 @@
 
 // decodeRows decodes the counts of the record into the rows of minutes.
 func (record batchRecord) decodeRows(minutes []closedMinute) error {
-	reader := &rowReader{data: record.Counts}
+	reader := &varintReader{data: record.Counts}
 	for i := range minutes {
 		if minutes[i].rows = reader.rows(record.Kinds, record.Teams, maxRowCount); reader.invalid {
 			return eris.Errorf("the counts of minute %d are out of range", minutes[i].minute)
--- a/reporter/coverage.go
+++ b/reporter/coverage.go
@@ -14,17 +14,18 @@
 	coverageBits  = coverageWords * wordBits
 )
 
-// coverage records which minutes of one incarnation were added, in a ring buffer of bits that ends at minute last.
-type coverage struct {
+// incarnationCoverage records which minutes of one incarnation were added, in a ring buffer of bits that ends at minute
+// last.
+type incarnationCoverage struct {
 	domain, instance string
 	first, last      minute
-	final            bool
+	final            bool // whether its final record was added
 	bits             [coverageWords]uint64
 }
 
 // add marks a minute as covered and reports whether it was not covered before. Minutes older than the ring count as
 // covered.
-func (coverage *coverage) add(at minute) bool {
+func (coverage *incarnationCoverage) add(at minute) bool {
 	if at <= coverage.last-coverageBits {
 		return false
 	}
@@ -42,13 +43,13 @@
 }
 
 // has reports whether a minute is within the ring and covered.
-func (coverage *coverage) has(at minute) bool {
+func (coverage *incarnationCoverage) has(at minute) bool {
 	return at <= coverage.last && at > coverage.last-coverageBits &&
 		coverage.bits[at%coverageBits/wordBits]>>(at%wordBits)&1 == 1
 }
 
 // count returns the number of covered minutes in [from, to).
-func (coverage *coverage) count(from, to minute) int64 {
+func (coverage *incarnationCoverage) count(from, to minute) int64 {
 	from, to = max(from, coverage.first, coverage.last-coverageBits+1), min(to, coverage.last+1)
 	count := int64(0)
 	for at := from; at < to; {
@@ -65,7 +66,7 @@
 
 // lifetime is the time in which an incarnation ran, as far as the records show.
 type lifetime struct {
-	*coverage
+	*incarnationCoverage
 	incarnation string
 	end         minute // the first minute in which it is known not to run
 }
@@ -76,7 +77,7 @@
 func (aggregator *Aggregator) lifetimes(now minute) []lifetime {
 	lifetimes := make([]lifetime, 0, len(aggregator.incarnations))
 	for incarnation, coverage := range aggregator.incarnations {
-		lifetimes = append(lifetimes, lifetime{coverage: coverage, incarnation: incarnation, end: now})
+		lifetimes = append(lifetimes, lifetime{incarnationCoverage: coverage, incarnation: incarnation, end: now})
 	}
 	slices.SortFunc(lifetimes, func(a, b lifetime) int {
 		return cmp.Or(cmp.Compare(a.domain, b.domain), cmp.Compare(a.instance, b.instance),
--- a/reporter/frame.go
+++ b/reporter/frame.go
@@ -20,10 +20,10 @@
 // corrupted count might still be decoded. The counts are not part of the JSON, because base64 would make them a third
 // longer.
 func frameRecord(header, counts []byte) []byte {
-	sealed := make([]byte, checksumSize, checksumSize+len(header)+1+len(counts))
-	sealed = append(append(append(sealed, header...), headerEnd), counts...)
-	copy(sealed, checksum(sealed[checksumSize:]))
-	return sealed
+	record := make([]byte, checksumSize, checksumSize+len(header)+1+len(counts))
+	record = append(append(append(record, header...), headerEnd), counts...)
+	copy(record, checksum(record[checksumSize:]))
+	return record
 }
 
 func checksum(data []byte) []byte {
--- a/reporter/frame_test.go
+++ b/reporter/frame_test.go
@@ -39,7 +39,7 @@
 		aggregator.Add(Batch{incarnation: name, minutes: []closedMinute{{minute: minuteOf(testStart)}}, objectives: map[string]Objective{name: {}}}, testStart)
 	}
 	is.Equal(len(aggregator.incarnations), maxIncarnations)
-	is.Equal(len(aggregator.objectives), maxSeries)
+	is.Equal(len(aggregator.objectives), maxReportSeries)
 	is.Equal(aggregator.unreadable, 10) // the records that were left out are counted
 }
 
--- a/reporter/keys.go
+++ b/reporter/keys.go
@@ -95,7 +95,7 @@
 }
 
 // count reports whether this instance must count an answer to key; full means that the key could not be stored.
-func (keys *keys) count(key string, grant Grant, now time.Time) (counts, full bool) {
+func (keys *keys) count(key string, grant Grant, now time.Time) (shouldCount, full bool) {
 	return keys.update(key, now, func(keyState *keyState) bool {
 		switch {
 		case keyState.counted, grant == Denied, grant == KeyOwner && keyState.holder != 0:
--- a/reporter/report.go
+++ b/reporter/report.go
@@ -176,24 +176,24 @@
 
 // hours returns the hours of the longest window by kind.
 func (aggregator *Aggregator) hours(lifetimes []lifetime, to minute) map[string][]Hour {
-	const length = 60
+	const hourMinutes = 60
 	from := windowStart(windows[len(windows)-1], to)
-	var template []Hour
-	for start := from; start < to; start += length {
-		end := min(start+length, to)
+	var emptyHours []Hour
+	for start := from; start < to; start += hourMinutes {
+		end := min(start+hourMinutes, to)
 		hour := Hour{Start: start.time()}
 		if completeness := aggregator.completeness(lifetimes, start, end); completeness.expected > 0 {
 			hour.MissingShare = float64(completeness.missing()) / float64(completeness.expected)
 		}
-		template = append(template, hour)
+		emptyHours = append(emptyHours, hour)
 	}
 	hours := make(map[string][]Hour)
 	for kind := range aggregator.objectives {
-		hours[kind] = slices.Clone(template)
+		hours[kind] = slices.Clone(emptyHours)
 	}
 	for series, history := range aggregator.histories {
 		if hours[series.Kind] == nil {
-			hours[series.Kind] = slices.Clone(template)
+			hours[series.Kind] = slices.Clone(emptyHours)
 		}
 		points := hours[series.Kind]
 		for i := range history.coarse {
@@ -202,7 +202,7 @@
 			if at < from || at >= to {
 				continue
 			}
-			point := &points[(at-from)/length]
+			point := &points[(at-from)/hourMinutes]
 			var counts Counts
 			for class, count := range slot.counts {
 				counts[class] = uint64(count)
--- a/reporter/reporter.go
+++ b/reporter/reporter.go
@@ -97,11 +97,11 @@
 // Record counts an answer that was written to its caller at now, and reports whether it was counted.
 func (reporter *Reporter) Record(answer Answer, now time.Time) bool {
 	if answer.key != "" {
-		counts, full := reporter.keys.count(answer.key, answer.grant, now)
+		shouldCount, full := reporter.keys.count(answer.key, answer.grant, now)
 		if full && answer.grant != Denied {
 			// The key cannot be stored, so a later duplicate would not be detected.
 			answer.grant = Undecided
-		} else if !counts {
+		} else if !shouldCount {
 			return false
 		}
 	}
@@ -178,8 +178,8 @@
 	}
 	for i := range reporter.shards {
 		for _, closed := range reporter.shards[i].takeClosed(last) {
-			into := &collected[closed.minute-first]
-			into.rows = append(into.rows, closed.rows...)
+			merged := &collected[closed.minute-first]
+			merged.rows = append(merged.rows, closed.rows...)
 			reporter.rows += len(closed.rows)
 		}
 	}
--- a/reporter/reporter_test.go
+++ b/reporter/reporter_test.go
@@ -184,16 +184,16 @@
 	}
 }
 
-// invalidRecord returns a record of one minute, one kind and one team with the given counts.
-func invalidRecord(counts ...byte) string {
+// recordWithCounts returns a record of one minute, one kind and one team with the given counts.
+func recordWithCounts(counts ...byte) string {
 	return fmt.Sprintf(`{"format":1,"incarnation":"x","kinds":["k"],"teams":["t"],"counts":%q}`, base64.StdEncoding.EncodeToString(counts))
 }
 
 // Guards against a crash on a corrupt record, and against a record that changes when it is decoded and encoded again.
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(invalidRecord(1, 0, 0, 3, 1, 2)))
-	f.Add([]byte(invalidRecord(2, 0, 0, 1, 1, 0, 0, 1, 1)))
-	f.Add([]byte(invalidRecord(1, 0, 0, 64)))
+	f.Add([]byte(recordWithCounts(1, 0, 0, 3, 1, 2)))
+	f.Add([]byte(recordWithCounts(2, 0, 0, 1, 1, 0, 0, 1, 1)))
+	f.Add([]byte(recordWithCounts(1, 0, 0, 64)))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		batch, err := DecodeBatch(data)
 		if err != nil {
@@ -222,14 +222,14 @@
 		`{"format":1,"incarnation":"x","from-minute":0,"through-minute":99999999}`,
 		`{"format":1,"incarnation":"x","from-minute":5,"through-minute":4}`,
 		`{"format":1,"incarnation":"x","from-minute":-5,"through-minute":4}`,
-		`{"format":1,"incarnation":"x"}`,                  // no rows for its minute
-		invalidRecord(1, 0, 0, 1, 1, 9),                   // more data than rows
-		invalidRecord(1, 1, 0, 1, 1),                      // a kind that is not listed
-		invalidRecord(1, 0, 1, 1, 1),                      // a team that is not listed
-		invalidRecord(1, 0, 0, 64),                        // a class that does not exist
-		invalidRecord(1, 0, 0, 1),                         // a count is missing
-		invalidRecord(0xff, 0xff, 0xff, 0xff, 1),          // more rows than data
-		invalidRecord(1, 0, 0, 1, 0x80, 0x80, 0x80, 0x08), // a count that could overflow a sum
+		`{"format":1,"incarnation":"x"}`,                     // no rows for its minute
+		recordWithCounts(1, 0, 0, 1, 1, 9),                   // more data than rows
+		recordWithCounts(1, 1, 0, 1, 1),                      // a kind that is not listed
+		recordWithCounts(1, 0, 1, 1, 1),                      // a team that is not listed
+		recordWithCounts(1, 0, 0, 64),                        // a class that does not exist
+		recordWithCounts(1, 0, 0, 1),                         // a count is missing
+		recordWithCounts(0xff, 0xff, 0xff, 0xff, 1),          // more rows than data
+		recordWithCounts(1, 0, 0, 1, 0x80, 0x80, 0x80, 0x08), // a count that could overflow a sum
 		`{"format":1,"incarnation":"x","objectives":[{"kind":"k","within-ms":1,"percent":100}]}`,
 	} {
 		_, err := DecodeBatch([]byte(record))
--- a/reporter/sum.go
+++ b/reporter/sum.go
@@ -83,24 +83,24 @@
 	if sum.last() > minuteOf(now)+maxAheadMinutes {
 		return false
 	}
-	added := 0
+	newIncarnations := 0
 	for _, source := range sum.sources {
-		covered := aggregator.incarnations[source.incarnation]
-		if covered == nil {
-			added++
-		} else if slices.ContainsFunc(source.minutes, covered.has) {
+		coverage := aggregator.incarnations[source.incarnation]
+		if coverage == nil {
+			newIncarnations++
+		} else if slices.ContainsFunc(source.minutes, coverage.has) {
 			return false
 		}
 	}
-	if len(aggregator.incarnations)+added > maxIncarnations {
+	if len(aggregator.incarnations)+newIncarnations > maxIncarnations {
 		return false
 	}
 	for _, source := range sum.sources {
-		covered := aggregator.incarnation(source.domain, source.instance, source.incarnation, source.first)
-		covered.first = min(covered.first, source.first)
-		covered.final = covered.final || source.final
+		coverage := aggregator.coverageOf(source.domain, source.instance, source.incarnation, source.first)
+		coverage.first = min(coverage.first, source.first)
+		coverage.final = coverage.final || source.final
 		for _, at := range source.minutes {
-			covered.add(at)
+			coverage.add(at)
 		}
 	}
 	for kind, latest := range sum.objectives {
@@ -238,7 +238,7 @@
 			first: entry.First, final: entry.Final, minutes: minutes,
 		})
 	}
-	reader := &rowReader{data: record.Counts}
+	reader := &varintReader{data: record.Counts}
 	for at := minute(0); len(reader.data) > 0; {
 		at += minute(reader.next(1 << 40))
 		rows := reader.rows(record.Kinds, record.Teams, maxSumCount)
@@ -252,7 +252,7 @@
 
 // decodeMinutes returns the minutes of one incarnation, and false if they are invalid or more than limit.
 func decodeMinutes(data []byte, limit int) ([]minute, bool) {
-	reader := &rowReader{data: data}
+	reader := &varintReader{data: data}
 	var minutes []minute
 	for next := minute(0); len(reader.data) > 0; {
 		next += minute(reader.next(1 << 40))
--- a/reporter/sum_builder.go
+++ b/reporter/sum_builder.go
@@ -28,12 +28,12 @@
 // that a minute that was appended twice is in only one sum. It is not safe for concurrent use.
 type SumBuilder struct {
 	*Aggregator
-	sum     HourlySum
-	records int
-	rows    int
-	covered int // minutes of all sources
-	sources map[string]*sumSource
-	minutes map[minute]map[Series]*Counts
+	sum            HourlySum
+	records        int
+	rows           int
+	coveredMinutes int // minutes of all sources
+	sources        map[string]*sumSource
+	minutes        map[minute]map[Series]*Counts
 }
 
 // NewSumBuilder returns a builder without any coverage.
@@ -47,14 +47,14 @@
 // Begin starts a new sum at the record with offset from and keeps the coverage.
 func (builder *SumBuilder) Begin(from int64) {
 	builder.sum = HourlySum{from: from, next: from, objectives: make(map[string]objectiveAt)}
-	builder.records, builder.rows, builder.covered = 0, 0, 0
+	builder.records, builder.rows, builder.coveredMinutes = 0, 0, 0
 	builder.sources, builder.minutes = make(map[string]*sumSource), make(map[minute]map[Series]*Counts)
 }
 
 // Full reports whether the sum must be built before another record is added.
 func (builder *SumBuilder) Full() bool {
 	return builder.rows >= maxSumRows || builder.records >= maxSumRecords || len(builder.sources) >= maxSumSources ||
-		len(builder.minutes) >= maxSumMinutes-maxBatchMinutes || builder.covered >= maxSumCoveredMinutes-maxBatchMinutes
+		len(builder.minutes) >= maxSumMinutes-maxBatchMinutes || builder.coveredMinutes >= maxSumCoveredMinutes-maxBatchMinutes
 }
 
 // AddRecord adds the record at offset, read at now, to the sum; a record that cannot be decoded is counted as
@@ -73,22 +73,22 @@
 
 // addBatch adds the minutes of batch that were not covered before.
 func (builder *SumBuilder) addBatch(batch Batch, added []closedMinute) {
-	covered := builder.incarnations[batch.incarnation]
-	if covered == nil {
+	coverage := builder.incarnations[batch.incarnation]
+	if coverage == nil {
 		return
 	}
 	source := builder.sources[batch.incarnation]
 	if source == nil {
-		source = &sumSource{domain: covered.domain, instance: covered.instance, incarnation: batch.incarnation}
+		source = &sumSource{domain: coverage.domain, instance: coverage.instance, incarnation: batch.incarnation}
 		builder.sources[batch.incarnation] = source
 	}
-	source.first, source.final = covered.first, covered.final
-	builder.covered += len(added)
+	source.first, source.final = coverage.first, coverage.final
+	builder.coveredMinutes += len(added)
 	for _, closed := range added {
 		source.minutes = append(source.minutes, closed.minute)
 		builder.addRows(closed)
 	}
-	if _, through := batch.span(); through > covered.last {
+	if _, through := batch.span(); through > coverage.last {
 		return // The batch has minutes in the future, so its minutes and objectives are left out.
 	}
 	for kind := range batch.objectives {
--- a/reporter/sum_test.go
+++ b/reporter/sum_test.go
@@ -17,14 +17,14 @@
 	now           time.Time
 	log           [][]byte
 	trimmed       int      // offset of the first record that is still in the log
-	hours         [][]byte // records of the sums
+	sums          [][]byte // records of the sums
 	losesCoverage bool     // builders may lose the coverage of earlier sums, as after a trim of the log
 }
 
 // simulatedBuilder is a builder with its read positions in the records and in the sums.
 type simulatedBuilder struct {
-	builder     *SumBuilder
-	next, hours int
+	builder       *SumBuilder
+	next, nextSum int
 }
 
 // read adds the minute records in [next, until) to aggregator.
@@ -39,9 +39,9 @@
 }
 
 // readSums adds sums and minute records in the same order as the cursor of package accountant.
-func (simulation *sumSimulation) readSums(aggregator *Aggregator, next, hours *int) {
-	for ; *hours < len(simulation.hours); *hours++ {
-		sum, err := DecodeSum(simulation.hours[*hours])
+func (simulation *sumSimulation) readSums(aggregator *Aggregator, next, nextSum *int) {
+	for ; *nextSum < len(simulation.sums); *nextSum++ {
+		sum, err := DecodeSum(simulation.sums[*nextSum])
 		if err != nil || int(sum.From()) < *next {
 			continue
 		}
@@ -54,9 +54,9 @@
 	}
 }
 
-// sum appends the sum of the records that a builder has seen, which may be fewer than the log contains.
-func (simulation *sumSimulation) sum(simulatedBuilder *simulatedBuilder) {
-	simulation.readSums(simulatedBuilder.builder.Aggregator, &simulatedBuilder.next, &simulatedBuilder.hours)
+// appendSum appends the sum of the records that a builder has seen, which may be fewer than the log contains.
+func (simulation *sumSimulation) appendSum(simulatedBuilder *simulatedBuilder) {
+	simulation.readSums(simulatedBuilder.builder.Aggregator, &simulatedBuilder.next, &simulatedBuilder.nextSum)
 	if simulation.losesCoverage && simulation.IntN(5) == 0 {
 		simulatedBuilder.builder = NewSumBuilder()
 	}
@@ -75,7 +75,7 @@
 		panic(err)
 	}
 	for range 1 + simulation.IntN(2) { // appended again if the answer to the first append was lost
-		simulation.hours = append(simulation.hours, data)
+		simulation.sums = append(simulation.sums, data)
 	}
 	*simulatedBuilder = newSimulatedBuilder()
 }
@@ -127,13 +127,13 @@
 		}
 		// Both builders may read before either appends, so that their sums have records in common.
 		if simulation.IntN(8) == 0 {
-			before := len(simulation.hours)
-			simulation.sum(&builders[0])
+			before := len(simulation.sums)
+			simulation.appendSum(&builders[0])
 			if simulation.IntN(2) == 0 {
-				appended := simulation.hours[before:]
-				simulation.hours = simulation.hours[:before:before]
-				simulation.sum(&builders[1])
-				simulation.hours = append(simulation.hours, appended...)
+				appended := simulation.sums[before:]
+				simulation.sums = simulation.sums[:before:before]
+				simulation.appendSum(&builders[1])
+				simulation.sums = append(simulation.sums, appended...)
 			}
 		}
 	}
@@ -176,11 +176,11 @@
 	for seed := range uint64(24) {
 		simulation, naive := simulateSums(seed, 250, seed%2 == 0)
 		if seed%4 == 3 {
-			simulation.damage(simulation.hours) // after other builders have read it
+			simulation.damage(simulation.sums) // after other builders have read it
 		}
-		aggregator, next, hours := NewAggregator(), 0, 0
+		aggregator, next, nextSum := NewAggregator(), 0, 0
 		aggregator.SetComplete(true)
-		simulation.readSums(aggregator, &next, &hours)
+		simulation.readSums(aggregator, &next, &nextSum)
 		used += next
 		simulation.read(aggregator, &next, len(simulation.log))
 		if got, want := aggregator.Report(simulation.now), naive.Report(simulation.now); !reflect.DeepEqual(got, want) {
@@ -198,24 +198,24 @@
 		simulation, _ := simulateSums(seed, 150, false)
 		simulation.trimmed = len(simulation.log) * 9 / 10
 		dropped := int(seed) % 5
-		simulation.hours = simulation.hours[min(dropped, len(simulation.hours)):]
-		want, held := NewAggregator(), make(map[int]bool)
-		for next, hours := 0, 0; hours < len(simulation.hours); hours++ {
-			sum, err := DecodeSum(simulation.hours[hours])
+		simulation.sums = simulation.sums[min(dropped, len(simulation.sums)):]
+		want, inSums := NewAggregator(), make(map[int]bool)
+		for next, nextSum := 0, 0; nextSum < len(simulation.sums); nextSum++ {
+			sum, err := DecodeSum(simulation.sums[nextSum])
 			is.NoErr(err)
 			if int(sum.From()) >= next {
 				for next = int(sum.From()); next < int(sum.Next()); next++ {
-					held[next] = true
+					inSums[next] = true
 				}
 			}
 		}
 		for offset, data := range simulation.log {
-			if batch, err := DecodeBatch(data); (held[offset] || offset >= simulation.trimmed) && err == nil {
+			if batch, err := DecodeBatch(data); (inSums[offset] || offset >= simulation.trimmed) && err == nil {
 				want.Add(batch, simulation.now)
 			}
 		}
-		aggregator, next, hours := NewAggregator(), 0, 0
-		simulation.readSums(aggregator, &next, &hours)
+		aggregator, next, nextSum := NewAggregator(), 0, 0
+		simulation.readSums(aggregator, &next, &nextSum)
 		simulation.read(aggregator, &next, len(simulation.log))
 		report, bound := aggregator.Report(simulation.now), want.Report(simulation.now)
 		for i, coverage := range report.Coverage {
