--- a/reporter/aggregator.go
+++ b/reporter/aggregator.go
@@ -11,18 +11,21 @@
 	coarseMinutes = 10
 	// maxAheadMinutes is how far the clock of an instance may be ahead of that of the reader.
 	maxAheadMinutes = 5
-	// spareMinutes is the number of extra slots, so that minutes after the end of a window do not evict its first ones.
+	// spareMinutes is the number of minutes after the end of a window for which there are extra slots, so that they do
+	// not evict the first minutes of the window.
 	spareMinutes = reportLagMinutes + maxAheadMinutes + 1
 	fineSlots    = fineMinutes + spareMinutes
-	coarseSlots  = windowMinutes/coarseMinutes + 2 + spareMinutes/coarseMinutes + 1
-	// maxReportSeries limits the series of a report; the answers of further ones are added up in one series.
+	// coarseSlots adds two slots for the rounding of the start and the end of a window, and rounds spareMinutes up.
+	coarseSlots = windowMinutes/coarseMinutes + 2 + spareMinutes/coarseMinutes + 1
+	// maxReportSeries limits the series of a report; the answers of further ones are added up in one series. It also
+	// limits the kinds that have an objective.
 	maxReportSeries = 20_000
 	// maxIncarnations limits the incarnations; three days at the target scale have about 5,100.
 	maxIncarnations = 20_000
 )
 
-// slot holds the counts of one interval of one or of coarseMinutes minutes. Its index is the number of the interval
-// since the Unix epoch.
+// slot holds the counts of one interval, whose length is one minute or coarseMinutes. Its index is the number of the
+// interval since the Unix epoch.
 type slot struct {
 	index  int64
 	counts [numClasses]uint32
@@ -89,12 +92,12 @@
 // most 27 KB per series and 1 KB per incarnation, with at most 20,000 of each. It is not safe for concurrent use.
 type Aggregator struct {
 	histories    map[Series]*history
-	objectives   map[string]Objective
-	objectivesAt map[string]minute
+	objectives   map[string]Objective // latest objective by kind
+	objectivesAt map[string]minute    // minute at which the objective of a kind was in effect; none for SetObjective
 	incarnations map[string]*incarnationCoverage
-	unreadable   int
-	complete     bool
-	coverageOnly bool // counts are not stored, because a SumBuilder needs only the coverage
+	unreadable   int  // records that could not be decoded or were ignored
+	complete     bool // whether the log was read from its first record on
+	coverageOnly bool // whether counts are not stored, because a SumBuilder needs only the coverage
 }
 
 // NewAggregator returns an aggregator without any counts.
@@ -109,7 +112,8 @@
 // record counts as missing.
 func (aggregator *Aggregator) SetComplete(complete bool) { aggregator.complete = complete }
 
-// AddUnreadable counts a record that could not be decoded. Reports contain the number of these.
+// AddUnreadable counts a record that could not be decoded. Reports contain the number of these records, and of those
+// that Add ignored.
 func (aggregator *Aggregator) AddUnreadable() { aggregator.unreadable++ }
 
 // SetObjective sets the objective of kind, which is used until a batch with an objective of that kind is added.
@@ -117,15 +121,17 @@
 	aggregator.objectives[kind] = objective
 }
 
-// Add adds the minutes of batch, read at now, that are not yet counted for its incarnation. A batch with minutes in the
-// future is ignored, because they would evict current ones; the minutes are then shown as missing.
+// Add adds the minutes of batch, read at now, that are not yet counted for its incarnation. If minutes are more than
+// maxAheadMinutes in the future, it ignores the batch, because they would evict current ones; a report then shows the
+// minutes of the incarnation as missing. It also ignores batches of new incarnations beyond maxIncarnations.
 func (aggregator *Aggregator) Add(batch Batch, now time.Time) {
 	for _, closed := range aggregator.markCovered(batch, now) {
 		aggregator.addCounts(closed)
 	}
 }
 
-// markCovered marks the minutes of batch as counted and returns those that were not counted before.
+// markCovered marks the minutes of batch as covered and returns those that were not covered before. It counts a batch
+// that must be ignored as unreadable.
 func (aggregator *Aggregator) markCovered(batch Batch, now time.Time) []closedMinute {
 	first, through := batch.span()
 	coverage := aggregator.coverageOf(batch.domain, batch.instance, batch.incarnation, min(first, minuteOf(now)))
--- a/reporter/answer.go
+++ b/reporter/answer.go
@@ -8,14 +8,14 @@
 	"github.com/hyssoplift/hyssoplift/dispatcher"
 )
 
-// Objective is the service level objective of a kind: the share of its requests that must be answered complete within a
-// given time.
+// Objective is the service level objective of a kind: the share of its requests that must get the answer complete
+// within a given time.
 type Objective struct {
 	within  time.Duration
 	percent float64
 }
 
-// NewObjective returns the objective that percent of the requests are answered complete within the given time.
+// NewObjective returns the objective that percent of the requests get the answer complete within the given time.
 func NewObjective(within time.Duration, percent float64) (Objective, error) {
 	if within <= 0 || !(percent > 0 && percent < 100) {
 		return Objective{}, eris.Errorf("objective of %v%% within %v: the time must be positive and the share between 0 and 100%%, exclusive", percent, within)
@@ -43,11 +43,12 @@
 	Late
 	// Failed is an answer to a job that was started and did not complete.
 	Failed
-	// Refused is an answer that the job was not run.
+	// Refused is an answer that says that the job was not run.
 	Refused
 	// Unknown is an answer that does not say whether the job was started.
 	Unknown
-	// Unclaimed is an answer without a decision of the owner of its key; it is not part of the burn rate.
+	// Unclaimed is an answer for which it is not decided whether this instance counts its request. It is not part of
+	// the burn rate.
 	Unclaimed
 
 	numClasses
@@ -76,7 +77,7 @@
 	Team string `json:"team"`
 }
 
-// emptyName replaces an empty name: in a report, an empty team stands for the whole kind.
+// emptyName replaces an empty name, because an empty team in a report stands for the whole kind.
 const emptyName = "(none)"
 
 // withPlaceholders returns series with empty names replaced.
--- a/reporter/batch.go
+++ b/reporter/batch.go
@@ -13,7 +13,7 @@
 
 const (
 	batchFormat = 1
-	// maxBatchRows limits a record of the log to about 150 KB.
+	// maxBatchRows limits a record of several minutes to about 150 KB; a record of one minute may have more rows.
 	maxBatchRows = 20_000
 	// maxBatchMinutes limits the time span of a decoded record.
 	maxBatchMinutes = windowMinutes
@@ -53,12 +53,14 @@
 	Counts []byte `json:"counts,omitempty"`
 }
 
+// objectiveRecord is the JSON form of the objective of a kind.
 type objectiveRecord struct {
 	Kind     string  `json:"kind"`
 	WithinMS int64   `json:"within-ms"`
 	Percent  float64 `json:"percent"`
 }
 
+// compareSeries orders series by kind, then by team.
 func compareSeries(a, b Series) int {
 	if order := strings.Compare(a.Kind, b.Kind); order != 0 {
 		return order
@@ -134,7 +136,7 @@
 	return batch, eris.Wrapf(record.decodeRows(batch.minutes), "burn record of incarnation %s", record.Incarnation)
 }
 
-// nameIndex assigns numbers to names in the order of their first use.
+// nameIndex assigns indices to names in the order of their first use.
 type nameIndex struct {
 	list    []string
 	indices map[string]uint64
@@ -172,11 +174,11 @@
 const (
 	// minRowBytes is the size of the shortest row. It limits the memory that is allocated for the rows of a record.
 	minRowBytes = 3
-	// maxRowCount limits a count, so that sums over a window do not overflow.
+	// maxRowCount limits a count, so that a slot, which has 32 bits per class, can add up 256 counts without overflow.
 	maxRowCount = 1 << 24
 )
 
-// varintReader decodes rows of varints. After the first invalid value, it stays invalid.
+// varintReader decodes unsigned varints and rows of them. After the first invalid value, it stays invalid.
 type varintReader struct {
 	data    []byte
 	invalid bool
--- a/reporter/coverage.go
+++ b/reporter/coverage.go
@@ -9,7 +9,7 @@
 
 const (
 	wordBits = 64
-	// coverageWords is the number of words for the longest window, its rounding and the spare minutes.
+	// coverageWords is the number of words for the longest window, the rounding of its start, and the spare minutes.
 	coverageWords = (windowMinutes+coarseMinutes+spareMinutes)/wordBits + 2
 	coverageBits  = coverageWords * wordBits
 )
@@ -94,12 +94,13 @@
 	return lifetimes
 }
 
-// completeness holds the instance-minutes of a window: the expected ones, and those with a record.
+// completeness holds the number of instance-minutes in a window for which a record is expected, and of those for which
+// one exists.
 type completeness struct{ expected, covered int64 }
 
 func (completeness completeness) missing() int64 { return completeness.expected - completeness.covered }
 
-// completeness returns the instance-minutes in [from, to).
+// completeness returns the numbers of expected and covered instance-minutes in [from, to).
 func (aggregator *Aggregator) completeness(lifetimes []lifetime, from, to minute) completeness {
 	var completeness completeness
 	earliest, instances := to, make(map[[2]string]bool)
@@ -129,8 +130,8 @@
 	return completeness
 }
 
-// Prune removes the incarnations that ended before the longest window of a report at now, and series without answers
-// since then.
+// Prune removes the incarnations that ended before the start of the longest window of a report at now, and the series
+// without answers since that start.
 func (aggregator *Aggregator) Prune(now time.Time) {
 	oldest := minuteOf(now) - windowMinutes - coarseMinutes - spareMinutes
 	for _, lifetime := range aggregator.lifetimes(minuteOf(now)) {
--- a/reporter/doc.go
+++ b/reporter/doc.go
@@ -3,28 +3,29 @@
 //
 // # Counting each request once
 //
-// The owner of a key decides which instance counts its request. With the first answer that it returns to an instance
-// it grants the count to that instance, and it denies the count to all others (Reporter.GrantCount). The answering
-// instance counts the answer after it was written to the caller, once per key (Reporter.Record). A grant is valid for
-// one to two retention periods.
+// The owner of a key decides which instance counts the request with that key. It grants the count to the first instance
+// to which it returns an answer, and denies it to all others (Reporter.GrantCount). The instance that answers the
+// caller counts the answer after it was written, once per key (Reporter.Record). A grant is valid for one to two
+// retention periods.
 //
-// An answer given while the owner was unreachable is counted separately as unclaimed. It is not part of the burn rate,
-// but a verdict is only ok if it would still be ok with all unclaimed answers counted as bad.
+// An answer is counted separately, as unclaimed, if the owner was unreachable, if the outcome is not known yet, or if
+// there is no space left to remember the key. Unclaimed answers are not part of the burn rate, but a verdict is only ok
+// if it would still be ok with all of them counted as bad.
 //
 // Known inaccuracies:
 //   - A key that is resubmitted after its grant has expired counts again.
-//   - If the owner of a key crashes after the caller received its answer and before the witness learned of it, the
-//     request counts again when the successor answers.
+//   - If the owner of a key crashes after the caller received the answer and before the witness, which stores copies of
+//     the owner's records, received the outcome, the request counts again when the next owner answers.
 //   - If writing an answer fails after the count was granted and the caller resubmits through another instance, the
 //     request is not counted.
 //   - A write that succeeds locally counts although the caller may never read it.
 //
 // # Missing data
 //
-// An incarnation is expected to have a record for every minute from its first one to its final record, to the
-// start of the next incarnation of the same instance, or to the end of the report. Minutes without a record are
-// missing. An incarnation of which no record ever reached the log is not known to have run. Answers to malformed
-// requests, which have no kind, are not counted.
+// An incarnation is expected to have a record for every minute from its first one to its final record. Without a final
+// record, they are expected until the start of the next incarnation of the same instance, or else until the end of the
+// report. Minutes without a record are missing. An incarnation of which no record ever reached the log is not known to
+// have run. Answers to malformed requests, which have no kind, are not counted.
 //
 // # Hourly sums
 //
--- a/reporter/frame.go
+++ b/reporter/frame.go
@@ -8,7 +8,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// checksumSize is the length of the checksum at the start of a record, in hexadecimal digits.
+// checksumSize is the number of hexadecimal digits of the checksum at the start of a record.
 const checksumSize = 2 * crc32.Size
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
--- a/reporter/html.go
+++ b/reporter/html.go
@@ -12,9 +12,10 @@
 )
 
 const (
+	// reportPage repeats the width and the height of a plot.
 	plotWidth  = 900.0
 	plotHeight = 140.0
-	// maxPlottedRate is the burn rate at the top edge of a plot, just above the highest threshold.
+	// maxPlottedRate is the burn rate at the top edge of a plot. It is above the highest threshold.
 	maxPlottedRate = 20.0
 )
 
@@ -56,7 +57,7 @@
 // htmlRow provides the data of one row to the page template.
 type htmlRow struct{ Row }
 
-// Title returns the kind, and the team if the row is for one.
+// Title returns the kind, followed by the team if the row is for one.
 func (row htmlRow) Title() string { return row.title() }
 
 // ObjectiveText returns the objective as text.
@@ -85,7 +86,7 @@
 	return plotHeight * (1 - math.Sqrt(min(rate, maxPlottedRate)/maxPlottedRate))
 }
 
-// plotMark is a rectangle of the plot.
+// plotMark is a bar over the full height of the plot.
 type plotMark struct {
 	X, Width, Opacity float64
 	Title             string
@@ -106,7 +107,8 @@
 	return marks
 }
 
-// Lines returns the points of the burn rate curve. An hour without answers has no rate and interrupts the line.
+// Lines returns the lines of the burn rate curve, each as the points of a polyline. An hour without answers has no rate
+// and ends a line.
 func (row htmlRow) Lines() []string {
 	var lines []string
 	var line strings.Builder
--- a/reporter/keys.go
+++ b/reporter/keys.go
@@ -12,8 +12,8 @@
 // keyState records which instance may count a key and whether it was counted.
 type keyState struct {
 	holder    uint64 // fingerprint of the instance that may count the key; 0 if none was granted it
-	counted   bool   // this instance counted it
-	unclaimed bool   // this instance counted it as unclaimed
+	counted   bool   // whether this instance counted an answer to the key
+	unclaimed bool   // whether this instance counted an unclaimed answer to the key
 }
 
 // keyShard holds the states of a subset of the keys in two generations. A state is kept for one to two retention
@@ -44,8 +44,8 @@
 
 func (keys *keys) fingerprint(text string) uint64 { return maphash.String(keys.seed, text) }
 
-// update applies decide to the state of key and returns its result. If the key is new and its shard is full, update
-// returns false and true, and decide is not called.
+// update applies decide to the state of key and returns its result as decided. If the key is new and its shard is full,
+// update does not call decide and reports full.
 func (keys *keys) update(key string, now time.Time, decide func(keyState *keyState) bool) (decided, full bool) {
 	fingerprint := keys.fingerprint(key)
 	shard := &keys.shards[fingerprint%keyShards]
@@ -81,8 +81,8 @@
 	shard.rotated = now
 }
 
-// grant reports whether holder may count key. The first instance that asks may, and gets the same result if it asks
-// again.
+// grant reports whether holder may count key. Unless this instance has already counted it, the first instance that asks
+// may, and gets the same result if it asks again.
 func (keys *keys) grant(key, holder string, now time.Time) bool {
 	requester := keys.fingerprint(holder) | 1 // not 0, which means no holder
 	granted, _ := keys.update(key, now, func(keyState *keyState) bool {
@@ -94,7 +94,8 @@
 	return granted
 }
 
-// count reports whether this instance must count an answer to key; full means that the key could not be stored.
+// count reports whether this instance must count an answer to key, and marks the key as counted or unclaimed. If the
+// state of the key could not be stored, it reports full.
 func (keys *keys) count(key string, grant Grant, now time.Time) (shouldCount, full bool) {
 	return keys.update(key, now, func(keyState *keyState) bool {
 		switch {
--- a/reporter/report.go
+++ b/reporter/report.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// reportLagMinutes is the number of latest minutes that a report leaves out: an instance appends a minute during the
-// following one.
+// reportLagMinutes is the number of latest minutes that a report leaves out: the current one, and the previous one,
+// which the instances append during the current one.
 const reportLagMinutes = 2
 
 // Verdict is the alert state of a kind or a team.
@@ -17,7 +17,7 @@
 const (
 	// Page means that the budget burns so fast that somebody must be called immediately.
 	Page Verdict = "page"
-	// Ticket means that the budget burns so fast that it must be looked at in working hours.
+	// Ticket means that the budget burns so fast that somebody must look at it in working hours.
 	Ticket Verdict = "ticket"
 	// Missing means that the verdict is ok from the known answers, but might not be with the missing or unclaimed ones.
 	Missing Verdict = "missing"
@@ -65,12 +65,13 @@
 	AsOf time.Time `json:"as-of"`
 	// Coverage holds one entry per window.
 	Coverage []Coverage `json:"coverage"`
-	// Unreadable is the number of records that could not be used.
+	// Unreadable is the number of records that could not be decoded or were ignored.
 	Unreadable int   `json:"unreadable-records"`
 	Rows       []Row `json:"rows"`
 }
 
-// Coverage says for how many minutes of a window records are expected and exist, added up over the instances.
+// Coverage holds the numbers of minutes of a window for which records are expected and for which they exist, added up
+// over the instances.
 type Coverage struct {
 	WindowMinutes   int64 `json:"window-minutes"`
 	ExpectedMinutes int64 `json:"expected-minutes"`
@@ -81,7 +82,8 @@
 type Row struct {
 	Kind string `json:"kind"`
 	// Team is empty in the row of a whole kind.
-	Team     string  `json:"team,omitempty"`
+	Team string `json:"team,omitempty"`
+	// WithinMS and Percent are the objective of the kind, or 0 if it has none.
 	WithinMS int64   `json:"within-ms,omitempty"`
 	Percent  float64 `json:"percent,omitempty"`
 	Verdict  Verdict `json:"verdict"`
@@ -101,17 +103,17 @@
 	Refused       uint64 `json:"refused"`
 	Unknown       uint64 `json:"unknown"`
 	Unclaimed     uint64 `json:"unclaimed"`
-	// Rate is the share of bad answers divided by the share that may be bad.
+	// Rate is the share of bad answers divided by the share that may be bad. It is 0 if the kind has no objective.
 	Rate float64 `json:"burn-rate"`
-	// WorstRate is what Rate would be if all missing and unclaimed answers were bad. It is null if records of the
-	// window are expected but none exist.
+	// WorstRate is what Rate would be if all missing and unclaimed answers were bad. It is null if the kind has no
+	// objective, or if records of the window are expected but none exist.
 	WorstRate *float64 `json:"worst-burn-rate"`
 }
 
 // Bad returns the number of answers that use up the error budget.
 func (burn Burn) Bad() uint64 { return burn.Late + burn.Failed + burn.Refused + burn.Unknown }
 
-// Hour holds the answers of one hour, which is one point of the plot.
+// Hour holds the answers of one hour, for one step of the curve in the HTML report.
 type Hour struct {
 	Start     time.Time `json:"start"`
 	Answers   uint64    `json:"answers"`
@@ -256,7 +258,7 @@
 	burn.WorstRate = &worst
 }
 
-// evaluate returns the worst verdict of all window pairs.
+// evaluate returns the most severe verdict that any window pair yields.
 func (row Row) evaluate() Verdict {
 	verdict := OK
 	for _, windowPair := range windowPairs {
@@ -276,11 +278,12 @@
 	return burn.WorstRate == nil || *burn.WorstRate > factor
 }
 
+// burn returns the burn of a window, which must be one of windows.
 func (row Row) burn(window time.Duration) Burn {
 	return row.Burns[slices.Index(windows, window)]
 }
 
-// WorstVerdict returns the worst verdict of all rows.
+// WorstVerdict returns the most severe verdict of all rows.
 func (report Report) WorstVerdict() Verdict {
 	order := []Verdict{Page, Ticket, Missing, OK, NoObjective}
 	worst := NoObjective
@@ -292,7 +295,7 @@
 	return worst
 }
 
-// title returns the kind, and the team if the row is for one.
+// title returns the kind, followed by the team if the row is for one.
 func (row Row) title() string {
 	return strings.TrimSuffix(row.Kind+" / "+row.Team, " / ")
 }
--- a/reporter/reporter.go
+++ b/reporter/reporter.go
@@ -9,7 +9,7 @@
 
 const (
 	countShards = 16
-	// maxPendingRows limits the counts that are not yet in the log; at 1,200 series it is about two hours.
+	// maxPendingRows limits the rows of counts that are not yet in the log; with 1,200 series, this is about two hours.
 	maxPendingRows = 150_000
 )
 
@@ -43,7 +43,8 @@
 	closed []closedMinute
 }
 
-// closedMinute holds the counts of one minute that has ended; a series may have several rows.
+// closedMinute holds the counts of one minute that has ended. A series that collects answers beyond the limit of series
+// may have several rows, one of each shard.
 type closedMinute struct {
 	minute minute
 	rows   []seriesCounts
@@ -89,7 +90,8 @@
 	reporter.objectives.Store(&objectives)
 }
 
-// GrantCount reports whether the instance holder may count the request with key, which this instance owns.
+// GrantCount reports whether the instance named holder may count the request with a key that this instance owns. It
+// grants the count to the first instance for which it is called, unless this instance has already counted the request.
 func (reporter *Reporter) GrantCount(key, holder string, now time.Time) bool {
 	return reporter.keys.grant(key, holder, now)
 }
@@ -115,8 +117,8 @@
 	return true
 }
 
-// series returns the counts of a series in the open minute. When there are limit series, the answers of a new one are
-// counted under team OtherName, and under kind OtherName unless its kind has an objective.
+// series returns the counts of a series in the open minute. Once the shard has limit series, the answers of a new one
+// are counted under team OtherName, and also under kind OtherName unless its kind has an objective.
 func (shard *countShard) series(series Series, hasObjective bool, limit int) *Counts {
 	counts := shard.counts[series]
 	if counts != nil {
@@ -139,7 +141,8 @@
 // closeMinute closes the open minute if now is a later minute; the caller holds shard.mu.
 func (shard *countShard) closeMinute(now minute) {
 	if now <= shard.open {
-		return // After the clock went back, answers count in the open minute: closed minutes may already be in the log.
+		// After the clock was set back, answers count in the open minute: closed minutes may already be in the log.
+		return
 	}
 	if len(shard.counts) > 0 {
 		closed := closedMinute{minute: shard.open}
@@ -192,9 +195,9 @@
 	}
 }
 
-// Batch returns the closed minutes before now that were not acknowledged, as many as fit into one record, and false if
-// there are none. It must be called every minute, also while the log is down, because it limits the memory of the
-// pending minutes. If final is set, the open minute is closed too, and no answer may be recorded afterwards.
+// Batch returns the oldest closed minutes that were not acknowledged, at least one and as many as fit into a record,
+// and false if there are none. It must be called every minute, also while the log is down, because it limits the memory
+// of the pending minutes. If final is set, the current minute is closed too, and no answer may be recorded afterwards.
 func (reporter *Reporter) Batch(now time.Time, final bool) (Batch, bool) {
 	reporter.mu.Lock()
 	defer reporter.mu.Unlock()
@@ -219,7 +222,7 @@
 	return batch, true
 }
 
-// Acknowledge removes the minutes of a batch that is in the log from the pending ones.
+// Acknowledge removes the minutes of a batch from the pending ones, after the batch was appended to the log.
 func (reporter *Reporter) Acknowledge(batch Batch) {
 	reporter.mu.Lock()
 	defer reporter.mu.Unlock()
--- a/reporter/sum.go
+++ b/reporter/sum.go
@@ -17,16 +17,18 @@
 	maxSumRecords = 50_000
 	// maxSumSources limits the incarnations in a sum.
 	maxSumSources = 5_000
-	// maxSumCount limits a count in a sum, so that ten of them, which are added up in one slot, fit into 32 bits.
+	// maxSumCount limits a count in a sum, so that the counts of the ten minutes of a coarse slot fit into its 32 bits.
 	maxSumCount = 1 << 28
-	// maxSumMinutes limits the minutes of a sum, and maxSumCoveredMinutes the total over its incarnations: it fits
-	// backlogs of three days of 230 instances. A sum ends early enough that one more record cannot exceed them.
+	// maxSumMinutes limits the minutes of a sum, and maxSumCoveredMinutes the total of the minutes of its incarnations,
+	// which is enough for backlogs of three days of 230 instances. A sum ends early enough that the minutes of its last
+	// record do not exceed these limits.
 	maxSumMinutes        = 2 * windowMinutes
 	maxSumCoveredMinutes = 1_000_000
 )
 
-// HourlySum holds the counts of consecutive records of stream burn, added up over the instances for each minute. It
-// lists the minutes of each incarnation, so that an Aggregator can detect minutes that it has already counted.
+// HourlySum holds the counts of consecutive records of stream burn, added up over the instances for each minute. The
+// records are those since the previous sum, so their minutes are not those of a clock hour. A sum lists the minutes of
+// each incarnation, so that an Aggregator can detect minutes that it has already counted.
 type HourlySum struct {
 	hour       minute // start of the hour for which it was appended
 	from, next int64  // offsets of the first record and after the last one
@@ -36,7 +38,8 @@
 	minutes    []closedMinute // ascending
 }
 
-// sumSource holds the minutes of one incarnation that are in a sum.
+// sumSource is an incarnation with records in a sum, and its minutes in that sum. In the JSON of a sum, the sources are
+// called runs.
 type sumSource struct {
 	domain, instance, incarnation string
 
@@ -45,7 +48,7 @@
 	minutes []minute // ascending
 }
 
-// objectiveAt is an objective that was in effect at a minute.
+// objectiveAt is an objective and the latest minute at which it is known to have been in effect.
 type objectiveAt struct {
 	objective Objective
 	at        minute
@@ -60,7 +63,7 @@
 // Hour returns the start of the hour for which the sum was appended.
 func (sum HourlySum) Hour() time.Time { return sum.hour.time() }
 
-// last returns the latest minute in any part of the sum, or -1 if there is none.
+// last returns the latest minute in the counts, sources and objectives of the sum, or -1 if there is none.
 func (sum HourlySum) last() minute {
 	last := minute(-1)
 	for _, closed := range sum.minutes {
@@ -77,8 +80,9 @@
 	return last
 }
 
-// AddSum adds a sum, read at now, and reports whether it did. It does not add a sum that has minutes that are already
-// counted, minutes in the future, or too many new incarnations. The caller must then add the records in its range.
+// AddSum adds a sum, read at now, and reports whether it was added. It does not add a sum that has minutes that are
+// already counted, minutes more than maxAheadMinutes in the future, or too many new incarnations. The caller must then
+// add the records in the range of the sum instead.
 func (aggregator *Aggregator) AddSum(sum HourlySum, now time.Time) bool {
 	if sum.last() > minuteOf(now)+maxAheadMinutes {
 		return false
@@ -129,17 +133,19 @@
 	Counts []byte `json:"-"`
 }
 
+// sourceRecord is the JSON form of a sumSource.
 type sourceRecord struct {
 	Domain      string `json:"domain"`
 	Instance    string `json:"instance"`
 	Incarnation string `json:"incarnation"`
 	First       minute `json:"first-minute"`
 	Final       bool   `json:"final,omitempty"`
-	// Minutes holds pairs of unsigned varints: the number of minutes to skip, starting from minute 0, and the number of
-	// minutes present.
+	// Minutes holds pairs of unsigned varints, one per run of consecutive minutes: the number of minutes between the
+	// end of the previous run, or minute 0, and the start of this one, and the number of minutes in the run.
 	Minutes []byte `json:"minutes"`
 }
 
+// objectiveAtRecord is the JSON form of an objectiveAt.
 type objectiveAtRecord struct {
 	objectiveRecord
 	At minute `json:"at-minute"`
@@ -176,7 +182,7 @@
 	return frameRecord(data, record.Counts), eris.Wrap(err, "encoding an hourly burn sum")
 }
 
-// appendMinutes appends minutes, which are ascending, in the form of sourceRecord.Minutes.
+// appendMinutes appends minutes, which are ascending, to data in the form of sourceRecord.Minutes.
 func appendMinutes(data []byte, minutes []minute) []byte {
 	next := minute(0)
 	for i := 0; i < len(minutes); {
@@ -239,6 +245,7 @@
 		})
 	}
 	reader := &varintReader{data: record.Counts}
+	// The limit of 1 << 40 is beyond every real minute, and the additions cannot overflow.
 	for at := minute(0); len(reader.data) > 0; {
 		at += minute(reader.next(1 << 40))
 		rows := reader.rows(record.Kinds, record.Teams, maxSumCount)
@@ -250,7 +257,8 @@
 	return nil
 }
 
-// decodeMinutes returns the minutes of one incarnation, and false if they are invalid or more than limit.
+// decodeMinutes returns the minutes in data, which has the form of sourceRecord.Minutes, and false if they are invalid
+// or more than limit.
 func decodeMinutes(data []byte, limit int) ([]minute, bool) {
 	reader := &varintReader{data: data}
 	var minutes []minute
--- a/reporter/sum_builder.go
+++ b/reporter/sum_builder.go
@@ -14,9 +14,10 @@
 // sumAppendSpread is the time after the start of an hour over which the append times of the instances are spread.
 const sumAppendSpread = 30 * time.Minute
 
-// SumAppendTime returns when an instance must append the sums of the hour of now, unless another instance has done so.
-// The time comes from a rendezvous hash of the hour and the instance. As with bundle renewals, this needs no list of
-// instances, and if an instance crashed or is unresponsive, the one with the next append time takes over.
+// SumAppendTime returns the time in the hour of now at which an instance must append sums, unless another instance has
+// already appended them in that hour. The time comes from a rendezvous hash of the hour and the instance. As with
+// bundle renewals, this needs no list of instances, and if an instance crashed or is unresponsive, the one with the
+// next append time takes over.
 func SumAppendTime(now time.Time, failureDomain, instance string) time.Time {
 	hour := now.Truncate(time.Hour)
 	hash := sha256.Sum256([]byte(strconv.FormatInt(hour.Unix(), 10) + "\x00" + failureDomain + "\x00" + instance))
@@ -29,9 +30,9 @@
 type SumBuilder struct {
 	*Aggregator
 	sum            HourlySum
-	records        int
-	rows           int
-	coveredMinutes int // minutes of all sources
+	records        int // records added since Begin
+	rows           int // rows in minutes
+	coveredMinutes int // total of the minutes of the sources
 	sources        map[string]*sumSource
 	minutes        map[minute]map[Series]*Counts
 }
@@ -44,7 +45,7 @@
 	return builder
 }
 
-// Begin starts a new sum at the record with offset from and keeps the coverage.
+// Begin discards the current sum and starts a new one at the record with offset from. It keeps the coverage.
 func (builder *SumBuilder) Begin(from int64) {
 	builder.sum = HourlySum{from: from, next: from, objectives: make(map[string]objectiveAt)}
 	builder.records, builder.rows, builder.coveredMinutes = 0, 0, 0
@@ -57,8 +58,8 @@
 		len(builder.minutes) >= maxSumMinutes-maxBatchMinutes || builder.coveredMinutes >= maxSumCoveredMinutes-maxBatchMinutes
 }
 
-// AddRecord adds the record at offset, read at now, to the sum; a record that cannot be decoded is counted as
-// unreadable.
+// AddRecord adds the record at offset, read at now, to the sum. It counts a record as unreadable if it cannot be
+// decoded or if Aggregator.Add would ignore it.
 func (builder *SumBuilder) AddRecord(offset int64, data []byte, now time.Time) {
 	builder.sum.next = offset + 1
 	builder.records++
@@ -71,7 +72,7 @@
 	builder.sum.unreadable += builder.unreadable - unreadable
 }
 
-// addBatch adds the minutes of batch that were not covered before.
+// addBatch adds the minutes in added, which are those of batch that were not covered before, and the objectives.
 func (builder *SumBuilder) addBatch(batch Batch, added []closedMinute) {
 	coverage := builder.incarnations[batch.incarnation]
 	if coverage == nil {
@@ -89,7 +90,7 @@
 		builder.addRows(closed)
 	}
 	if _, through := batch.span(); through > coverage.last {
-		return // The batch has minutes in the future, so its minutes and objectives are left out.
+		return // markCovered ignored the batch because of minutes in the future, so its objectives are left out too.
 	}
 	for kind := range batch.objectives {
 		if at, known := builder.objectivesAt[kind]; known {
--- a/reporter/text.go
+++ b/reporter/text.go
@@ -60,7 +60,8 @@
 	return fmt.Sprintf("%v%% in %d ms", row.Percent, row.WithinMS)
 }
 
-// budgetLeft returns the part of the longest window's error budget that is left, and the worst case if that differs.
+// budgetLeft returns the share of the longest window's error budget that is left, and in parentheses the worst case if
+// it differs.
 func (row Row) budgetLeft() string {
 	longest := row.longest()
 	switch {
