--- a/accountant/cursor.go
+++ b/accountant/cursor.go
@@ -105,7 +105,7 @@
 			return eris.Wrap(err, "reading burn records")
 		}
 		if page.Next < cursor.next {
-			return eris.Errorf("stream %s ends at offset %d, before offset %d of an hourly sum", burnStream, page.Next, cursor.next)
+			return eris.Errorf("stream %s ends at offset %d, before offset %d, which is the next to read", burnStream, page.Next, cursor.next)
 		}
 		if !cursor.started {
 			cursor.start(page.Earliest == 0)
--- a/reporter/batch.go
+++ b/reporter/batch.go
@@ -229,7 +229,7 @@
 	reader := &varintReader{data: record.Counts}
 	for i := range minutes {
 		if minutes[i].rows = reader.rows(record.Kinds, record.Teams, maxRowCount); reader.invalid {
-			return eris.Errorf("the counts of minute %d are out of range", minutes[i].minute)
+			return eris.Errorf("the counts of minute %d are invalid", minutes[i].minute)
 		}
 	}
 	if len(reader.data) > 0 {
--- a/reporter/frame.go
+++ b/reporter/frame.go
@@ -42,7 +42,7 @@
 	}
 	header, counts, found := bytes.Cut(data[checksumSize:], []byte{headerEnd})
 	if !found {
-		return nil, nil, eris.New("burn record without counts")
+		return nil, nil, eris.New("burn record without a line break after the header")
 	}
 	return header, counts, nil
 }
--- a/reporter/sum.go
+++ b/reporter/sum.go
@@ -236,7 +236,7 @@
 		minutes, ok := decodeMinutes(entry.Minutes, remaining)
 		remaining -= len(minutes)
 		if !ok || entry.Incarnation == "" || seen[entry.Incarnation] || entry.First < 0 {
-			return eris.Errorf("hourly burn sum: invalid entry of incarnation %q", entry.Incarnation)
+			return eris.Errorf("hourly burn sum: invalid or duplicate entry of incarnation %q", entry.Incarnation)
 		}
 		seen[entry.Incarnation] = true
 		sum.sources = append(sum.sources, sumSource{
@@ -250,7 +250,7 @@
 		at += minute(reader.next(1 << 40))
 		rows := reader.rows(record.Kinds, record.Teams, maxSumCount)
 		if reader.invalid || len(sum.minutes) >= maxSumMinutes {
-			return eris.Errorf("hourly burn sum: counts of minute %d are out of range", at)
+			return eris.Errorf("hourly burn sum: the counts of minute %d are invalid, or there are too many minutes", at)
 		}
 		sum.minutes = append(sum.minutes, closedMinute{minute: at, rows: rows})
 	}
