--- a/accountant/accountant.go
+++ b/accountant/accountant.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// appendTimeout bounds the appends of one minute. It is shorter than a minute, so that a slow log does not delay
-	// the next appends.
+	// appendTimeout limits the time of the appends of one minute. It is shorter than a minute, so that a slow log does
+	// not delay the next appends.
 	appendTimeout = 20 * time.Second
-	// appendSpread is the time over which the appends of the instances are spread in each minute. If 300 instances
-	// appended in the same second, they would use up the whole rate of the log.
+	// appendSpread is the part of each minute over which the appends of the instances are spread. If 300 instances
+	// appended in the same second, they would use up the append rate of the log.
 	appendSpread = 30 * time.Second
 )
 
-// Accountant counts the answers of one instance and appends the counts to the log every minute. When it is the turn of
-// the instance, it also appends the hourly sums of the records of all instances.
+// Accountant counts the answers of one instance and appends the counts to the log every minute. If it is the first
+// instance whose append time in an hour is reached, it also appends the hourly sums of the records of all instances.
 type Accountant struct {
 	*reporter.Reporter
 	log    *appender.Appender
@@ -56,7 +56,7 @@
 	return accountant
 }
 
-// appendSums appends the hourly sums if they are due, and logs an error.
+// appendSums appends the hourly sums if they are due, and logs an error if that fails.
 func (accountant *Accountant) appendSums(ctx context.Context, sumAppender *sumAppender, now time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, sumTimeout)
 	defer cancel()
@@ -65,15 +65,15 @@
 	}
 }
 
-// Close appends the remaining counts and marks the last record as final. It returns an error if that did not succeed by
-// the deadline of ctx. No answer may be recorded afterwards.
+// Close stops the background appends, appends the remaining counts, and marks the last record as final. It returns an
+// error if not all counts could be appended before ctx ended. No answer may be recorded afterwards.
 func (accountant *Accountant) Close(ctx context.Context) error {
 	accountant.stop()
 	accountant.done.Wait()
 	return accountant.flushAll(ctx, time.Now(), true)
 }
 
-// tryFlush appends all closed minutes, and logs an error.
+// tryFlush appends all closed minutes within appendTimeout, and logs an error if that fails.
 func (accountant *Accountant) tryFlush(ctx context.Context, now time.Time, final bool) {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
@@ -82,8 +82,9 @@
 	}
 }
 
-// flushAll appends all closed minutes. After an error they stay pending and are appended again. It does not matter
-// whether the failed append took effect, because readers count each minute of an incarnation once.
+// flushAll appends all closed minutes and, if final is set, the current one. After an error, the minutes that were not
+// acknowledged stay pending and are appended again. It does not matter whether the failed append took effect, because
+// readers count each minute of an incarnation once.
 func (accountant *Accountant) flushAll(ctx context.Context, now time.Time, final bool) error {
 	for {
 		batch, ok := accountant.Batch(now, final)
@@ -101,8 +102,7 @@
 	}
 }
 
-// appendOffset returns the time after the start of each minute at which an incarnation appends, from a hash of its
-// name.
+// appendOffset returns how long after the start of each minute an incarnation appends, from a hash of its name.
 func appendOffset(incarnation string) time.Duration {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(incarnation))
--- a/accountant/accountant_test.go
+++ b/accountant/accountant_test.go
@@ -34,8 +34,8 @@
 	return reporter.NewAnswer(dispatcher.NewJob("", "check", "demo", time.Time{}, nil), outcome, took, reporter.KeyOwner)
 }
 
-// Guards against counts that are lost in an outage of the log, counted twice after a lost answer, or wrong after a
-// restart, and against the minutes of a crashed instance being treated as good.
+// Guards against counts that are lost in an outage of the log, counted twice after the response to an append was lost,
+// or wrong after a restart, and against the minutes of a crashed instance being treated as good.
 func TestReportAcrossFaultsOfTheLog(t *testing.T) {
 	is := is.New(t)
 	log := emulator.NewLog()
@@ -103,7 +103,8 @@
 	is.Equal(report.Rows[0].Burns[2].Answers, uint64(30_000))
 }
 
-// Guards against an outdated report while the log is down, and against wrong content types.
+// Guards against an outdated report while the log is down, records that a second request counts again, and wrong
+// content types.
 func TestHandler(t *testing.T) {
 	is := is.New(t)
 	log := emulator.NewLog()
--- a/accountant/bench_test.go
+++ b/accountant/bench_test.go
@@ -116,9 +116,9 @@
 	})
 }
 
-// BenchmarkRead reads three days of four instances into a new reader and computes a report: in case sums from hourly
-// sums and the minute records after them, in case minutes from minute records only. Case report computes a report of a
-// reader that has already read all records.
+// BenchmarkRead computes a report of three days of four instances. Case sums uses a new reader that reads the hourly
+// sums and the minute records after them, and case minutes a new reader that reads only minute records. Case report
+// uses a reader that has already read all records.
 func BenchmarkRead(b *testing.B) {
 	benchSeries(b, func(b *testing.B, series int) {
 		cluster := newBenchCluster(b, series)
--- a/accountant/cursor.go
+++ b/accountant/cursor.go
@@ -13,27 +13,28 @@
 
 const (
 	burnStream = "burn"
-	// hoursStream holds the hourly sums. They are not in stream burn, because the log can only be read by offset: a
-	// reader of the sums could not skip the minute records between them.
+	// hoursStream holds the hourly sums. They are not in stream burn, because a stream can only be read in the order of
+	// the offsets: a reader of the sums could not skip the minute records between them.
 	hoursStream = "burn-hours"
-	// toEnd is the offset limit of a read to the end of the stream.
+	// toEnd is the limit for reading records up to the end of the stream.
 	toEnd = math.MaxInt64
 )
 
-// cursor adds sums and minute records to an aggregator in the order of the offsets in stream burn.
+// cursor is a position in streams burn and burn-hours. It reads sums and minute records from there on and adds them to
+// an aggregator, in the order of the offsets in stream burn.
 type cursor struct {
 	log        *appender.Appender
 	aggregator *reporter.Aggregator
 	// next is the offset in stream burn before which all records are in the aggregator or no longer in the log.
 	next    int64
-	nextSum int64 // offset of the next record of stream burn-hours
-	started bool
-	hour    time.Time // latest hour that has a sum
+	nextSum int64     // offset of the next record of stream burn-hours
+	started bool      // whether the aggregator knows if the log was read from its first record on
+	hour    time.Time // latest hour for which a sum was read or appended
 }
 
-// readSums adds the new sums in stream burn-hours to the aggregator. A sum is used if it starts at or after the next
-// offset, so of two sums that start at the same record the first in the log is used. For gaps between sums, and for
-// sums that contain minutes that are already counted, it reads the minute records instead.
+// readSums adds the new sums in stream burn-hours to the aggregator. It skips sums that start before cursor.next, so of
+// two sums that start at the same record, it uses the first one in the log. For gaps between sums, and for sums that
+// the aggregator does not accept, it reads the minute records instead. It skips sums that cannot be decoded.
 func (cursor *cursor) readSums(ctx context.Context, now time.Time) error {
 	for {
 		page, err := cursor.log.Read(ctx, hoursStream, cursor.nextSum, 0)
@@ -54,13 +55,14 @@
 	}
 }
 
-// addSum adds one sum, or the minute records in its range, unless the range overlaps with records that were already
-// added.
+// addSum adds the minute records before the sum, and then the sum or the minute records in its range. If the range
+// starts before cursor.next, its first records were already added, and addSum does nothing.
 func (cursor *cursor) addSum(ctx context.Context, sum reporter.HourlySum, now time.Time) error {
 	if sum.From() < cursor.next {
 		return nil
 	}
 	if !cursor.started && sum.From() == 0 {
+		// The sum stands for the first records of the log, even if these are no longer in it.
 		cursor.start(true)
 	}
 	if err := cursor.readMinutes(ctx, now, sum.From()); err != nil {
@@ -78,7 +80,7 @@
 	return nil
 }
 
-// start sets whether the log is read from its first record on.
+// start is called before the first record or sum is added; complete is whether it is the first one of the log.
 func (cursor *cursor) start(complete bool) {
 	cursor.started = true
 	cursor.aggregator.SetComplete(complete)
@@ -97,7 +99,8 @@
 	})
 }
 
-// readRecords calls add for the records of stream burn in [cursor.next, until) until add returns false.
+// readRecords calls add for the records of stream burn in [cursor.next, until), and stops early if add returns false.
+// It moves cursor.next after the last of these records.
 func (cursor *cursor) readRecords(ctx context.Context, until int64, add func(record appender.Record) bool) error {
 	for cursor.next < until {
 		page, err := cursor.log.Read(ctx, burnStream, cursor.next, 0)
@@ -122,7 +125,7 @@
 		}
 		if len(page.Records) == 0 {
 			if until != toEnd {
-				cursor.next = min(until, page.Next) // The log no longer has the rest.
+				cursor.next = min(until, page.Next) // The log no longer has the remaining records.
 			}
 			return nil
 		}
--- a/accountant/follower.go
+++ b/accountant/follower.go
@@ -12,8 +12,8 @@
 	"github.com/hyssoplift/hyssoplift/sleeper"
 )
 
-// Follower is a Reader that reads new records in the background, so that a report needs to read only those of the last
-// seconds.
+// Follower is a Reader that also reads new records in the background every followInterval, so that a report needs to
+// read only the records since then.
 type Follower struct {
 	*Reader
 	stop context.CancelFunc
--- a/accountant/reader.go
+++ b/accountant/reader.go
@@ -13,19 +13,19 @@
 
 const (
 	// readTimeout limits the time of one request to the handler. Records that were read by then are kept for the next
-	// one.
+	// request.
 	readTimeout = 20 * time.Second
 	// followInterval is the interval between the reads of a follower; instances append once a minute.
 	followInterval = 10 * time.Second
 )
 
-// Reader computes reports from the hourly sums and the minute records after them. It reads only when a report is
-// requested, and only new records, so that instances without requests for reports have no cost. It uses the memory of
-// one Aggregator and one page of the log.
+// Reader computes reports from the hourly sums and the minute records after them. Except in a Follower, it reads only
+// when a report is requested, so that instances without requests for reports have no cost. It reads each record once.
+// It uses the memory of one Aggregator and one page of the log.
 type Reader struct {
 	mu       sync.Mutex
 	cursor   cursor
-	sumsRead bool // whether the existing hourly sums were read
+	sumsRead bool // whether the hourly sums were read, which is done once
 }
 
 // NewReader returns a reader of the burn records in log.
@@ -33,15 +33,15 @@
 	return &Reader{cursor: cursor{log: log, aggregator: reporter.NewAggregator()}}
 }
 
-// SetObjective sets the objective of a kind, which is used if no record has an objective of that kind.
+// SetObjective sets the objective of a kind, which is used until a record with an objective of that kind is read.
 func (reader *Reader) SetObjective(kind string, objective reporter.Objective) {
 	reader.mu.Lock()
 	defer reader.mu.Unlock()
 	reader.cursor.aggregator.SetObjective(kind, objective)
 }
 
-// Report reads the new records in the log and returns the report at now. After an error the report contains only what
-// was read before, and the other minutes are missing.
+// Report reads the new records in the log and returns the report at now. After an error, the report contains only the
+// records that were read before the error, and shows the other minutes as missing.
 func (reader *Reader) Report(ctx context.Context, now time.Time) (reporter.Report, error) {
 	reader.mu.Lock()
 	defer reader.mu.Unlock()
@@ -50,7 +50,7 @@
 	return reader.cursor.aggregator.Report(now), err
 }
 
-// advance reads the new records in the log, without a report.
+// advance reads the new records in the log without computing a report.
 func (reader *Reader) advance(ctx context.Context, now time.Time) error {
 	reader.mu.Lock()
 	defer reader.mu.Unlock()
@@ -59,7 +59,8 @@
 	return err
 }
 
-// readNew adds all new records to the aggregator, the first time from the hourly sums; the caller holds reader.mu.
+// readNew adds all new records to the aggregator; the first call also adds the hourly sums, which replace most of the
+// records. The caller holds reader.mu.
 func (reader *Reader) readNew(ctx context.Context, now time.Time) error {
 	if !reader.sumsRead {
 		if err := reader.cursor.readSums(ctx, now); err != nil {
@@ -79,7 +80,7 @@
 		defer cancel()
 		report, err := reader.Report(ctx, time.Now())
 		if err != nil {
-			// An outdated report could be mistaken for the current state, so none is returned.
+			// An outdated or incomplete report could be mistaken for the current state, so none is returned.
 			http.Error(writer, "the burn records cannot be read from the log now", http.StatusServiceUnavailable)
 			return
 		}
--- a/accountant/sum_appender.go
+++ b/accountant/sum_appender.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// sumTimeout limits the time of one attempt to append the sums of an hour. With 162 instances and 1,200 series, it
-	// reads 9,720 records, which takes about 4 s of CPU time.
+	// sumTimeout limits the time of one attempt to append the sums of an hour. With 162 instances and 1,200 series, an
+	// attempt reads 9,720 records, which takes about 4 s of CPU time.
 	sumTimeout = 50 * time.Second
 	// maxSumBytes is the size of the largest record that package appender can read in a page of the log.
 	maxSumBytes = 4 << 20
 )
 
-// sumAppender appends the sums of the records in stream burn to stream burn-hours when it is the turn of its instance.
-// It uses the memory of the coverage of the incarnations (1 KB each, at most 20,000) and of one sum of at most 320,000
-// rows.
+// sumAppender appends the sums of the records in stream burn to stream burn-hours at the append time of its instance in
+// each hour, unless another instance has already done so in that hour. Its memory holds the coverage of the
+// incarnations (1 KB each, at most 20,000) and one sum of at most 320,000 rows.
 type sumAppender struct {
 	log              *appender.Appender
 	domain, instance string
 
 	builder *reporter.SumBuilder
 	cursor  cursor
-	// pending is an encoded sum whose append is not confirmed; it ends before offset pendingNext.
+	// pending is an encoded sum that was not yet found in the log; it ends before offset pendingNext.
 	pending     []byte
 	pendingNext int64
 }
@@ -39,14 +39,16 @@
 	return sumAppender
 }
 
-// reset discards all coverage, so that the next attempt reads all sums again.
+// reset discards the coverage and the pending sum, so that all sums are read again. It keeps only the latest hour that
+// has a sum.
 func (sumAppender *sumAppender) reset() {
 	sumAppender.builder = reporter.NewSumBuilder()
 	sumAppender.cursor = cursor{log: sumAppender.log, aggregator: sumAppender.builder.Aggregator, hour: sumAppender.cursor.hour}
 	sumAppender.pending = nil
 }
 
-// run appends the sums of the hour of now if it is the turn of the instance and no other instance has done so.
+// run appends the sums of the records after the last sum, if the append time of the instance in the hour of now is
+// reached and no sum was appended for that hour.
 func (sumAppender *sumAppender) run(ctx context.Context, now time.Time) error {
 	hour := now.Truncate(time.Hour)
 	if !sumAppender.cursor.hour.Before(hour) || now.Before(reporter.SumAppendTime(now, sumAppender.domain, sumAppender.instance)) {
@@ -63,16 +65,17 @@
 		if _, err := sumAppender.log.Append(ctx, hoursStream, sumAppender.pending); err != nil {
 			return err
 		}
-		// If the sum ended early because it was full, continue with the next one. After a lost answer the rest is left
-		// to the next hour.
+		// If the sum ended early because it was full, continue with the next one. If the response to an append is lost,
+		// the remaining records are left to the sum of the next hour.
 		if confirmed, err := sumAppender.confirmPending(ctx, now); err != nil || !confirmed || !full {
 			return err
 		}
 	}
 }
 
-// confirmPending reads the new sums and reports whether the pending one is the first of them that is used. If another
-// one is, the coverage includes records beyond that sum, so it is discarded and all sums are read again.
+// confirmPending reads the new sums in the log and reports whether the pending sum is the first of them that readers
+// use. If another sum is, the coverage includes records after the end of that sum, so confirmPending discards the
+// coverage and the pending sum and reads all sums again.
 func (sumAppender *sumAppender) confirmPending(ctx context.Context, now time.Time) (bool, error) {
 	confirmed := false
 	for sumAppender.pending != nil {
@@ -105,14 +108,14 @@
 	return confirmed, nil
 }
 
-// prepare builds the sum of the records after the last sum, unless a sum is pending. It reports whether the sum is
-// full, so that more records may follow.
+// prepare builds the sum of the records after the last sum and makes it pending, unless a sum is pending already or
+// there are no such records. It reports whether the sum is full, so that more records may follow.
 func (sumAppender *sumAppender) prepare(ctx context.Context, now time.Time) (full bool, err error) {
 	if sumAppender.pending != nil {
 		return false, nil
 	}
 	from := int64(-1)
-	lookahead := sumAppender.cursor
+	lookahead := sumAppender.cursor // The cursor itself moves only when the sum is confirmed.
 	err = lookahead.readRecords(ctx, toEnd, func(record appender.Record) bool {
 		if from < 0 {
 			from = record.Offset
@@ -139,7 +142,7 @@
 		err = eris.Errorf("the sum of records %d to %d has %d bytes, the limit is %d", sum.From(), sum.Next(), len(data), maxSumBytes)
 	}
 	if err != nil {
-		// Readers could not use this sum. Without it, they read the minute records.
+		// Readers could not use this sum, so it is not appended, and they read the minute records instead.
 		sumAppender.reset()
 		return false, err
 	}
--- a/accountant/sum_appender_test.go
+++ b/accountant/sum_appender_test.go
@@ -17,8 +17,8 @@
 	"github.com/hyssoplift/hyssoplift/reporter"
 )
 
-// Guards against a report from hourly sums that differs from a report from minute records only. Causes are lost answers
-// of appends, outages of the log, instances that take over for each other or restart, and damaged records.
+// Guards against a report from hourly sums that differs from a report from minute records only. Causes are lost
+// responses to appends, outages of the log, instances that take over for each other or restart, and damaged records.
 func TestReportFromSumsAgainstMinutes(t *testing.T) {
 	for seed := range uint64(6) {
 		is := is.New(t)
@@ -73,7 +73,7 @@
 	accountant.Record(answer(dispatcher.Complete{}, 0), now.Add(-20*time.Minute))
 	is.NoErr(accountant.flushAll(ctx, now.Add(-10*time.Minute), false))
 	first, second := newSumAppender(client, "local", "a"), newSumAppender(client, "local", "b")
-	_, err := first.prepare(ctx, now) // it has read fewer records than the second one
+	_, err := first.prepare(ctx, now) // the first instance has read fewer records than the second one
 	is.NoErr(err)
 	accountant.Record(answer(dispatcher.Complete{}, 0), now)
 	is.NoErr(accountant.flushAll(ctx, now.Add(time.Minute), false))
--- a/reporter/differential_test.go
+++ b/reporter/differential_test.go
@@ -21,8 +21,8 @@
 	class       Class
 }
 
-// naive is a simple reference implementation that stores every counted answer. It counts the first answer to each key
-// that the owner decided on, and once per instance and key the answers given without the owner.
+// naive is a simple reference implementation that stores every counted answer. Of the answers to a key, it counts the
+// first one that the owner decided on, and the first one of each incarnation that was given without the owner.
 type naive struct {
 	events    []naiveEvent
 	counted   map[string]bool
@@ -67,7 +67,7 @@
 	return counts
 }
 
-// completeness checks each minute of each incarnation.
+// completeness counts the minutes in [from, to) one by one for each incarnation.
 func (naive *naive) completeness(from, to minute) completeness {
 	var completeness completeness
 	for at := from; at < to; at++ {
@@ -94,6 +94,8 @@
 	return completeness
 }
 
+// simulation is a random schedule of answers by several instances, with the log to which they append and the reference
+// implementation.
 type simulation struct {
 	*rand.Rand
 	naive     naive
@@ -101,7 +103,7 @@
 	instances []*naiveInstance
 	keys      map[string]*naiveInstance // owner by key
 	log       [][]byte
-	serial    int
+	serial    int // makes the names of keys and incarnations unique
 }
 
 var simulatedObjectives = map[string]Objective{"check": {within: 500 * time.Millisecond, percent: 99}}
@@ -158,7 +160,7 @@
 	simulation.naive.record(instance, key, series, class, minuteOf(simulation.now))
 }
 
-// flush appends one batch to the log, which may be down or lose its answer.
+// flush appends one batch to the log, which may be down or lose its response.
 func (simulation *simulation) flush(instance *naiveInstance, final bool) {
 	batch, ok := instance.reporter.Batch(simulation.now, final)
 	if !ok || (!final && simulation.IntN(4) == 0) {
@@ -178,7 +180,7 @@
 	if batch.final {
 		instance.final, instance.end = true, batch.minutes[len(batch.minutes)-1].minute+1
 	}
-	if simulation.IntN(4) != 0 { // otherwise the answer to the append is lost
+	if simulation.IntN(4) != 0 { // otherwise the response to the append is lost
 		instance.reporter.Acknowledge(batch)
 	}
 }
@@ -224,7 +226,7 @@
 		}
 		simulation.answer()
 	}
-	for range 3 { // answers after the end of every window, which must not evict the first ones
+	for range 3 { // answers after the end of every window, which must not evict its first minutes
 		simulation.answer()
 		simulation.now = simulation.now.Add(time.Minute)
 		for _, instance := range simulation.instances {
--- a/reporter/reporter_test.go
+++ b/reporter/reporter_test.go
@@ -45,7 +45,7 @@
 	owner, other := testReporter(1000, 100), testReporter(1000, 100)
 	now := testStart
 	is.True(owner.GrantCount("a", "other", now))
-	is.True(owner.GrantCount("a", "other", now))                          // the answer to the first grant was lost
+	is.True(owner.GrantCount("a", "other", now))                          // the response with the first grant was lost
 	is.True(!owner.GrantCount("a", "third", now))                         // another instance asks
 	is.True(!owner.Record(testAnswer("a", "check", "t", KeyOwner), now))  // the caller resubmits to the owner
 	is.True(other.Record(testAnswer("a", "check", "t", Granted), now))    // the holder counts it
@@ -95,8 +95,8 @@
 	is.Equal(total, uint64(10000))
 }
 
-// Guards against a backlog in one very large record, and against a final mark on a part that is not the last. If the
-// rest was lost, its minutes would not be shown as missing.
+// Guards against a backlog that is encoded in one very large record, and against a record that is marked as final
+// although others follow. If these were lost, their minutes would not be shown as missing.
 func TestBacklogIsSplit(t *testing.T) {
 	is := is.New(t)
 	reporter := testReporter(1, 1<<20)
--- a/reporter/sum_test.go
+++ b/reporter/sum_test.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		panic(err)
 	}
-	for range 1 + simulation.IntN(2) { // appended again if the answer to the first append was lost
+	for range 1 + simulation.IntN(2) { // appended again if the response to the first append was lost
 		simulation.sums = append(simulation.sums, data)
 	}
 	*simulatedBuilder = newSimulatedBuilder()
@@ -115,7 +115,7 @@
 			}
 			simulation.log = append(simulation.log, data)
 			if simulation.IntN(5) == 0 {
-				delayed = append(delayed, data) // appended again after a lost answer, possibly after a sum
+				delayed = append(delayed, data) // appended again after a lost response, possibly after a sum
 			}
 		}
 		if len(delayed) > 0 && simulation.IntN(3) == 0 {
@@ -176,7 +176,7 @@
 	for seed := range uint64(24) {
 		simulation, naive := simulateSums(seed, 250, seed%2 == 0)
 		if seed%4 == 3 {
-			simulation.damage(simulation.sums) // after other builders have read it
+			simulation.damage(simulation.sums) // a sum that the builders may have read
 		}
 		aggregator, next, nextSum := NewAggregator(), 0, 0
 		aggregator.SetComplete(true)
