--- a/reporter/doc.go
+++ b/reporter/doc.go
@@ -23,9 +23,9 @@
 // # Missing data
 //
 // An incarnation is expected to have a record for every minute from its first one to its final record. Without a final
-// record, they are expected until the start of the next incarnation of the same instance, or else until the end of the
-// report. Minutes without a record are missing. An incarnation of which no record ever reached the log is not known to
-// have run. Answers to malformed requests, which have no kind, are not counted.
+// record, records are expected until the start of the next incarnation of the same instance, or else until the end of
+// the report. Minutes without a record are missing. An incarnation of which no record ever reached the log is not known
+// to have run. Answers to malformed requests, which have no kind, are not counted.
 //
 // # Hourly sums
 //
