--- a/reporter/batch.go
+++ b/reporter/batch.go
@@ -13,7 +13,7 @@
 
 const (
 	batchFormat = 1
-	// maxBatchRows limits a record of the log to about 150 KB.
+	// maxBatchRows limits a record of several minutes to about 150 KB; a record of one minute may have more rows.
 	maxBatchRows = 20_000
 	// maxBatchMinutes limits the time span of a decoded record.
 	maxBatchMinutes = windowMinutes
@@ -53,12 +53,14 @@
 	Counts []byte `json:"counts,omitempty"`
 }
 
+// objectiveRecord is the JSON form of the objective of a kind.
 type objectiveRecord struct {
 	Kind     string  `json:"kind"`
 	WithinMS int64   `json:"within-ms"`
 	Percent  float64 `json:"percent"`
 }
 
+// compareSeries orders series by kind, then by team.
 func compareSeries(a, b Series) int {
 	if order := strings.Compare(a.Kind, b.Kind); order != 0 {
 		return order
@@ -134,7 +136,7 @@
 	return batch, eris.Wrapf(record.decodeRows(batch.minutes), "burn record of incarnation %s", record.Incarnation)
 }
 
-// nameIndex assigns numbers to names in the order of their first use.
+// nameIndex assigns indices to names in the order of their first use.
 type nameIndex struct {
 	list    []string
 	indices map[string]uint64
@@ -172,18 +174,18 @@
 const (
 	// minRowBytes is the size of the shortest row. It limits the memory that is allocated for the rows of a record.
 	minRowBytes = 3
-	// maxRowCount limits a count, so that sums over a window do not overflow.
+	// maxRowCount limits a count, so that a slot, which has 32 bits per class, can add up 256 counts without overflow.
 	maxRowCount = 1 << 24
 )
 
-// rowReader decodes rows of varints. After the first invalid value, it stays invalid.
-type rowReader struct {
+// varintReader decodes unsigned varints and rows of them. After the first invalid value, it stays invalid.
+type varintReader struct {
 	data    []byte
 	invalid bool
 }
 
 // next returns the next number, or 0 if the data is invalid; a number of limit or more is invalid.
-func (reader *rowReader) next(limit uint64) uint64 {
+func (reader *varintReader) next(limit uint64) uint64 {
 	value, size := binary.Uvarint(reader.data)
 	if reader.invalid || size <= 0 || value >= limit {
 		reader.invalid = true
@@ -194,7 +196,7 @@
 }
 
 // row returns the next row; a count of limit or more is invalid.
-func (reader *rowReader) row(kinds, teams []string, limit uint64) seriesCounts {
+func (reader *varintReader) row(kinds, teams []string, limit uint64) seriesCounts {
 	kind, team := reader.next(uint64(len(kinds))), reader.next(uint64(len(teams)))
 	mask := reader.next(1 << numClasses)
 	var counts Counts
@@ -210,7 +212,7 @@
 }
 
 // rows returns the rows of one minute, or nil if the data is invalid.
-func (reader *rowReader) rows(kinds, teams []string, limit uint64) []seriesCounts {
+func (reader *varintReader) rows(kinds, teams []string, limit uint64) []seriesCounts {
 	count := reader.next(uint64(len(reader.data)/minRowBytes) + 1)
 	rows := make([]seriesCounts, 0, count)
 	for range count {
@@ -224,10 +226,10 @@
 
 // decodeRows decodes the counts of the record into the rows of minutes.
 func (record batchRecord) decodeRows(minutes []closedMinute) error {
-	reader := &rowReader{data: record.Counts}
+	reader := &varintReader{data: record.Counts}
 	for i := range minutes {
 		if minutes[i].rows = reader.rows(record.Kinds, record.Teams, maxRowCount); reader.invalid {
-			return eris.Errorf("the counts of minute %d are out of range", minutes[i].minute)
+			return eris.Errorf("the counts of minute %d are invalid", minutes[i].minute)
 		}
 	}
 	if len(reader.data) > 0 {
--- a/reporter/frame.go
+++ b/reporter/frame.go
@@ -8,7 +8,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// checksumSize is the length of the checksum at the start of a record, in hexadecimal digits.
+// checksumSize is the number of hexadecimal digits of the checksum at the start of a record.
 const checksumSize = 2 * crc32.Size
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
@@ -20,10 +20,10 @@
 // corrupted count might still be decoded. The counts are not part of the JSON, because base64 would make them a third
 // longer.
 func frameRecord(header, counts []byte) []byte {
-	sealed := make([]byte, checksumSize, checksumSize+len(header)+1+len(counts))
-	sealed = append(append(append(sealed, header...), headerEnd), counts...)
-	copy(sealed, checksum(sealed[checksumSize:]))
-	return sealed
+	record := make([]byte, checksumSize, checksumSize+len(header)+1+len(counts))
+	record = append(append(append(record, header...), headerEnd), counts...)
+	copy(record, checksum(record[checksumSize:]))
+	return record
 }
 
 func checksum(data []byte) []byte {
@@ -42,7 +42,7 @@
 	}
 	header, counts, found := bytes.Cut(data[checksumSize:], []byte{headerEnd})
 	if !found {
-		return nil, nil, eris.New("burn record without counts")
+		return nil, nil, eris.New("burn record without a line break after the header")
 	}
 	return header, counts, nil
 }
--- a/reporter/sum_builder.go
+++ b/reporter/sum_builder.go
@@ -14,9 +14,10 @@
 // sumAppendSpread is the time after the start of an hour over which the append times of the instances are spread.
 const sumAppendSpread = 30 * time.Minute
 
-// SumAppendTime returns when an instance must append the sums of the hour of now, unless another instance has done so.
-// The time comes from a rendezvous hash of the hour and the instance. As with bundle renewals, this needs no list of
-// instances, and if an instance crashed or is unresponsive, the one with the next append time takes over.
+// SumAppendTime returns the time in the hour of now at which an instance must append sums, unless another instance has
+// already appended them in that hour. The time comes from a rendezvous hash of the hour and the instance. As with
+// bundle renewals, this needs no list of instances, and if an instance crashed or is unresponsive, the one with the
+// next append time takes over.
 func SumAppendTime(now time.Time, failureDomain, instance string) time.Time {
 	hour := now.Truncate(time.Hour)
 	hash := sha256.Sum256([]byte(strconv.FormatInt(hour.Unix(), 10) + "\x00" + failureDomain + "\x00" + instance))
@@ -28,12 +29,12 @@
 // that a minute that was appended twice is in only one sum. It is not safe for concurrent use.
 type SumBuilder struct {
 	*Aggregator
-	sum     HourlySum
-	records int
-	rows    int
-	covered int // minutes of all sources
-	sources map[string]*sumSource
-	minutes map[minute]map[Series]*Counts
+	sum            HourlySum
+	records        int // records added since Begin
+	rows           int // rows in minutes
+	coveredMinutes int // total of the minutes of the sources
+	sources        map[string]*sumSource
+	minutes        map[minute]map[Series]*Counts
 }
 
 // NewSumBuilder returns a builder without any coverage.
@@ -44,21 +45,21 @@
 	return builder
 }
 
-// Begin starts a new sum at the record with offset from and keeps the coverage.
+// Begin discards the current sum and starts a new one at the record with offset from. It keeps the coverage.
 func (builder *SumBuilder) Begin(from int64) {
 	builder.sum = HourlySum{from: from, next: from, objectives: make(map[string]objectiveAt)}
-	builder.records, builder.rows, builder.covered = 0, 0, 0
+	builder.records, builder.rows, builder.coveredMinutes = 0, 0, 0
 	builder.sources, builder.minutes = make(map[string]*sumSource), make(map[minute]map[Series]*Counts)
 }
 
 // Full reports whether the sum must be built before another record is added.
 func (builder *SumBuilder) Full() bool {
 	return builder.rows >= maxSumRows || builder.records >= maxSumRecords || len(builder.sources) >= maxSumSources ||
-		len(builder.minutes) >= maxSumMinutes-maxBatchMinutes || builder.covered >= maxSumCoveredMinutes-maxBatchMinutes
+		len(builder.minutes) >= maxSumMinutes-maxBatchMinutes || builder.coveredMinutes >= maxSumCoveredMinutes-maxBatchMinutes
 }
 
-// AddRecord adds the record at offset, read at now, to the sum; a record that cannot be decoded is counted as
-// unreadable.
+// AddRecord adds the record at offset, read at now, to the sum. It counts a record as unreadable if it cannot be
+// decoded or if Aggregator.Add would ignore it.
 func (builder *SumBuilder) AddRecord(offset int64, data []byte, now time.Time) {
 	builder.sum.next = offset + 1
 	builder.records++
@@ -71,25 +72,25 @@
 	builder.sum.unreadable += builder.unreadable - unreadable
 }
 
-// addBatch adds the minutes of batch that were not covered before.
+// addBatch adds the minutes in added, which are those of batch that were not covered before, and the objectives.
 func (builder *SumBuilder) addBatch(batch Batch, added []closedMinute) {
-	covered := builder.incarnations[batch.incarnation]
-	if covered == nil {
+	coverage := builder.incarnations[batch.incarnation]
+	if coverage == nil {
 		return
 	}
 	source := builder.sources[batch.incarnation]
 	if source == nil {
-		source = &sumSource{domain: covered.domain, instance: covered.instance, incarnation: batch.incarnation}
+		source = &sumSource{domain: coverage.domain, instance: coverage.instance, incarnation: batch.incarnation}
 		builder.sources[batch.incarnation] = source
 	}
-	source.first, source.final = covered.first, covered.final
-	builder.covered += len(added)
+	source.first, source.final = coverage.first, coverage.final
+	builder.coveredMinutes += len(added)
 	for _, closed := range added {
 		source.minutes = append(source.minutes, closed.minute)
 		builder.addRows(closed)
 	}
-	if _, through := batch.span(); through > covered.last {
-		return // The batch has minutes in the future, so its minutes and objectives are left out.
+	if _, through := batch.span(); through > coverage.last {
+		return // markCovered ignored the batch because of minutes in the future, so its objectives are left out too.
 	}
 	for kind := range batch.objectives {
 		if at, known := builder.objectivesAt[kind]; known {
