--- a/executor/delegation.go
+++ b/executor/delegation.go
@@ -31,7 +31,7 @@
 	cancel   context.CancelFunc
 }
 
-// abandonment is a job whose delegate is repeatedly told to abandon it.
+// abandonment is a job whose delegate is repeatedly asked to abandon it.
 type abandonment struct {
 	delegate string
 	job      string
@@ -160,7 +160,7 @@
 	return true
 }
 
-// abandon tells a delegate to abandon a job, now and repeatedly for abandonRepeatPeriod; the caller holds the lock.
+// abandon asks a delegate to abandon a job, now and repeatedly for abandonRepeatPeriod; the caller holds the lock.
 func (executor *Executor) abandon(delegate, job string) {
 	executor.peers.Abandon(delegate, job)
 	executor.abandoned = append(executor.abandoned, abandonment{delegate, job, executor.now().Add(abandonRepeatPeriod)})
--- a/executor/delegation_test.go
+++ b/executor/delegation_test.go
@@ -108,7 +108,7 @@
 	server *httptest.Server
 }
 
-// newMember returns an executor that knows the targets and has no links yet; it is closed at the end of the test.
+// newMember returns an executor that has the targets but no links yet; it is closed at the end of the test.
 func newMember(t *testing.T, self linker.Hello, client TargetClient, limits linker.Limits, targets []scheduler.Target) *member {
 	t.Helper()
 	added := &member{Executor: New(self, client, time.Now, hclog.NewNullLogger())}
--- a/executor/executor.go
+++ b/executor/executor.go
@@ -16,8 +16,9 @@
 )
 
 const (
-	// startupGrace is how long after its start an instance polls only the targets that it uses itself, since it does
-	// not know yet which targets the other instances read. The links between instances are up within half of this time.
+	// startupGrace is how long after its start an instance polls only the targets that it uses itself, since it has not
+	// determined yet which targets the other instances read. The links between instances are up within half of this
+	// time.
 	startupGrace = time.Second
 	// tickInterval is how often time-based events are handled: a quarter of 39 ms, the shortest time after which
 	// a job that has not started is refused.
@@ -29,8 +30,8 @@
 	sweepInterval = 100 * time.Millisecond
 	// pauseThreshold is the gap between ticks that indicates that this process was paused.
 	pauseThreshold = 150 * time.Millisecond
-	// domainCheckInterval is how often failure domains are checked. domainTimeout is how long all instances of a domain
-	// must be silent for the domain to be unresponsive: more than one and a half heartbeats.
+	// domainCheckInterval is how often failure domains are checked. A domain is unresponsive if none of its instances
+	// has sent anything for domainTimeout, which is more than one and a half heartbeats.
 	domainCheckInterval = 20 * time.Millisecond
 	domainTimeout       = 200 * time.Millisecond
 	// startTimeout limits the wait for the answer to a start request: thirty round trips between failure domains, and
@@ -46,7 +47,7 @@
 type TargetClient interface {
 	// Start starts a run; the request and the lease that it asks for expire at lease.
 	Start(ctx context.Context, on scheduler.Target, start scheduler.StartTask, lease time.Time) scheduler.StartResult
-	// Stop stops a run. It returns nil once the target has accepted the request or does not know the run.
+	// Stop stops a run. It returns nil once the target has accepted the request or does not have the run.
 	Stop(ctx context.Context, on scheduler.Target, run scheduler.Run) error
 	// Poll asks for the running and ended runs of a target.
 	Poll(ctx context.Context, on scheduler.Target, request PollRequest) (scheduler.PollResult, error)
@@ -92,8 +93,8 @@
 	// assignedVersion is the peers version for which the readers were last assigned.
 	assignedVersion int64
 	// delegating means that this instance delegates its jobs. delegated holds the jobs that were delegated, abandoned
-	// those whose delegates are being told to abandon them, and foreignJobs the cancel functions of the jobs that this
-	// instance runs for others.
+	// those whose delegates are being asked to abandon them, and foreignJobs the cancel functions of the jobs that
+	// this instance runs for others.
 	delegating  bool
 	delegated   map[string]*delegation
 	abandoned   []abandonment
--- a/executor/poller.go
+++ b/executor/poller.go
@@ -31,18 +31,18 @@
 	readerTimeout = 650 * time.Millisecond
 	// probeInterval is how often an unreachable target is polled.
 	probeInterval = 400 * time.Millisecond
-	// withholdPeriod is how long the acknowledgement of an end is withheld if the run's owner is unknown or unreachable.
-	// Within it, owners repeat their claims, or poll the target themselves after readerTimeout. After a loss of all
-	// instances, each one reads all targets until it knows the others. When such ends were acknowledged at once, their
-	// owners started the tasks again.
+	// withholdPeriod is how long the acknowledgement of an end is withheld if the run's owner is unknown or
+	// unreachable. Within it, owners repeat their claims, or poll the target themselves after readerTimeout. After a
+	// loss of all instances, each one reads all targets until it has discovered the others. When it acknowledged such
+	// ends at once, their owners started the tasks again.
 	withholdPeriod = readerTimeout + 150*time.Millisecond
 	// withheldPollInterval is the minimum time between two polls while an end is withheld, since the target then
 	// answers each poll at once.
 	withheldPollInterval = 25 * time.Millisecond
 	// idleInterval is how often a poller without work checks for some.
 	idleInterval = 3 * time.Second
-	// unreachableThreshold is how many polls in a row must fail for a target to be unreachable; a single one may have
-	// used a connection that had gone silent.
+	// unreachableThreshold is how many polls in a row must fail for a target to be unreachable. A single poll may fail
+	// because its connection had stalled.
 	unreachableThreshold = 2
 )
 
@@ -210,8 +210,8 @@
 }
 
 // forwardEnd reports an end to the scheduler and to the owner of the run. If the owner is unknown or unreachable, the
-// acknowledgement is withheld for withholdPeriod, so that an owner that polls the target itself still finds the end. The
-// caller holds the lock.
+// acknowledgement is withheld for withholdPeriod, so that an owner that polls the target itself still finds the end.
+// The caller holds the lock.
 func (executor *Executor) forwardEnd(poller *poller, end scheduler.End, now time.Time) {
 	owner := executor.scheduler.Owner(poller.id, end.Run)
 	switch {
--- a/executor/poller_test.go
+++ b/executor/poller_test.go
@@ -39,8 +39,8 @@
 	return executor
 }
 
-// An end must not be acknowledged before the run's owner was told. After a loss of all instances, each one reads all
-// targets; the owner would find its run missing and start the task again.
+// An end must not be acknowledged before the run's owner has received it. Otherwise, after a loss of all instances,
+// when each one reads all targets, the owner finds its run missing and starts the task again.
 func TestEndWithoutAKnownOwnerIsWithheld(t *testing.T) {
 	is := is.New(t)
 	executor := newTestExecutor(t)
@@ -96,8 +96,8 @@
 	}
 }
 
-// Targets must be distributed by weight, by a score on which all instances agree; otherwise two instances may each
-// believe that the other one reads a target.
+// Targets must be distributed by weight, by a score on which all instances agree; otherwise each of two instances may
+// expect the other one to read a target.
 func TestReadersAreSharedByWeight(t *testing.T) {
 	is := is.New(t)
 	small, large := linker.Hello{Incarnation: "s", Weight: 0.2}, linker.Hello{Incarnation: "l", Weight: 0.8}
--- a/executor/soak_test.go
+++ b/executor/soak_test.go
@@ -174,7 +174,7 @@
 
 func (*leasedTargets) CloseIdle() {}
 
-// proxy forwards connections to an instance, and can reset or silence them.
+// proxy forwards connections to an instance, and can reset or stall them.
 type proxy struct {
 	listener net.Listener
 	upstream string
@@ -212,7 +212,7 @@
 
 func (proxy *proxy) address() string { return proxy.listener.Addr().String() }
 
-// forward copies one direction of a connection. Once it has read while the proxy is silent, it drops all further data.
+// forward copies one direction of a connection. Once it has read while silent is set, it drops all further data.
 func (proxy *proxy) forward(from, to net.Conn) {
 	proxy.mu.Lock()
 	proxy.connections[from] = true
@@ -326,8 +326,8 @@
 	}
 }
 
-// While links between instances are reset or fall silent, no task may run twice at once, no started job may be refused,
-// and every caller must get an answer. Delegated jobs are at risk, since their runs belong to an instance that may have
+// While links between instances are reset or stalled, no task may run twice at once, no started job may be refused, and
+// every caller must get an answer. Delegated jobs are at risk, since their runs belong to an instance that may have
 // lost track of them.
 func TestFaultSoakOfDelegation(t *testing.T) {
 	if testing.Short() {
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -23,12 +23,12 @@
 	minBroadcastInterval = 4 * time.Millisecond
 	// heartbeatInterval is the maximum time between two messages to a peer.
 	heartbeatInterval = 120 * time.Millisecond
-	// PeerTimeout is how long an instance may be silent before it is considered lost: four heartbeats. Its runs are
-	// then stopped, well before a caller that it lost sends its job again.
+	// PeerTimeout is how long an instance may send nothing before it is considered lost: four heartbeats. Its runs are
+	// then stopped, well before its callers send their jobs again.
 	PeerTimeout = 500 * time.Millisecond
 	// pauseThreshold is the delay of a heartbeat that indicates that this process was paused.
 	pauseThreshold = 300 * time.Millisecond
-	// forgetTimeout is how long a lost instance is remembered.
+	// forgetTimeout is how long after its last message an instance is removed.
 	forgetTimeout = time.Minute
 )
 
@@ -52,7 +52,7 @@
 	lost      bool
 	// delegating means that the instance delegates its jobs. Two delegating instances send each other nothing.
 	delegating bool
-	// busy means that a delegating instance has jobs of its own nevertheless, such as jobs accepted before it knew its
+	// busy means that a delegating instance still owns jobs, such as jobs that it accepted before it discovered its
 	// peers.
 	busy bool
 }
@@ -158,7 +158,7 @@
 	})
 }
 
-// Withdraw tells the reader of a target that a claimed run does not occupy it.
+// Withdraw withdraws the claim of a run at the reader of the target, because the run does not occupy the target.
 func (gossiper *Gossiper) Withdraw(reader, target string, run scheduler.Run) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
@@ -184,7 +184,7 @@
 	})
 }
 
-// Abandon tells the instance that runs a job for this one to abandon it.
+// Abandon asks the delegate, which runs a job for this instance, to abandon it.
 func (gossiper *Gossiper) Abandon(delegate, job string) {
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
@@ -278,7 +278,7 @@
 			continue
 		}
 		for incarnation, update := range outbox {
-			// Lost messages are made up for: owners repeat claims and requests to abandon jobs, and a claim that
+			// Lost messages are not resent here: owners repeat claims and requests to abandon jobs, and a claim that
 			// arrives after the run's end is answered with the end.
 			_ = links.Send(incarnation, *update)
 		}
@@ -336,8 +336,8 @@
 }
 
 // plan returns the broadcasts that are due at now: reports to the same failure domain, less often to other domains, and
-// only heartbeats to delegating instances. Busy delegating instances get the reports too, since the owner of a run must
-// know how long its lease may last. The caller holds the lock.
+// only heartbeats to delegating instances. Busy delegating instances get the reports too, since the owner of a run
+// needs them to determine how long its lease may last. The caller holds the lock.
 func (gossiper *Gossiper) plan(now time.Time) broadcastPlan {
 	heartbeatDue := now.Sub(gossiper.heartbeatSentAt) >= heartbeatInterval
 	var sameDomain, otherDomains, heartbeats []string
@@ -385,14 +385,14 @@
 	return update
 }
 
-// detectLostPeers finds the peers that have been silent for too long and reports them to the receiver.
+// detectLostPeers reports the peers that have sent nothing for longer than PeerTimeout to the receiver.
 func (gossiper *Gossiper) detectLostPeers() {
 	now := gossiper.now()
 	var lost []string
 	links := gossiper.currentLinks()
 	gossiper.mu.Lock()
 	if now.Sub(gossiper.checkedAt) > heartbeatInterval+pauseThreshold {
-		// This process was paused, so the silence says nothing about the peers.
+		// This process was paused, so missing messages do not indicate lost peers.
 		for _, peer := range gossiper.peers {
 			peer.lastHeard = now
 		}
@@ -436,8 +436,8 @@
 	}
 }
 
-// recordContact records that a message from an instance has arrived. Only broadcasts carry the state of the sender; they
-// are recognized by their Waiting field, which is never empty.
+// recordContact records that a message from an instance has arrived. Only broadcasts carry the state of the sender;
+// they are recognized by their Waiting field, which is never empty.
 func (gossiper *Gossiper) recordContact(from linker.Hello, update linker.StateUpdate) {
 	now := gossiper.now()
 	gossiper.mu.Lock()
@@ -458,8 +458,8 @@
 	}
 }
 
-// SilentDomains returns, for each failure domain with peers that are not leaving, whether all of them have been silent
-// for longer than duration. While both this instance and a peer delegate, the peer is left out.
+// SilentDomains returns, for each failure domain with peers that are not leaving, whether none of them has sent
+// anything for longer than duration. While both this instance and a peer delegate, the peer is left out.
 func (gossiper *Gossiper) SilentDomains(duration time.Duration) map[string]bool {
 	now := gossiper.now()
 	gossiper.mu.Lock()
--- a/gossiper/gossiper_test.go
+++ b/gossiper/gossiper_test.go
@@ -182,7 +182,7 @@
 	is.Equal(len(reports), 0)
 }
 
-// A pause of this process must not make its peers count as lost, and a peer that falls silent must be detected.
+// A pause of this process must not make its peers count as lost, and a peer that stops sending must be detected.
 func TestSilenceIsNoticed(t *testing.T) {
 	is := is.New(t)
 	gossiper, receiver, now := newTestGossiper(0.4)
--- a/linker/link.go
+++ b/linker/link.go
@@ -62,8 +62,8 @@
 	group.Go(func() { cancel(link.send(ctx)) })
 	group.Go(func() { cancel(link.monitor(ctx)) })
 	cancel(link.receive(ctx, deliver))
-	// Closing the connection tells the peer that the link has ended. Messages queued by the peer are lost, as after any
-	// other failure.
+	// Closing the connection signals the end of the link to the peer. Messages queued by the peer are lost, as after
+	// any other failure.
 	_ = link.conn.CloseNow()
 	group.Wait()
 	link.mu.Lock()
--- a/linker/linker_test.go
+++ b/linker/linker_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// Guards against a message type that the decoder does not know, and against a field that is lost in encoding.
+// Guards against a message type that the decoder does not support, and against a field that is lost in encoding.
 func TestEveryMessageRoundTrips(t *testing.T) {
 	is := is.New(t)
 	for _, message := range sampleMessages() {
@@ -202,8 +202,8 @@
 	is.True(strings.Contains(err.Error(), "version 2 is refused, this instance speaks version 1"))
 }
 
-// Guards against delivering a response to the wrong caller: one that arrives after its caller gave up, answers another
-// request, comes from another instance, or is repeated.
+// Guards against delivering a response to the wrong caller: one that arrives after its caller stopped waiting, answers
+// another request, comes from another instance, or is repeated.
 func TestAnswersReachOnlyTheirCaller(t *testing.T) {
 	is := is.New(t)
 	a, b, c := startNode(t, "local", "a", testLimits()), startNode(t, "local", "b", testLimits()), startNode(t, "local", "c", testLimits())
--- a/linker/message.go
+++ b/linker/message.go
@@ -187,8 +187,8 @@
 	Attempt int64
 }
 
-// FreeCapacity is the free capacity of a target as known to its reader, the instance that polls the target and renews
-// its lease.
+// FreeCapacity is the free capacity of a target as determined by its reader, the instance that polls the target and
+// renews its lease.
 type FreeCapacity struct {
 	_            struct{} `cbor:",toarray"`
 	Target       string
--- a/scheduler/admit_test.go
+++ b/scheduler/admit_test.go
@@ -70,8 +70,8 @@
 }
 
 // A job whose start requests were all rejected must be refused after its maximum wait, rather than kept until its
-// deadline and answered as possibly started. An unanswered start, or a target that knows a later run, means that it may
-// have started.
+// deadline and answered as possibly started. An unanswered start, or a target that has recorded a later run, means that
+// the job may have started.
 func TestRejectedStartsAreNoStart(t *testing.T) {
 	tests := []struct {
 		result StartResult
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -459,7 +459,7 @@
 	Unreachable bool
 }
 
-// DueReports returns reports for the targets whose free capacity differs from the last report. A report also tells the
+// DueReports returns reports for the targets whose free capacity differs from the last report. A report also shows the
 // other instances that the target still has a reader.
 func (scheduler *Scheduler) DueReports(now time.Time) []CapacityReport {
 	var reports []CapacityReport
--- a/scheduler/lease_test.go
+++ b/scheduler/lease_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// A task whose run may be active must not start again while the target's reader renews the lease, since the reader may
-// still see the run.
+// A task whose run may be active must not start again while the target's reader renews the lease, since the
+// reader's polls may still list the run.
 func TestUncertainRunWaitsWhileItsTargetIsRenewed(t *testing.T) {
 	is := is.New(t)
 	scheduler := New("self", "a")
@@ -114,7 +114,7 @@
 	is.Equal(stops[0].Run, claimed)
 }
 
-// An owner must learn of the end of a run even if the end was listed before its claim arrived.
+// The owner of a run must receive its end even if the end was listed before the claim arrived.
 func TestClaimAfterItsEndIsAnsweredWithTheEnd(t *testing.T) {
 	is := is.New(t)
 	scheduler := newTestScheduler(1)
@@ -174,16 +174,16 @@
 	is.Equal(len(drain(scheduler).starts), 1) // started again 1.06 s after the only request that set the lease
 }
 
-// A lease must be assumed to last beyond the reader's last report: a reader that was cut off from the owner renewed the
-// lease and then terminated without stopping the run, and the owner started a second run (Chakra trouble-2, seed
-// 383704058273).
+// A lease must be assumed to last beyond the reader's last report. Otherwise, if a reader that is cut off from the
+// owner renews the lease and then terminates without stopping the run, the owner starts a second run (Chakra trouble-2,
+// seed 383704058273).
 func TestLeaseIsCountedPastTheLastReport(t *testing.T) {
 	is := is.New(t)
 	scheduler := New("self", "a")
 	scheduler.SetTargets(testTargets(2), at(0))
 	start := startOne(scheduler, testJob("j", 1, 900, 0))
 	scheduler.HandlePeerReport(CapacityReport{Target: start.Target, FreeCapacity: Resources{MilliCores: 18000}}, at(45))
-	// The reader hears nothing from the owner, renews the lease until 45+800 ms and then terminates.
+	// The reader receives nothing from the owner, renews the lease until 45+800 ms and then terminates.
 	for now := 45; now < 45+800+1000; now += 5 {
 		scheduler.Tick(at(now))
 		is.Equal(len(drain(scheduler).starts), 0)
--- a/scheduler/model.go
+++ b/scheduler/model.go
@@ -109,7 +109,7 @@
 	Attempt int64
 }
 
-// Cause tells how a run ended.
+// Cause describes how a run ended.
 type Cause int
 
 // Causes of the end of a run. The values are sent between instances.
@@ -152,7 +152,7 @@
 	StartTaken StartResult = iota + 1
 	// StartNoRoom means that the target lacks capacity for the task; nothing was started.
 	StartNoRoom
-	// StartStale means that the target knows a later run of the task; nothing was started.
+	// StartStale means that the target has recorded a later run of the task; nothing was started.
 	StartStale
 	// StartLate means that the request reached the target after its deadline; nothing was started.
 	StartLate
@@ -231,7 +231,7 @@
 	// Arrived is when the job arrived, and Issued when the start was decided; the requested lease counts from Issued.
 	Arrived time.Time
 	Issued  time.Time
-	// FreeCapacity is what was believed to be free on the target before the start.
+	// FreeCapacity is the estimated free capacity of the target before the start.
 	FreeCapacity Resources
 	// FreeCapacityAge is the age of the report that FreeCapacity comes from; 0 on targets that this instance reads.
 	FreeCapacityAge time.Duration
@@ -271,7 +271,8 @@
 	MaxWait      time.Duration
 }
 
-// WithdrawClaim asks to tell the reader of a target that a claimed run does not occupy it.
+// WithdrawClaim asks to withdraw the claim of a run at the reader of the target, because the run does not occupy the
+// target.
 type WithdrawClaim struct {
 	Target string
 	Run    Run
@@ -283,7 +284,7 @@
 	Run    Run
 }
 
-// OfferCapacity asks to offer freed capacity to one instance before the others hear of it.
+// OfferCapacity asks to offer freed capacity to one instance before it is reported to the others.
 type OfferCapacity struct {
 	To           string
 	Target       string
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -21,7 +21,7 @@
 	nonReaderCost   = 8 * time.Millisecond
 	nonReaderSpread = 0.25
 	// explorationDiscount is the share by which the expected run time is reduced on a target whose speed is not known
-	// yet, so that it gets runs to learn from.
+	// yet, so that it gets runs from which its speed is learned.
 	explorationDiscount = 0.1
 	// latenessWeight is the cost of each unit of time past the objective, relative to a unit of run time.
 	latenessWeight = 4
@@ -185,7 +185,7 @@
 
 // offerCapacity decides which instance may claim the free capacity of a target first, when more tasks wait than there
 // are free slots. It draws one of the instances whose waiting tasks have the most urgent priority, weighted by their
-// number of such tasks. The others do not hear of the capacity until it is claimed or the offer expires. Without
+// number of such tasks. The capacity is not reported to the others until it is claimed or the offer expires. Without
 // offers, all instances would start on the same target at once and all but one would be rejected. Only the reader of
 // the target calls offerCapacity.
 func (scheduler *Scheduler) offerCapacity(target *target, now time.Time) {
--- a/scheduler/place_test.go
+++ b/scheduler/place_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// Freed capacity must be offered to one instance before the others hear of it, or most of their starts are rejected
-// under load.
+// Freed capacity must be offered to one instance before it is reported to the others, or most of their starts are
+// rejected under load.
 func TestFreedCapacityIsOfferedToOneInstance(t *testing.T) {
 	is := is.New(t)
 	scheduler := newTestScheduler(1)
@@ -31,7 +31,7 @@
 	is.Equal(len(scheduler.DueReports(at(60))), 1) // no instance claimed it
 }
 
-// A start that is rejected for lack of capacity must invalidate the report that promised it.
+// A start that is rejected for lack of capacity must invalidate the report of that capacity.
 func TestRejectionInvalidatesTheReport(t *testing.T) {
 	is := is.New(t)
 	scheduler := New("self", "a")
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// completedRetention is how long a completed job is remembered for a caller that sends it again.
+	// completedRetention is how long a completed job is kept for a caller that sends it again.
 	completedRetention = 10 * time.Second
 	// minRetryAfter is the shortest retry delay of a refusal; Retry-After has a resolution of one second.
 	minRetryAfter = time.Second
-	// maxWaitDivisor: a job may wait for its first start for at most 1/maxWaitDivisor of the time from its arrival to its
-	// objective. A later refusal would leave the caller too little time to react.
+	// maxWaitDivisor: a job may wait for its first start for at most 1/maxWaitDivisor of the time from its arrival to
+	// its objective. A later refusal would leave the caller too little time to react.
 	maxWaitDivisor = 4
 	// missingTimeout is how long a run may be missing from its target's list before it counts as lost; its end may
 	// still be on the way through another instance.
@@ -32,8 +32,8 @@
 	// ClaimRepeatInterval is how often an instance sends its claims to the readers again, since a target's reader may
 	// have changed.
 	ClaimRepeatInterval = 250 * time.Millisecond
-	// endRetention is how long a reader remembers the ends of other instances' runs, for claims that arrive or are
-	// repeated after the end.
+	// endRetention is how long a reader keeps the ends of other instances' runs, for claims that arrive or are repeated
+	// after the end.
 	endRetention = 3 * time.Second
 	// priorityLevels is the number of priorities that instances distinguish in their demand.
 	priorityLevels = 4
@@ -59,7 +59,7 @@
 	run    Run
 }
 
-// recordedEnd is the end of another instance's run and the time at which it was seen.
+// recordedEnd is the end of another instance's run and the time at which it was recorded.
 type recordedEnd struct {
 	End
 	at time.Time
--- a/scheduler/target.go
+++ b/scheduler/target.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// speedWeight is the weight of one run in the learned speed of a target. Estimates are off by up to 40%, so about
-	// ten runs have to agree.
+	// speedWeight is the weight of one run in the learned speed of a target. Estimates are off by up to 40%, so the
+	// speed is averaged over about ten runs.
 	speedWeight = 0.12
 	// groupWeight is the weight of one run in the learned speed of all targets of the same group.
 	groupWeight = 0.02
@@ -48,7 +48,7 @@
 	deletedGrace = 2500 * time.Millisecond
 )
 
-// allocation is the capacity that a run is believed to occupy on a target.
+// allocation is the capacity that a run is assumed to occupy on a target.
 type allocation struct {
 	// owner is the incarnation of the instance that started the run, or empty if unknown.
 	owner     string
@@ -106,17 +106,17 @@
 	unreachableByReader bool
 	// suspended means that all instances of the target's failure domain are unresponsive.
 	suspended bool
-	// leaseEnd is the latest possible end of the target's lease, judging by the requests that this instance knows of.
+	// leaseEnd is the latest possible end of the target's lease, based on the requests that are known to this instance.
 	leaseEnd time.Time
-	// lastHeard is when the target was last known to respond, directly or through its reader.
+	// lastHeard is the time of the target's last known response, to this instance or to its reader.
 	lastHeard time.Time
 	// lastPolled is when the target last listed its runs, directly or through its reader.
 	lastPolled time.Time
 	// nonReaderBias is the share of the run time that this instance adds to the cost of the target while another one
 	// reads it.
 	nonReaderBias float64
-	// readBySelf means that this instance is the reader of the target; it receives all claims and so knows the free
-	// capacity.
+	// readBySelf means that this instance is the reader of the target; it receives all claims, so its figure for the
+	// free capacity is current.
 	readBySelf bool
 	// reportedFree is the free capacity that the target's reader reported at reportedAt.
 	reportedFree Resources
@@ -135,8 +135,8 @@
 	return &target{Target: info, allocations: make(map[Run]*allocation), groupSpeed: groupSpeed}
 }
 
-// freeCapacity returns the capacity that is believed to be free. The reader knows all claims; other instances combine
-// the reader's report with their own claims.
+// freeCapacity returns the estimated free capacity. The reader has all claims; other instances combine the reader's
+// report with their own claims.
 func (target *target) freeCapacity(now time.Time) Resources {
 	if target.readBySelf || target.reportedAt.IsZero() || now.Sub(target.reportedAt) > reportTTL {
 		return target.Capacity.Minus(target.used)
@@ -151,8 +151,8 @@
 	return freeCapacity
 }
 
-// report returns the reader's report about the target. The reader sees the ends of all runs and so is the first to know
-// whether the target fails its runs. During probation it reports no free capacity, so that no other instance starts
+// report returns the reader's report about the target. The reader receives the ends of all runs, so it is the first to
+// detect that the target fails its runs. During probation it reports no free capacity, so that no other instance starts
 // anything there.
 func (target *target) report(now time.Time) CapacityReport {
 	switch {
@@ -164,8 +164,8 @@
 	return CapacityReport{Target: target.ID, FreeCapacity: target.freeCapacity(now)}
 }
 
-// freeCapacityAge returns the age of the report that the free capacity is based on, or 0 if this instance knows the
-// capacity itself.
+// freeCapacityAge returns the age of the report that the free capacity is based on, or 0 if it is not based on a
+// report.
 func (target *target) freeCapacityAge(now time.Time) time.Duration {
 	if target.readBySelf || target.reportedAt.IsZero() {
 		return 0
--- a/scheduler/target_test.go
+++ b/scheduler/target_test.go
@@ -78,7 +78,7 @@
 	is.Equal(len(drain(scheduler).starts), 6) // all three targets get work
 }
 
-// newPeerOfReader returns a scheduler that knows the same targets as reader and has received its reports.
+// newPeerOfReader returns a scheduler that has the same targets as reader and has received its reports.
 func newPeerOfReader(reader *Scheduler, targets int, now time.Time) *Scheduler {
 	peer := New("peer", "a")
 	peer.SetTargets(testTargets(targets), now)
--- a/scheduler/tick.go
+++ b/scheduler/tick.go
@@ -106,7 +106,7 @@
 // deadline.
 func (scheduler *Scheduler) checkRun(task *task, now time.Time) {
 	missing := !task.missingSince.IsZero() && now.Sub(task.missingSince) >= missingTimeout
-	// As far as this instance knows, the lease was not renewed, so the target has ended the run.
+	// No renewal of the lease is known, so the target has ended the run.
 	lapsed := !now.Before(task.runTarget.leaseEnd) && !now.Before(scheduler.lossDetectionFrom)
 	if missing || lapsed {
 		scheduler.releaseRun(task.runTarget, task.run())
@@ -119,7 +119,7 @@
 		return
 	}
 	if task.runTarget.lastPolled.Before(task.startedAt.Add(task.predicted)) {
-		// The run may have ended without any instance having seen it yet.
+		// The run may have ended since the target was last polled.
 		return
 	}
 	task.avoid(task.runTarget)
@@ -193,20 +193,21 @@
 	})
 }
 
-// orphanGrace is how long a run without a known owner is left alone. A live owner repeats its claim within this time,
-// and the caller of a lost one sends its job again only later.
+// orphanGrace is how long a run without a known owner may continue. A live owner repeats its claim within this time,
+// and the caller of a lost owner sends its job again only later.
 const orphanGrace = 2*ClaimRepeatInterval + 100*time.Millisecond
 
-// TargetState tells what the poller of a target needs to know.
+// TargetState is the state of a target that its poller uses.
 type TargetState struct {
-	// Occupied reports whether any run is believed to be on the target, and HasOwnRuns whether one of this instance is.
+	// Occupied reports whether any run is assumed to occupy the target, and HasOwnRuns whether a run of this instance
+	// does.
 	Occupied   bool
 	HasOwnRuns bool
 	// Unreachable means that the target did not answer this instance, and UnreachableByReader that it did not answer
 	// its reader.
 	Unreachable         bool
 	UnreachableByReader bool
-	// LastHeard is when the target was last known to respond.
+	// LastHeard is the time of the target's last known response.
 	LastHeard time.Time
 }
 
