--- a/keeper/adopt.go
+++ b/keeper/adopt.go
@@ -156,8 +156,8 @@
 
 // expireRecord drops the settled record of an issued key below the expiry floor, and sets the expiry time of that of a
 // plain key. The record of a job that has not ended stays while its holder may still start the job, however long the
-// holder has been silent: its expiry time is set only once every live incarnation has adopted the current view (see
-// SetAdoptedByAll).
+// holder has been unresponsive: its expiry time is set only once every live incarnation has adopted the current view
+// (see SetAdoptedByAll).
 func (shard *shard) expireRecord(text string, stored *record, now time.Time) {
 	if !shard.isSettled(stored) {
 		return
@@ -178,8 +178,8 @@
 // the retention counts from its end.
 func (limits Limits) protectionPeriod() time.Duration { return limits.MaxRun + limits.Retention }
 
-// fullyAdoptedView is a view that all live incarnations had adopted at adoptedAt, so that no slice was served in a lower
-// view from then on.
+// fullyAdoptedView is a view that all live incarnations had adopted at adoptedAt, so that no slice was served in a
+// lower view from then on.
 type fullyAdoptedView struct {
 	view      int64
 	adoptedAt time.Time
--- a/keeper/attempt.go
+++ b/keeper/attempt.go
@@ -103,7 +103,7 @@
 	shard.failAttempt(attempt, detailNoWitness, false, effects)
 }
 
-// withdraw tells the witness to drop the record of a start that will not happen. A cancellation stays true, so its
+// withdraw asks the witness to drop the record of a start that will not happen. A cancellation remains valid, so its
 // copies may stay.
 func (shard *shard) withdraw(attempt *attempt, stored *record, effects *effects) {
 	if stored.state == StatePending {
--- a/keeper/cancel.go
+++ b/keeper/cancel.go
@@ -56,8 +56,8 @@
 	return shard.replicate(key, Submission{Key: key.text}, stored, now, effects)
 }
 
-// cancelPending turns a pending start into a cancellation. The callers that wait for the start are told together with
-// the one that cancels.
+// cancelPending turns a pending start into a cancellation. The callers that wait for the start are answered together
+// with the one that cancels.
 func (shard *shard) cancelPending(key Key, stored *record, now time.Time, effects *effects) Decision {
 	pending := shard.attempts[key.text]
 	shard.withdraw(pending, stored, effects)
--- a/keeper/decision.go
+++ b/keeper/decision.go
@@ -26,8 +26,9 @@
 // StartNow means that the caller must start the job now and then call Finish.
 type StartNow struct{}
 
-// AwaitWitness means that a witness has been asked to store the record. A StartGranted, CancelConfirmed or AttemptFailed
-// event with this ticket follows or, if the attempt ends as a refusal, one of the events of AwaitConfirmation.
+// AwaitWitness means that a witness has been asked to store the record. A StartGranted, CancelConfirmed or
+// AttemptFailed event with this ticket follows or, if the attempt ends as a refusal, one of the events of
+// AwaitConfirmation.
 type AwaitWitness struct{ Ticket uint64 }
 
 // AwaitConfirmation means that a refusal waits until another member confirms the view in which it was decided. A
@@ -116,7 +117,8 @@
 	Outcome dispatcher.Unknown
 }
 
-// CancelConfirmed means that the job never starts; the caller that cancelled it and all that wait for it may be told.
+// CancelConfirmed means that the job never starts; the caller that cancelled it and all callers that wait for it may be
+// answered.
 type CancelConfirmed struct {
 	Key    string
 	Ticket uint64
--- a/keeper/directed_test.go
+++ b/keeper/directed_test.go
@@ -183,8 +183,8 @@
 	return simulation
 }
 
-// TestDirected guards against each single fault of the fault model. In every case the naive version violates a guarantee,
-// and the keeper none.
+// TestDirected guards against each single fault of the fault model. In every case the naive version violates a
+// guarantee, and the keeper none.
 func TestDirected(t *testing.T) {
 	for _, directed := range directedCases() {
 		t.Run(directed.name, func(t *testing.T) {
--- a/keeper/message.go
+++ b/keeper/message.go
@@ -58,7 +58,7 @@
 	Full bool `cbor:"full,omitempty"`
 }
 
-// Withdraw tells a witness that the start with this sequence number will not happen, so that it drops its copy.
+// Withdraw asks a witness to drop its copy of the start with this sequence number, which will not happen.
 type Withdraw struct {
 	Key      string `cbor:"key"`
 	View     int64  `cbor:"view"`
@@ -104,8 +104,8 @@
 	Records []SyncRecord `cbor:"records"`
 }
 
-// SyncedView is a view in which a member had synced a slice as its owner. Every start in the slice from the view Floor on
-// is known to that owner.
+// SyncedView is a view in which a member had synced a slice as its owner. Every start in the slice from the view Floor
+// on is known to that owner.
 type SyncedView struct {
 	View  int64 `cbor:"view"`
 	Floor int64 `cbor:"floor"`
@@ -113,24 +113,24 @@
 	Closed bool `cbor:"closed,omitempty"`
 }
 
-// SyncRecord is one start record as its sender knows it.
+// SyncRecord is one start record as stored by its sender.
 type SyncRecord struct {
 	Key      string            `cbor:"key"`
 	Digest   dispatcher.Digest `cbor:"digest"`
 	View     int64             `cbor:"view"`
 	Sequence uint64            `cbor:"sequence"`
 	State    State             `cbor:"state"`
-	// Holder is the incarnation that wrote the record and has the answer as long as it lives.
+	// Holder is the incarnation that wrote the record and has the answer as long as it runs.
 	Holder string `cbor:"holder"`
 }
 
-// Synced tells a departing member that the sender has synced the slices and no longer needs the member for them.
+// Synced informs a departing member that the sender has synced the slices and no longer needs the member for them.
 type Synced struct {
 	View   int64 `cbor:"view"`
 	Slices []int `cbor:"slices"`
 }
 
-// OutcomeBatch tells a witness or a new owner how jobs ended; it is sent again until it is acknowledged.
+// OutcomeBatch sends the outcomes of jobs to a witness or a new owner; it is sent again until it is acknowledged.
 type OutcomeBatch struct {
 	Sequence uint64          `cbor:"sequence"`
 	Outcomes []RecordOutcome `cbor:"outcomes"`
--- a/keeper/naive_test.go
+++ b/keeper/naive_test.go
@@ -8,8 +8,8 @@
 	"github.com/hyssoplift/hyssoplift/keeper"
 )
 
-// naive is the baseline protocol: each instance remembers the keys that it has seen and knows nothing of those at other
-// instances, to which a caller without an answer resubmits.
+// naive is the baseline protocol: each instance keeps only the keys submitted to it. A caller without an answer
+// resubmits to other instances, which do not have the key.
 type naive struct {
 	// Keeper provides the other methods of decider; without a view they have no effect.
 	*keeper.Keeper
--- a/keeper/prefix.go
+++ b/keeper/prefix.go
@@ -17,9 +17,9 @@
 	return generation == latest || generation == latest-1
 }
 
-// KeyPrefix returns a key prefix, ending in a dot, for the next job of a caller. It belongs to a slice that this instance
-// serves, or otherwise to one whose owner is not suspected; it is a solo prefix if there is no view or no other member
-// can be reached.
+// KeyPrefix returns a key prefix, ending in a dot, for the next job of a caller. It belongs to a slice that this
+// instance serves, or otherwise to one whose owner is not suspected; it is a solo prefix if there is no view or no
+// other member can be reached.
 func (keeper *Keeper) KeyPrefix(now time.Time) string {
 	history := keeper.history.Load()
 	if history == nil || !keeper.anyMemberReachable(history) {
--- a/keeper/protocol_test.go
+++ b/keeper/protocol_test.go
@@ -29,8 +29,8 @@
 	return keeper.Record{}, ""
 }
 
-// TestLateMessagesOfAnEarlierAttempt guards against counting an acknowledgement or a withdrawal that a second request to
-// the same witness has overtaken: the start would be granted without a copy at the witness, or lose that copy.
+// TestLateMessagesOfAnEarlierAttempt guards against counting an acknowledgement or a withdrawal that a second request
+// to the same witness has overtaken: the start would be granted without a copy at the witness, or lose that copy.
 func TestLateMessagesOfAnEarlierAttempt(t *testing.T) {
 	is := is.New(t)
 	cluster, owner, submission := newTrio()
@@ -71,7 +71,7 @@
 	record, _ := findRecord(outgoing)
 	is.Equal(record.State, keeper.StateCancelled)
 	_, waits := decision.(keeper.AwaitWitness)
-	is.True(waits) // callers must not be told of an unconfirmed cancellation
+	is.True(waits) // an unconfirmed cancellation must not be answered
 }
 
 // TestFind guards against a Find that creates a record or returns the wrong state.
@@ -250,8 +250,8 @@
 	is.New(t).True(owner.Synced())
 }
 
-// TestPlainKeysAfterLongHistory guards against a crash that closes slices to plain keys only because the views before the
-// kept ones, or before a replaced member, are unknown. Starts in them are no longer protected.
+// TestPlainKeysAfterLongHistory guards against a crash that closes slices to plain keys only because the views before
+// the kept ones, or before a replaced member, are unknown. Starts in them are no longer protected.
 func TestPlainKeysAfterLongHistory(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -286,8 +286,8 @@
 	}
 }
 
-// TestRecordOfANonOwner guards against a witness that acknowledges the record of an instance which does not own the slice
-// in their common view: that instance could start a job that the owner has already started.
+// TestRecordOfANonOwner guards against a witness that acknowledges the record of an instance which does not own the
+// slice in their common view: that instance could start a job that the owner has already started.
 func TestRecordOfANonOwner(t *testing.T) {
 	is := is.New(t)
 	cluster, _, submission := newTrio()
--- a/keeper/refuse.go
+++ b/keeper/refuse.go
@@ -7,7 +7,7 @@
 	"github.com/hyssoplift/hyssoplift/dispatcher"
 )
 
-// refusal is a decision to refuse a job that has to be confirmed before callers are told.
+// refusal is a decision to refuse a job that has to be confirmed before callers are answered.
 type refusal struct {
 	submission Submission
 	refused    dispatcher.Refused
@@ -109,8 +109,8 @@
 	confirmer.sendConfirm(now, effects)
 }
 
-// sendConfirm asks the next member to confirm the batch in flight. If enough members have been asked in vain, the batch
-// fails.
+// sendConfirm asks the next member to confirm the batch in flight. If enough members have been asked without success,
+// the batch fails.
 func (confirmer *confirmer) sendConfirm(now time.Time, effects *effects) {
 	history := confirmer.keeper.history.Load()
 	for _, refusal := range confirmer.inFlight {
@@ -153,8 +153,8 @@
 	}
 }
 
-// receiveConfirm answers for all slices of this instance. Keeper.history is stored before any shard adopts it, so once a
-// slice is served in a later view, confirmations of the earlier one are refused. A member that is still in an earlier
+// receiveConfirm answers for all slices of this instance. Keeper.history is stored before any shard adopts it, so once
+// a slice is served in a later view, confirmations of the earlier one are refused. A member that is still in an earlier
 // view confirms too, because it has not adopted a later one.
 func (keeper *Keeper) receiveConfirm(from Member, confirm Confirm, effects *effects) {
 	if current := keeper.history.Load().number(); current > confirm.View {
@@ -232,7 +232,7 @@
 }
 
 // reconsiderRefusal returns the refusal as decided in the current view, or the outcome that replaces it, or neither. It
-// neither joins nor starts an attempt, because the server knows only the tickets of the earlier decision.
+// neither joins nor starts an attempt, because the server has only the tickets of the earlier decision.
 func (shard *shard) reconsiderRefusal(key Key, earlier *refusal, now time.Time) (*refusal, dispatcher.Outcome) {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
--- a/keeper/schedule_test.go
+++ b/keeper/schedule_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// scheduleJob schedules the requests of one job: resubmissions to any instance at any time, cancellations that race with
-// a start, deadlines that pass in the queue, and reuse of the key with another body.
+// scheduleJob schedules the requests of one job: resubmissions to any instance at any time, cancellations that race
+// with a start, deadlines that pass in the queue, and reuse of the key with another body.
 func (simulation *simulation) scheduleJob(number int, at time.Duration) {
 	simulation.after(at, func() {
 		job := jobSpec{body: fmt.Sprintf(`"%d"`, number), unrepeatable: simulation.scheduleRandom.chance(0.3)}
@@ -253,8 +253,8 @@
 	return summary
 }
 
-// TestRandomSchedules guards against faults and combinations of faults under which the protocol violates a guarantee. The
-// naive version runs the same schedules and must violate guarantees, or the schedules are too mild.
+// TestRandomSchedules guards against faults and combinations of faults under which the protocol violates a guarantee.
+// The naive version runs the same schedules and must violate guarantees, or the schedules are too weak.
 func TestRandomSchedules(t *testing.T) {
 	is := is.New(t)
 	if testing.Short() {
--- a/keeper/shard.go
+++ b/keeper/shard.go
@@ -14,13 +14,13 @@
 	view     int64
 	sequence uint64
 	state    State
-	// confirmed is set if a cancellation is stored at a witness, or needs none, so that callers may be told.
+	// confirmed is set if a cancellation is stored at a witness, or needs none, so that callers may be answered.
 	confirmed bool
-	// holder is the incarnation that wrote the record and has the answer as long as it lives.
+	// holder is the incarnation that wrote the record and has the answer as long as it runs.
 	holder string
-	// witness is the incarnation that acknowledged the record; only the holder knows it.
+	// witness is the incarnation that acknowledged the record; only the holder has it.
 	witness string
-	// outcome is the outcome of the job; only the holder knows it.
+	// outcome is the outcome of the job; only the holder has it.
 	outcome dispatcher.Outcome
 	// expires is the time at which the record is dropped, in Unix nanoseconds, or 0 if none is set. A time.Time would
 	// take 24 bytes in every record.
@@ -58,7 +58,7 @@
 	answers     answerCache
 	expirations expiryQueue
 	sequence    uint64
-	// synced is set if this instance owns the slice and knows every start from the view floor on.
+	// synced is set if this instance owns the slice and every start from the view floor on is known.
 	synced bool
 	floor  int64
 	// closed is set if starts of plain keys may be unknown, because an owner and possible witnesses have left without
@@ -69,8 +69,8 @@
 	// hasOrphanedRecords is set if the holder of a plain key's record has left the view but may still start the job, so
 	// that the record has no expiry time yet.
 	hasOrphanedRecords bool
-	// lastSynced is the last view in which this instance had synced the slice as its owner. viewHistory.floor walks back
-	// from the current view and meets it first, so no earlier ones are kept.
+	// lastSynced is the last view in which this instance had synced the slice as its owner. viewHistory.floor walks
+	// back from the current view and reaches it first, so no earlier ones are kept.
 	lastSynced *SyncedView
 	syncState  *syncState
 }
@@ -127,8 +127,8 @@
 	return findMember(current.view.Departing, holder)
 }
 
-// hasLeft reports whether the holder is neither a member nor a departing member of the current view, so that it will not
-// report the outcomes of its jobs.
+// hasLeft reports whether the holder is neither a member nor a departing member of the current view, so that it will
+// not report the outcomes of its jobs.
 func (shard *shard) hasLeft(holder string) bool {
 	return holder != shard.self() && shard.history != nil && !shard.history.current.includes(holder)
 }
--- a/keeper/simulation_test.go
+++ b/keeper/simulation_test.go
@@ -32,8 +32,8 @@
 	act func()
 }
 
-// simulation is an in-memory failure domain in virtual time: slots that hold one incarnation each, links, a log that can
-// be trimmed, and the history for the checker.
+// simulation is an in-memory failure domain in virtual time: slots that hold one incarnation each, links, a log that
+// can be trimmed, and the history for the checker.
 type simulation struct {
 	// scheduleRandom draws the schedule, at times that do not depend on the version; random draws the rest.
 	scheduleRandom random
@@ -214,7 +214,7 @@
 	})
 }
 
-// propose appends a view to the log, unless the proposer cannot reach it; the proposer learns no result.
+// propose appends a view to the log, unless the proposer cannot reach it; the proposer receives no result.
 func (simulation *simulation) propose(proposer *node, view keeper.View, renewal bool) {
 	if simulation.logDown || simulation.logCuts[proposer.slot] {
 		return
--- a/keeper/submit.go
+++ b/keeper/submit.go
@@ -32,8 +32,8 @@
 	refusal  *dispatcher.Refused
 }
 
-// Submit decides whether a job may start. If it may, a witness has to store the start record first (AwaitWitness), unless
-// none is needed (StartNow).
+// Submit decides whether a job may start. If it may, a witness has to store the start record first (AwaitWitness),
+// unless none is needed (StartNow).
 func (keeper *Keeper) Submit(submission Submission, now time.Time) (Decision, []Outgoing) {
 	key, decision := keeper.parse(submission.Key, submission.Forwarded)
 	if decision != nil {
@@ -147,8 +147,8 @@
 	}
 }
 
-// uncertaintyReason returns why the absence of a record does not prove that the job never started, or an empty string if
-// it does.
+// uncertaintyReason returns why the absence of a record does not prove that the job never started, or an empty string
+// if it does.
 func (shard *shard) uncertaintyReason(key Key, now time.Time) string {
 	switch {
 	case key.form == IssuedKey && key.number < shard.floor:
@@ -192,8 +192,8 @@
 		return lookupResult{refusal: &refusal}
 	}
 	if known.state == StateCancelled && known.confirmed && key.form == PlainKey {
-		// If this owner was paused, a later owner may have dropped its copy and started the job again. The refusal has to
-		// be confirmed.
+		// If this owner was paused, a later owner may have dropped its copy and started the job again. The refusal has
+		// to be confirmed.
 		refusal := cancelledOutcome()
 		return lookupResult{refusal: &refusal}
 	}
--- a/keeper/sync.go
+++ b/keeper/sync.go
@@ -13,8 +13,8 @@
 	// departingTimeouts is the time that a departing member has to answer, in sync timeouts; then the sync ends without
 	// it, as for an excluded member.
 	departingTimeouts = 4
-	// announceTimeouts is the time after a view change, in sync timeouts, during which owners repeat Synced to departing
-	// members.
+	// announceTimeouts is the time after a view change, in sync timeouts, during which owners repeat Synced to
+	// departing members.
 	announceTimeouts = 10
 )
 
@@ -73,8 +73,8 @@
 	}
 }
 
-// receiveSyncRequest answers a request, or keeps it until this instance has adopted the view. An instance in a later view
-// does not answer, because it may have dropped records that the earlier view still relies on.
+// receiveSyncRequest answers a request, or keeps it until this instance has adopted the view. An instance in a later
+// view does not answer, because it may have dropped records that the earlier view still relies on.
 func (keeper *Keeper) receiveSyncRequest(from Member, request SyncRequest, effects *effects) {
 	keeper.deferMutex.Lock()
 	later := request.View > keeper.history.Load().number()
@@ -103,8 +103,8 @@
 	}
 }
 
-// answerSync sends the slice's records if the sender owns the slice in the current view. No record of an earlier view can
-// be added afterwards, because receiveRecord refuses it.
+// answerSync sends the slice's records if the sender owns the slice in the current view. No record of an earlier view
+// can be added afterwards, because receiveRecord refuses it.
 func (shard *shard) answerSync(from Member, request SyncRequest, effects *effects) {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
@@ -203,8 +203,8 @@
 	})
 }
 
-// finishSync starts serving the slice if every member has answered, and every departing member has answered, is suspected
-// or has run out of time.
+// finishSync starts serving the slice if every member has answered, and every departing member has answered, is
+// suspected or has run out of time.
 func (shard *shard) finishSync(now time.Time, effects *effects) {
 	for incarnation := range shard.syncState.missing {
 		_, departing := findMember(shard.history.current.view.Departing, incarnation)
@@ -256,10 +256,10 @@
 }
 
 // floor walks back from the current view and returns the lowest view from which every start of the slice is known, and
-// whether starts of plain keys in earlier views may be unknown. answered holds the members that have adopted the current
-// view, with the last view in which each had synced the slice. Starts in views below the horizon protect no plain key
-// any more; without the horizon, every crash of an owner whose slice has a longer history than is kept would close the
-// slice to plain keys.
+// whether starts of plain keys in earlier views may be unknown. answered holds the members that have adopted the
+// current view, with the last view in which each had synced the slice. Starts in views below the horizon no longer
+// protect plain keys; without the horizon, every crash of an owner whose slice has a longer history than is kept would
+// close the slice to plain keys.
 func (history *viewHistory) floor(slice int, answered map[string]*SyncedView, horizon int64) (int64, bool) {
 	lowest := history.current
 	for i := len(history.earlier) - 1; lowest.predecessor == knownPredecessor && i >= 0; i-- {
@@ -320,7 +320,8 @@
 	return slices.Sorted(maps.Keys(unresponsive))
 }
 
-// announceSynced tells departing members which slices this instance serves, so that they are no longer needed for them.
+// announceSynced notifies departing members of the slices that this instance serves, so that they are no longer needed
+// for them.
 func (keeper *Keeper) announceSynced(history *viewHistory, effects *effects) {
 	served := keeper.serving.Load()
 	if served == 0 || len(history.current.view.Departing) == 0 {
@@ -337,8 +338,8 @@
 	}
 }
 
-// repeatAnnouncement repeats the announcement every SyncTimeout for a while, because a departing member waits for it and
-// the message may be lost.
+// repeatAnnouncement repeats the announcement every SyncTimeout for a while, because a departing member waits for it
+// and the message may be lost.
 func (keeper *Keeper) repeatAnnouncement(now time.Time, effects *effects) {
 	keeper.viewMutex.Lock()
 	defer keeper.viewMutex.Unlock()
--- a/server/decider.go
+++ b/server/decider.go
@@ -189,8 +189,8 @@
 	switch event := event.(type) {
 	case keeper.StartGranted:
 		if !decider.notify(event.Key, event.Ticket, event) {
-			// The request gave up before the acknowledgement. The start record says that the job started, so it has to
-			// be finished here.
+			// The request stopped waiting before the acknowledgement. The start record says that the job started, so it
+			// has to be finished here.
 			decider.finish(event.Key, dispatcher.NewFailed("the start record was acknowledged too late, nothing was started", nil))
 		}
 	case keeper.AttemptFailed:
--- a/server/dispatch.go
+++ b/server/dispatch.go
@@ -143,7 +143,7 @@
 	return false
 }
 
-// routerResult converts the result of a task to what the router learns about the target.
+// routerResult converts the result of a task to the router's result for the target.
 func routerResult(result starter.Result) router.Result {
 	switch result := result.(type) {
 	case starter.Success:
--- a/server/forward.go
+++ b/server/forward.go
@@ -26,7 +26,7 @@
 		return nil
 	}
 	if request.bundle == nil {
-		// Without a bundle the home of the key is unknown, so nothing can be said about the job.
+		// Without a bundle the home of the key is unknown, so the outcome of the job is unknown.
 		return dispatcher.NewUnknown("no bundle is in force yet; retry")
 	}
 	home := keeper.HomeDomain(request.job.Key(), request.bundle.FailureDomains())
@@ -142,8 +142,8 @@
 	}
 	err := server.linker.Send(from.Incarnation, answer)
 	if _, complete := outcome.(dispatcher.Complete); complete && err != nil {
-		// An answer above the size limit of links cannot be sent. The sender then learns at least that the tasks
-		// finished.
+		// An answer above the size limit of links cannot be sent. A short one is sent instead, which states that the
+		// tasks finished.
 		answer.Outcome = linker.EncodeOutcome(lostOutcome(request.job, dispatcher.FateFinished), time.Now())
 		err = server.linker.Send(from.Incarnation, answer)
 	}
--- a/server/membership.go
+++ b/server/membership.go
@@ -22,10 +22,11 @@
 	membershipInterval = 100 * time.Millisecond
 	// listInterval is the delay between reads of the instance list, which lags by more than that anyway.
 	listInterval = time.Second
-	// takeoverDelay is how long every member of the view must be gone before an instance outside the view proposes the
-	// next one. It lets candidates connect to each other, so that they join the same view.
+	// takeoverDelay is how long every member of the view must be unlisted and without heartbeats before an instance
+	// outside the view proposes the next one. It lets candidates connect to each other, so that they join the same
+	// view.
 	takeoverDelay = 2 * watcher.SuspicionTimeout
-	// maxKnownPeers bounds the number of instances whose hellos and heartbeats are remembered.
+	// maxKnownPeers bounds the number of instances whose hellos and heartbeats are kept.
 	maxKnownPeers = 4096
 )
 
@@ -211,7 +212,7 @@
 	membership.linker.SetMembers(peers)
 }
 
-// announceLeaving immediately tells the other instances that this one begins a planned shutdown.
+// announceLeaving immediately notifies the other instances that this one begins a planned shutdown.
 func (membership *membership) announceLeaving() {
 	membership.watcher.SetLeaving()
 	membership.sendHeartbeat(time.Now())
@@ -228,8 +229,8 @@
 	membership.linker.Broadcast(membership.linker.ConnectedIn(membership.domain), heartbeat)
 }
 
-// updateSuspects tells the keeper which members are suspected, and the watcher which members have not answered a sync
-// request.
+// updateSuspects passes the suspected members to the keeper, and those that have not answered a sync request to the
+// watcher.
 func (membership *membership) updateSuspects(now time.Time) {
 	suspects := make(map[string]bool)
 	for _, suspect := range membership.watcher.Suspects(now) {
@@ -256,8 +257,8 @@
 	}
 }
 
-// checkAdoption tells the keeper once every listed instance has adopted the view in force. From then on no owner of an
-// earlier view can start jobs.
+// checkAdoption notifies the keeper once every listed instance has adopted the view in force. From then on no owner of
+// an earlier view can start jobs.
 func (membership *membership) checkAdoption(now time.Time) {
 	number, _ := membership.keeper.View()
 	membership.mu.Lock()
@@ -327,10 +328,10 @@
 	return membership.retention + time.Duration(rank)*watcher.SuspicionTimeout, rank >= 0
 }
 
-// takeover returns the view that replaces one whose members are all gone, or the first view of an instance that has no
-// instance list and is therefore alone. The watcher proposes views only for members, of which none is left. The
-// takeover is safe although the start records of the lost view may be gone: the keeper starts no job under a key that
-// was issued below the view floor, or under a plain key while its slice is closed.
+// takeover returns the view that replaces one without any remaining member, or the first view of an instance that has
+// no instance list and is therefore alone. The watcher proposes views only for members, of which none is left. The
+// takeover is safe although the start records of the lost view may be missing: the keeper starts no job under a key
+// that was issued below the view floor, or under a plain key while its slice is closed.
 func (membership *membership) takeover(now time.Time, trimmed bool) (keeper.View, bool) {
 	number, view := membership.keeper.View()
 	self := keeperMembers(membership.self)
--- a/server/place.go
+++ b/server/place.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// leavingSuspension is how long a worker that announced its shutdown is given no tasks. It is removed for good by a
-	// later bundle.
+	// leavingSuspension is how long a worker that announced its shutdown is given no tasks. It is removed permanently
+	// by a later bundle.
 	leavingSuspension = time.Minute
 	// usageValidity is how long a usage report accounts for the tasks of other instances, most of which take less than
 	// a second.
@@ -85,7 +85,8 @@
 	return workerPlace{placer: fleet.placer, placed: placed, address: fleet.addresses[placed.Worker().Name()]}, true
 }
 
-// runAt runs the task at its place. It returns the result, with what the router and the placer learn from it.
+// runAt runs the task at its place. It returns the result, and the results that the router and the placer derive their
+// estimates from.
 func (server *Server) runAt(ctx context.Context, request *request, task dispatcher.Task, at place) (starter.Result, router.Result, placer.Result) {
 	if worker, ok := at.(workerPlace); ok {
 		result, placerResult := server.runOnWorker(ctx, request, task, worker)
--- a/server/submit.go
+++ b/server/submit.go
@@ -37,7 +37,7 @@
 	foreign bool
 	// origin is the incarnation to which the caller sent the job, or empty if it is this one.
 	origin string
-	// countGrant tells whether this instance may count the answer in the burn report. Forwarding sets it.
+	// countGrant states whether this instance may count the answer in the burn report. Forwarding sets it.
 	countGrant reporter.Grant
 	// retryUntil is when to stop retrying while the keeper cannot decide. It is zero before the first attempt.
 	retryUntil time.Time
@@ -199,7 +199,7 @@
 }
 
 // carryOut acts on the keeper's decision and reports whether the job must be started now. If not, it returns a function
-// that obtains the outcome. The function may block, as for a forward, so the caller first gives up the job's place in
+// that obtains the outcome. The function may block, as for a forward, so the caller first releases the job's place in
 // the queue.
 func (server *Server) carryOut(ctx context.Context, request *request, decision keeper.Decision, waiter *waiter) (start bool, outcome func() dispatcher.Outcome) {
 	answer := func(outcome dispatcher.Outcome) (bool, func() dispatcher.Outcome) {
--- a/server/views.go
+++ b/server/views.go
@@ -16,7 +16,7 @@
 
 const (
 	viewStreamPrefix = "views-"
-	// appendTimeout bounds one append of a view. Whether it took effect is learned by reading the stream.
+	// appendTimeout bounds one append of a view. Only the stream shows whether it took effect.
 	appendTimeout = 3 * time.Second
 	// maxViewBytes bounds a record of the stream. A view of thousands of members takes about 100 KB.
 	maxViewBytes = 4 << 20
@@ -137,8 +137,8 @@
 	return keeper.View{Prev: number, Members: current.Members, ExpiryFloor: max(viewLog.lastRenewal, 0)}, true
 }
 
-// propose appends view in the background, unless an append is in progress. Whether it is put in force is learned by
-// reading the stream, even after a lost response.
+// propose appends view in the background, unless an append is in progress. Only the stream shows whether the view is
+// put in force, even after a lost response.
 func (viewLog *viewLog) propose(ctx context.Context, view keeper.View) {
 	data, err := json.Marshal(view)
 	if err != nil {
--- a/watcher/member.go
+++ b/watcher/member.go
@@ -42,7 +42,7 @@
 // NoView is the view number before the first view.
 const NoView = -1
 
-// Proposal is the next view that an instance wants. It comes into force if its record is the first in the log that
+// Proposal is the next view that an instance proposes. It comes into force if its record is the first in the log that
 // follows Previous.
 type Proposal struct {
 	// Previous is the number of the view that the proposal replaces.
@@ -61,23 +61,22 @@
 const (
 	// HeartbeatInterval is the time between two heartbeats of one sender.
 	HeartbeatInterval = time.Second
-	// SuspicionTimeout is the silence after which a peer is suspected; two heartbeats may be lost.
+	// SuspicionTimeout is the time without a heartbeat after which a peer is suspected; two heartbeats may be lost.
 	SuspicionTimeout = 3 * HeartbeatInterval
-	// isolatedTimeoutFactor multiplies SuspicionTimeout for an instance that hears no other member, because in most
-	// cases it is the one that is cut off.
+	// isolatedTimeoutFactor multiplies SuspicionTimeout for an instance that receives nothing from other members,
+	// because in most cases it is the one that is cut off.
 	isolatedTimeoutFactor = 3
-	// batchingDelay is how long a proposal without exclusions waits, so that further joining and leaving instances enter
-	// the same view. Each view makes new owners of slices sync.
+	// batchingDelay is how long a proposal without exclusions waits, so that further joining and leaving instances
+	// enter the same view. Each view makes new owners of slices sync.
 	batchingDelay = 2 * time.Second
-	// proposerInterval is the delay between the turns of proposers, so that the first one's view is read before the next
-	// one proposes. To append and read a record takes a few hundred ms on a slow log.
+	// proposerInterval is the delay between the turns of proposers, so that the first one's view is read before the
+	// next one proposes. To append and read a record takes a few hundred ms on a slow log.
 	proposerInterval = 500 * time.Millisecond
 	// retryDelay is the time after which a proposal is repeated if no new view has been read.
 	retryDelay = 2 * time.Second
-	// excludedRetention is how long a silent excluded incarnation is remembered. It exceeds the lag of the instance list,
-	// which is tens of seconds: the list could otherwise offer the incarnation as a candidate again.
+	// excludedRetention is how long an excluded incarnation is kept after its last heartbeat. It exceeds the lag of the
+	// instance list, which is tens of seconds: the list could otherwise offer the incarnation as a candidate again.
 	excludedRetention = 10 * time.Minute
-	// maxPeers bounds the incarnations that are remembered; it exceeds the members and the instance list of a failure
-	// domain.
+	// maxPeers bounds the incarnations that are kept; it exceeds the members and the instance list of a failure domain.
 	maxPeers = 4096
 )
--- a/watcher/propose.go
+++ b/watcher/propose.go
@@ -74,7 +74,7 @@
 		return watcher.desiredFirstView(now)
 	}
 	if !contains(watcher.view.Members, watcher.self.Incarnation) {
-		// Only members add candidates; a candidate does not propose itself, because only members know each other's
+		// Only members add candidates; a candidate does not propose itself, because only members receive each other's
 		// suspicions.
 		return Proposal{}
 	}
@@ -114,8 +114,8 @@
 	return peer != nil && peer.leaving
 }
 
-// additions returns the listed instances that this one hears, except those that a majority of the members that it hears
-// suspects, because these members could not sync with them.
+// additions returns the listed instances that this one does not suspect. It omits those that a majority of the
+// unsuspected members suspects, because these members could not sync with them.
 func (watcher *Watcher) additions(now time.Time) []Member {
 	var added []Member
 	for incarnation, peer := range watcher.peers {
@@ -124,7 +124,7 @@
 			continue
 		}
 		if now.Sub(peer.reachableSince) < SuspicionTimeout {
-			// The other members need this long to suspect an instance that they cannot hear.
+			// The other members need this long to suspect an instance from which they receive nothing.
 			continue
 		}
 		if votes, voters := watcher.votes(incarnation, now); 2*votes <= voters {
@@ -150,9 +150,9 @@
 	return votes, voters
 }
 
-// exclusions returns the members to leave out: those that this instance and a majority of the members that it hears
-// suspect. If more than half of the view would be left out although the instance list still has them, only members that
-// are not listed are left out. Before the first list arrives, every member counts as listed.
+// exclusions returns the members to leave out: those suspected by this instance and by a majority of the other members
+// that it does not suspect. If more than half of the view would be left out although the instance list still has them,
+// only members that are not listed are left out. Before the first list arrives, every member counts as listed.
 func (watcher *Watcher) exclusions(now time.Time) []Member {
 	var excluded []Member
 	stillListed := 0
@@ -172,9 +172,9 @@
 	return excluded
 }
 
-// majoritySuspects reports whether a majority of the members that this instance hears suspects the peer. If it hears
-// none, it reports whether the peer has been silent, or its answer to a sync request overdue, for isolatedTimeoutFactor
-// times SuspicionTimeout.
+// majoritySuspects reports whether the peer is suspected by a majority of the other members that this instance does
+// not suspect. If there are none, it reports whether the peer has sent no heartbeat, or its answer to a sync request
+// has been overdue, for isolatedTimeoutFactor times SuspicionTimeout.
 func (watcher *Watcher) majoritySuspects(suspect *peer, now time.Time) bool {
 	votes, voters := watcher.votes(suspect.member.Incarnation, now)
 	if voters == 0 {
--- a/watcher/simulation_test.go
+++ b/watcher/simulation_test.go
@@ -9,7 +9,7 @@
 
 const tick = 100 * time.Millisecond
 
-// viewProposer is implemented by the watcher and by the naive version, which the cases must tell apart.
+// viewProposer is implemented by the watcher and by the naive version, which the cases must distinguish.
 type viewProposer interface {
 	SetInstanceList([]ListedInstance, time.Time)
 	SetView(View, time.Time)
@@ -19,7 +19,8 @@
 	SetLeaving()
 }
 
-// naive excludes members that it suspects and adds instances that it hears, at once and alone.
+// naive excludes members that it suspects and adds instances that it does not suspect, at once and without regard to
+// the other members.
 type naive struct{ Watcher }
 
 func newNaive(self Member, now time.Time) viewProposer { return &naive{Watcher: *New(self, now)} }
@@ -177,7 +178,8 @@
 	}
 }
 
-// append applies the rule of the log: the first record that names the current view as its previous one is the next view.
+// append applies the rule of the log: the first record that names the current view as its previous one is the next
+// view.
 func (simulation *simulation) append(proposal Proposal) {
 	simulation.appends++
 	currentNumber := int64(NoView)
--- a/watcher/watcher.go
+++ b/watcher/watcher.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// peer is what the watcher knows about another incarnation.
+// peer is the state of another incarnation as recorded by the watcher.
 type peer struct {
 	member Member
 	// reachableSince is when the peer became known as a member, as a listed instance or by a heartbeat.
@@ -20,8 +20,8 @@
 	syncOverdueSince time.Time
 	listed           bool
 	leaving          bool
-	// excluded is set for good once a view has left the peer out, because the members of that view no longer rely on its
-	// state.
+	// excluded is set permanently once a view has left the peer out, because the members of that view no longer rely on
+	// its state.
 	excluded bool
 }
 
@@ -37,7 +37,7 @@
 	return !peer.syncOverdueSince.IsZero() || peer.silence(now) >= SuspicionTimeout
 }
 
-// Watcher tracks the membership of one failure domain as one instance sees it.
+// Watcher tracks the membership of one failure domain for one instance.
 type Watcher struct {
 	self    Member
 	started time.Time
@@ -134,8 +134,8 @@
 	}
 }
 
-// SetSyncAnswered records whether a member has answered the sync requests of the current view in time. A member that has
-// not is suspected until it has, or until the next view.
+// SetSyncAnswered records whether a member has answered the sync requests of the current view in time. A member that
+// has not is suspected until it has, or until the next view.
 func (watcher *Watcher) SetSyncAnswered(incarnation Incarnation, answered bool, now time.Time) {
 	watcher.mu.Lock()
 	defer watcher.mu.Unlock()
@@ -209,7 +209,7 @@
 	return found
 }
 
-// removeStalePeers drops the incarnations that are neither members, nor listed, nor recently heard.
+// removeStalePeers drops the incarnations that are neither members nor listed and that have sent no recent heartbeat.
 func (watcher *Watcher) removeStalePeers(now time.Time) {
 	maps.DeleteFunc(watcher.peers, func(incarnation Incarnation, peer *peer) bool {
 		retention := SuspicionTimeout
--- a/watcher/watcher_test.go
+++ b/watcher/watcher_test.go
@@ -120,8 +120,8 @@
 	}, "a-0", 1, 0, true, 0},
 }
 
-// TestViews guards against needless views, each of which makes owners sync, and against views that leave out live members
-// or keep dead ones. In each case the naive version must pass or fail as stated.
+// TestViews guards against needless views, each of which makes owners sync, and against views that leave out live
+// members or keep dead ones. In each case the naive version must pass or fail as stated.
 func TestViews(t *testing.T) {
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -147,7 +147,8 @@
 	}
 }
 
-// TestSuspicion guards against a suspicion that outlives the silence, and against an exclusion that does not last.
+// TestSuspicion guards against a suspicion that does not end with the next heartbeat, and against an exclusion that
+// does not last.
 func TestSuspicion(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
@@ -179,8 +180,8 @@
 	is.True(watcher.Excluded())
 }
 
-// TestPeersAreBounded guards against a table of peers that grows without bound if ever more incarnations appear, forged or
-// real.
+// TestPeersAreBounded guards against a table of peers that grows without bound if ever more incarnations appear, forged
+// or real.
 func TestPeersAreBounded(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
