--- a/accountant/cursor.go
+++ b/accountant/cursor.go
@@ -28,7 +28,7 @@
 	// next is the offset in stream burn before which all records are in the aggregator or no longer in the log.
 	next    int64
 	nextSum int64     // offset of the next record of stream burn-hours
-	started bool      // whether the aggregator knows if the log was read from its first record on
+	started bool      // whether SetComplete was called on the aggregator
 	hour    time.Time // latest hour for which a sum was read or appended
 }
 
@@ -62,7 +62,7 @@
 		return nil
 	}
 	if !cursor.started && sum.From() == 0 {
-		// The sum stands for the first records of the log, even if these are no longer in it.
+		// The sum replaces the first records of the log, even if these are no longer in it.
 		cursor.start(true)
 	}
 	if err := cursor.readMinutes(ctx, now, sum.From()); err != nil {
--- a/bundler/bundler.go
+++ b/bundler/bundler.go
@@ -64,7 +64,7 @@
 
 // Bundler determines the bundle in force from the records of the log and the offers of peers.
 //
-// It holds the current bundle and its offset, and knows that no record up to through replaced it. The entries in
+// It holds the current bundle, its offset, and the offset through up to which no record replaced it. The entries in
 // [start, next) have been read without a gap. They are contiguous with through if start is at most through+1; then
 // through is at least next-1, and whether the next entry replaces the bundle depends on that entry alone. Otherwise,
 // records between through and start have been trimmed, and one of them may have replaced the bundle: records that
@@ -147,8 +147,8 @@
 	return events
 }
 
-// HandleOffer applies an offer of a peer. It returns an error if the offered bundle is older than the bundle in force or
-// fails verification.
+// HandleOffer applies an offer of a peer. It returns an error if the offered bundle is older than the bundle in force
+// or fails verification.
 func (bundler *Bundler) HandleOffer(offer Offer, now time.Time) ([]Event, error) {
 	bundler.mu.Lock()
 	defer bundler.mu.Unlock()
@@ -157,8 +157,8 @@
 	}
 	if bundler.current != nil && offer.Offset < bundler.current.offset {
 		if _, err := bundler.open(offer.Record); err == nil {
-			// The peer has an older bundle in force, so the newer one here may come into force before the end of the log
-			// is read.
+			// The peer has an older bundle in force, so the newer one here may come into force before the end of the
+			// log is read.
 			bundler.activate()
 		}
 		return nil, eris.Errorf("the peer's bundle at offset %d is older than that at offset %d", offer.Offset, bundler.current.offset)
--- a/bundler/composer.go
+++ b/bundler/composer.go
@@ -121,7 +121,8 @@
 	if len(findings) > 0 || len(present) == 0 {
 		return append(findings, Lint(common, inForce)...)
 	}
-	// Targets that wrongly remain in the common part are found only before composing, and missing targets only after it.
+	// Targets that wrongly remain in the common part are found only before composing, and missing targets only after
+	// it.
 	findings = Lint(common, inForce)
 	for _, finding := range Lint(Compose(common, present...), inForce) {
 		if !slices.Contains(findings, finding) {
--- a/bundler/doc.go
+++ b/bundler/doc.go
@@ -5,9 +5,9 @@
 //
 // The bundle in force is identified by the offset of the record that published it. A second offset, through, states
 // that no record up to it replaced the bundle. A reader that has every record after through can continue from there. A
-// reader that misses some of them waits for a later through, which a renewal in the log or a peer brings. Without
-// through, a reader of a trimmed log could not tell whether a record that it still finds came into force or lost
-// against a record that has been trimmed.
+// reader that misses some of them waits for a later through from a renewal in the log or from a peer. Without through,
+// a reader of a trimmed log could not tell whether a record that it still finds came into force or lost against a
+// record that has been trimmed.
 //
 // A large bundle can be split: the common part is published on one stream and the targets of each split failure domain
 // on a stream of their own. Each stream has its own versions, signatures and renewals. An instance reads the common
--- a/bundler/event.go
+++ b/bundler/event.go
@@ -15,8 +15,8 @@
 	DecisionInForce Decision = "in force"
 	// DecisionRenewal means that the record renewed the bundle in force.
 	DecisionRenewal Decision = "renewal"
-	// DecisionWaiting means that the record is pending: records before it have been trimmed, and a renewal or a peer must
-	// first show whether one of them came into force.
+	// DecisionWaiting means that the record is pending: records before it have been trimmed, and a renewal or a peer
+	// must first show whether one of them came into force.
 	DecisionWaiting Decision = "waiting"
 	// DecisionIgnored means that the record has no effect.
 	DecisionIgnored Decision = "ignored"
--- a/bundler/fold_test.go
+++ b/bundler/fold_test.go
@@ -185,7 +185,7 @@
 	is.True(err != nil && strings.Contains(err.Error(), "2 is not above 2, the version in force")) // the losing version must be rebased
 }
 
-// Guards against a request that sees two bundles because a new bundle in force changes the snapshot that it holds.
+// Guards against a request that uses two bundles because a new bundle in force changes the snapshot that it holds.
 func TestSnapshotOutlivesSwitch(t *testing.T) {
 	is := is.New(t)
 	bundler := New(testKeys)
@@ -199,8 +199,8 @@
 	is.Equal(bundler.Snapshot().Bundle().Version(), int64(2))
 }
 
-// Guards against time windows in which no instance renews, all instances renew, or the bundle is not renewed because the
-// first instance failed.
+// Guards against time windows in which no instance renews, all instances renew, or the bundle is not renewed because
+// the first instance failed.
 func TestRenewalTurns(t *testing.T) {
 	is := is.New(t)
 	names := []string{"a", "b", "c", "d", "e", "f"}
--- a/bundler/lint.go
+++ b/bundler/lint.go
@@ -15,14 +15,14 @@
 // maxPolicyWeight is the largest weight in a policy, in percent.
 const maxPolicyWeight = 100
 
-// Severity says whether a finding keeps a bundle from coming into force.
+// Severity states whether a finding keeps a bundle from coming into force.
 type Severity string
 
 // The severities of a finding.
 const (
 	// SeverityError marks a bundle that would not work; no instance puts it in force. All readers must apply the same
-	// errors to the same records, so a release that adds or removes one must run on all instances before a bundle relies
-	// on it.
+	// errors to the same records, so a release that adds or removes one must run on all instances before a bundle
+	// relies on it.
 	SeverityError Severity = "error"
 	// SeverityWarning marks something that is probably a mistake.
 	SeverityWarning Severity = "warning"
@@ -34,7 +34,7 @@
 	text     string
 }
 
-// Severity says whether the finding keeps the bundle from coming into force.
+// Severity states whether the finding keeps the bundle from coming into force.
 func (finding Finding) Severity() Severity { return finding.severity }
 
 // String returns the finding as one line for an operator.
@@ -249,7 +249,8 @@
 	}
 }
 
-// lintError returns an error with the text of every error that lint finds in bundle as a replacement of inForce, or nil.
+// lintError returns an error with the text of every error that lint finds in bundle as a replacement of inForce, or
+// nil.
 func lintError(bundle, inForce *Bundle) error {
 	var problems []string
 	for _, finding := range Lint(bundle, inForce) {
--- a/bundler/parse_test.go
+++ b/bundler/parse_test.go
@@ -38,8 +38,8 @@
 	is.Equal(bundle.Retention(), Retention{time.Minute})
 }
 
-// Guards against a parser that accepts unknown, repeated or out-of-range values, and against errors that do not name the
-// line and key.
+// Guards against a parser that accepts unknown, repeated or out-of-range values, and against errors that do not name
+// the line and key.
 func TestParseErrors(t *testing.T) {
 	tests := []struct{ text, want string }{
 		{"", "[bundle] version: is missing"},
@@ -158,8 +158,8 @@
 	})
 }
 
-// Guards against a decoder that panics or accepts a record that does not survive encoding, and against a bundle in force
-// that nobody signed.
+// Guards against a decoder that panics or accepts a record that does not survive encoding, and against an unsigned
+// bundle in force.
 func FuzzDecodeRecord(f *testing.F) {
 	f.Add(encode(v2))
 	f.Add(encode(renewal(v2, 1, 4)))
--- a/bundler/publication.go
+++ b/bundler/publication.go
@@ -36,8 +36,8 @@
 	return fmt.Sprintf("version %d by %s at offset %d came first", conflict.version, conflict.author, conflict.offset)
 }
 
-// Publish checks a signed record against the bundle in force and returns a publication that replaces that bundle. If the
-// record cannot come into force, the error lists all reasons. The bundler must have read up to the end of the log.
+// Publish checks a signed record against the bundle in force and returns a publication that replaces that bundle. If
+// the record cannot come into force, the error lists all reasons. The bundler must have read up to the end of the log.
 func (bundler *Bundler) Publish(record Record) (*Publication, error) {
 	bundler.mu.Lock()
 	defer bundler.mu.Unlock()
@@ -67,7 +67,8 @@
 func (publication *Publication) Data() []byte { return publication.data }
 
 // Observe returns the outcome, or false if events do not show it yet. The calls together must pass all events since the
-// call of Publish. The publication is recognized by its text and signers; the log's response to the append is not needed.
+// call of Publish. The publication is recognized by its text and signers; the log's response to the append is not
+// needed.
 func (publication *Publication) Observe(events []Event) (Outcome, bool) {
 	for _, event := range events {
 		if event.Decision != DecisionInForce {
--- a/bundler/scan.go
+++ b/bundler/scan.go
@@ -27,8 +27,8 @@
 	return "[" + section.class + " " + section.name + "]"
 }
 
-// scanSections calls visit for each section of text, in order. The section is reused between calls. A key may not repeat
-// within a section, because an operator could not see which of its values applies.
+// scanSections calls visit for each section of text, in order. The section is reused between calls. A key may not
+// repeat within a section, because an operator could not see which of its values applies.
 func scanSections(text string, visit func(*section) error) error {
 	if !utf8.ValidString(text) {
 		return eris.New("the bundle is not UTF-8")
--- a/bundler/schedule_test.go
+++ b/bundler/schedule_test.go
@@ -14,8 +14,8 @@
 	inForceBound       = 10 * time.Second
 )
 
-// logRecord is one record of the simulated log. If valid is false, it must never come into force; inForce says whether it
-// did according to the reference.
+// logRecord is one record of the simulated log. If valid is false, it must never come into force; inForce says whether
+// it did according to the reference.
 type logRecord struct {
 	data           []byte
 	record         Record
@@ -79,8 +79,8 @@
 	return simulation.now.Add(time.Duration(1+simulation.random.IntN(seconds)) * time.Second)
 }
 
-// appendRecord adds a record to the log and updates the reference, which is derived from the whole history of the log: a valid
-// record comes into force if it replaces the bundle in force and has a higher version.
+// appendRecord adds a record to the log and updates the reference, which is derived from the whole history of the log:
+// a valid record comes into force if it replaces the bundle in force and has a higher version.
 func (simulation *simulation) appendRecord(record Record, data []byte, valid bool) {
 	offset := int64(len(simulation.log))
 	entry := logRecord{data: data, record: record, at: simulation.now, valid: valid, replacedOffset: record.replacedOffset()}
--- a/checker/checker.go
+++ b/checker/checker.go
@@ -142,9 +142,9 @@
 	checker.violations = append(checker.violations, Violation{guarantee: guarantee, subject: subject, events: events})
 }
 
-// expired reports whether the protection of a plain key from an earlier time has ended at a later one: its job was settled
-// at or after the earlier time, and the retention has passed since then. Keys that begin with ~ are protected
-// for good.
+// expired reports whether the protection of a plain key from an earlier time has ended at a later one: its job was
+// settled at or after the earlier time, and the retention has passed since then. Keys that begin with ~ are protected
+// permanently.
 func (checker *checker) expired(key string, earlier, later time.Time) bool {
 	if strings.HasPrefix(key, "~") {
 		return false
@@ -263,8 +263,8 @@
 	}
 }
 
-// checkCancellation checks one cancellation. A start of the job, before or after the cancellation, contradicts it if the
-// protection of the key had not ended between the two.
+// checkCancellation checks one cancellation. A start of the job, before or after the cancellation, contradicts it if
+// the protection of the key had not ended between the two.
 func (checker *checker) checkCancellation(event Cancelled) {
 	decided := decidedAt(event.Decided, event.Time)
 	for _, start := range checker.starts[event.Key] {
@@ -280,8 +280,8 @@
 }
 
 // checkRefusal checks one refusal against every start of the same job. A start before the decision contradicts it. A
-// later start does so unless a submission that had not been refused asked for it, because a caller that resubmits before
-// it receives the refusal asks for that start itself.
+// later start does so unless a submission that had not been refused asked for it, because a caller that resubmits
+// before it receives the refusal asks for that start itself.
 func (checker *checker) checkRefusal(refused Refused) {
 	submitted := checker.submissions[refused.Submission]
 	decided := decidedAt(refused.Decided, refused.Time)
--- a/checker/event.go
+++ b/checker/event.go
@@ -45,8 +45,8 @@
 	Tasks  []string
 }
 
-// FailedAnswer is the receipt of a failed answer by the caller. NotStarted holds the tasks that the answer says have not
-// started, Results those for which it carries results.
+// FailedAnswer is the receipt of a failed answer by the caller. NotStarted holds the tasks that the answer says have
+// not started, Results those for which it carries results.
 type FailedAnswer struct {
 	At
 	Submission int64
--- a/cmd/hyssoplift-capacity/main.go
+++ b/cmd/hyssoplift-capacity/main.go
@@ -19,7 +19,8 @@
 	}
 }
 
-// run reads benchmark output from the file named in args, or from stdin if there is none, and writes the page to stdout.
+// run reads benchmark output from the file named in args, or from stdin if there is none, and writes the page to
+// stdout.
 func run(args []string, stdin io.Reader, stdout io.Writer) error {
 	set := flag.NewFlagSet("hyssoplift-capacity", flag.ContinueOnError)
 	if err := set.Parse(args); err != nil {
--- a/cmd/hyssoplift/main_test.go
+++ b/cmd/hyssoplift/main_test.go
@@ -149,8 +149,8 @@
 	return strings.TrimSpace(string(output))
 }
 
-// publish signs a bundle with two new keys and publishes it, with the subcommands that operators use. It returns the value
-// of bundle-keys with the public keys.
+// publish signs a bundle with two new keys and publishes it, with the subcommands that operators use. It returns the
+// value of bundle-keys with the public keys.
 func publish(t *testing.T, folder, log, text string) string {
 	t.Helper()
 	work := t.TempDir()
--- a/cmd/hyssoplift/owner_test.go
+++ b/cmd/hyssoplift/owner_test.go
@@ -17,8 +17,8 @@
 	"github.com/hyssoplift/hyssoplift/submitter"
 )
 
-// Guards against a second start of a task when the slice owner of running jobs is killed, or is paused and resumed, while
-// the callers resubmit the jobs through other instances.
+// Guards against a second start of a task when the slice owner of running jobs is killed, or is paused and resumed,
+// while the callers resubmit the jobs through other instances.
 func TestNothingStartsTwiceWhenAnOwnerFails(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -97,8 +97,8 @@
 	outcomes.byEcho[echo] = last
 }
 
-// checkStarts compares the outcomes that the callers received with the number of starts at the runner: one for a complete
-// job, none for a refused job, and never more than one.
+// checkStarts compares the outcomes that the callers received with the number of starts at the runner: one for a
+// complete job, none for a refused job, and never more than one.
 func (outcomes *outcomes) checkStarts(t *testing.T, starts map[string]int) {
 	t.Helper()
 	counts := make(map[string]int)
--- a/commander/batch.go
+++ b/commander/batch.go
@@ -132,8 +132,8 @@
 	tally.add(line.number, key, outcome, err)
 }
 
-// add counts one answer and prints it. Without --json, complete answers are counted but not printed. A non-nil err means
-// that the outcome is unknown.
+// add counts one answer and prints it. Without --json, complete answers are counted but not printed. A non-nil err
+// means that the outcome is unknown.
 func (tally *tally) add(line int, key string, outcome dispatcher.Outcome, err error) {
 	if err != nil {
 		outcome = dispatcher.NewUnknown(err.Error())
@@ -157,8 +157,8 @@
 	}
 	switch {
 	case tally.asJSON:
-		// Encoding cannot fail, because the results in the answer were decoded from JSON. A write error is ignored: writing
-		// to a closed pipe on standard output ends the process.
+		// Encoding cannot fail, because the results in the answer were decoded from JSON. A write error is ignored:
+		// writing to a closed pipe on standard output ends the process.
 		_ = json.NewEncoder(tally.stdout).Encode(lineAnswer{Line: line, Answer: answer})
 	case answer.Outcome != "complete" && key == "":
 		fmt.Fprintf(tally.stdout, "line %d: %s: %s\n", line, answer.Outcome, answer.Detail)
--- a/commander/bundle_test.go
+++ b/commander/bundle_test.go
@@ -90,8 +90,8 @@
 	return strings.Count(history, "\n")
 }
 
-// Guards against a publication that is lost, appended twice or reported with the wrong outcome when the append fails, its
-// answer is lost, its connection hangs, or another bundle is published first.
+// Guards against a publication that is lost, appended twice or reported with the wrong outcome when the append fails,
+// its answer is lost, its connection hangs, or another bundle is published first.
 func TestPublish(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -142,7 +142,7 @@
 			test.fault(fixture)
 			output, err := fixture.runWithLog("publish", file)
 			is.Equal(err != nil, test.wantErr)
-			is.True(strings.Contains(output+fmt.Sprint(err), test.want)) // the operator sees the outcome
+			is.True(strings.Contains(output+fmt.Sprint(err), test.want)) // the output shows the outcome
 			fixture.log.SetFault(emulator.LogHealthy)
 			is.Equal(fixture.recordCount(), test.records)
 			if !test.wantErr {
@@ -155,8 +155,8 @@
 	}
 }
 
-// Guards against publishing a bundle that one operator signed as both author and approver, or that was changed after its
-// approval.
+// Guards against publishing a bundle that one operator signed as both author and approver, or that was changed after
+// its approval.
 func TestSignatures(t *testing.T) {
 	is := is.New(t)
 	fixture := newBundleFixture(t)
@@ -175,8 +175,8 @@
 	is.Equal(fixture.recordCount(), 0)
 }
 
-// Guards against publishing a common bundle without the targets of a split failure domain before the domain's part, which
-// has them, is in force.
+// Guards against publishing a common bundle without the targets of a split failure domain before the domain's part,
+// which has them, is in force.
 func TestPublishSplit(t *testing.T) {
 	is := is.New(t)
 	fixture := newBundleFixture(t)
--- a/commander/explain.go
+++ b/commander/explain.go
@@ -42,8 +42,8 @@
 	fields map[string]any
 }
 
-// explain prints the log lines whose job or task field names the job or one of its tasks. Text before the JSON object of
-// a line, such as the name of the instance that wrote it, is printed too.
+// explain prints the log lines whose job or task field names the job or one of its tasks. Text before the JSON object
+// of a line, such as the name of the instance that wrote it, is printed too.
 func explain(job string, logs io.Reader, output io.Writer) error {
 	var entries []logEntry
 	scanner := bufio.NewScanner(logs)
--- a/commander/publish.go
+++ b/commander/publish.go
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// checkLint returns the first lint finding that is an error, including conflicts between the common part and the parts of
-// split failure domains.
+// checkLint returns the first lint finding that is an error, including conflicts between the common part and the parts
+// of split failure domains.
 func (flags *bundleFlags) checkLint(ctx context.Context, bundle *bundler.Bundle) error {
 	findings, err := flags.findings(ctx, bundle)
 	if err != nil {
@@ -110,8 +110,8 @@
 	return err
 }
 
-// readOnce reads one page of the log into partBundler. It returns the events of the page and whether the page reached the
-// end of the log.
+// readOnce reads one page of the log into partBundler. It returns the events of the page and whether the page reached
+// the end of the log.
 func readOnce(ctx context.Context, log *appender.Appender, partBundler *bundler.Bundler, wait time.Duration) ([]bundler.Event, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
--- a/commander/quickstart.go
+++ b/commander/quickstart.go
@@ -97,7 +97,8 @@
 	return instance.Shutdown(ctx, time.Now())
 }
 
-// signDemo signs text with two new keys. It returns the encoded record and the value of bundle-keys with both public keys.
+// signDemo signs text with two new keys. It returns the encoded record and the value of bundle-keys with both public
+// keys.
 func signDemo(text string) ([]byte, string, error) {
 	authorPublic, authorKey, err := ed25519.GenerateKey(nil)
 	if err != nil {
--- a/emulator/log.go
+++ b/emulator/log.go
@@ -195,8 +195,8 @@
 	writer.WriteHeader(http.StatusNoContent)
 }
 
-// applyFault rejects the request if the log is down and delays it if the log is slow. It returns the fault, and false if
-// the request must not be handled further.
+// applyFault rejects the request if the log is down and delays it if the log is slow. It returns the fault, and false
+// if the request must not be handled further.
 func (log *Log) applyFault(writer http.ResponseWriter, request *http.Request) (LogFault, bool) {
 	log.mu.Lock()
 	fault := log.fault
--- a/encoder/answer.go
+++ b/encoder/answer.go
@@ -23,8 +23,8 @@
 // problemTypePrefix is the prefix of the type of a problem document; the reason of a refusal or the outcome follows.
 const problemTypePrefix = "urn:hyssoplift:problem:"
 
-// Answer is the JSON body of an answer: a complete answer or a problem document. NotRun means that no task of the job has
-// started or will start.
+// Answer is the JSON body of an answer: a complete answer or a problem document. NotRun means that no task of the job
+// has started or will start.
 type Answer struct {
 	Type    string                  `json:"type,omitempty"`
 	Title   string                  `json:"title,omitempty"`
--- a/estimator/model.go
+++ b/estimator/model.go
@@ -202,8 +202,8 @@
 			bottleneck: "size of the minute records", nextMechanism: "fewer series per instance: callers of one team on few instances",
 		},
 		{
-			// Averages over all hours. At its append time (reporter.SumAppendTime) an instance reads the records of a whole
-			// hour, within sumTimeout of package accountant.
+			// Averages over all hours. At its append time (reporter.SumAppendTime) an instance reads the records of a
+			// whole hour, within sumTimeout of package accountant.
 			role: roleBurn, function: "hourly sums: read them, append them at the own turn", control: true, driver: bySeries, limits: budget,
 			memory:   []term{measuredTerm("reporter.Summer", "series", "held-B", scale.seriesPerInstance, 1)},
 			messages: []term{constantTerm(2.0 / secondsPerHour)},
@@ -236,8 +236,8 @@
 			memory:   []term{measuredTerm("reporter.Add", "series", "held-B", scale.seriesPerInstance, 1)},
 			messages: []term{constantTerm(unsummedRecords / maxPageRecords / 60), constantTerm(hourlySumsRead / 60)},
 			cpu: []term{
-				// The benchmark reads three days of sums and the minute records of benchInstances instances. The second term
-				// adds the minute records of all instances since the last sum.
+				// The benchmark reads three days of sums and the minute records of benchInstances instances. The second
+				// term adds the minute records of all instances since the last sum.
 				socketCPUTerm("accountant.Read/sums", "series", scale.seriesPerInstance, 1.0/60),
 				socketCPUTerm("accountant.Follow", "series", scale.seriesPerInstance, unsummedRecords/benchInstances/60),
 			},
@@ -271,7 +271,8 @@
 		},
 		{
 			role: rolePlatform, function: "log: reads by instances", driver: byTargets, limits: limits{wire: scale.networkBytes},
-			// Three long polls of five seconds per instance (views, common part, own part), and one response per new record.
+			// Three long polls of five seconds per instance (views, common part, own part), and one response per new
+			// record.
 			messages: []term{constantTerm(instances * (3.0/5 + bundlesPerSecond/scale.domains + scale.viewRate()))},
 			wire: []term{
 				scale.partRecord(bundlesPerSecond * scale.instancesPerDomain * base64Growth),
--- a/estimator/page.go
+++ b/estimator/page.go
@@ -31,8 +31,8 @@
 	return eris.Wrap(err, "writing the capacity page")
 }
 
-// writeFindings lists the rows that exceed a limit below the target scale, the memory for held answers, the total of the
-// control work and the missing benchmarks. It comes first on the page, so that shortfalls are seen first.
+// writeFindings lists the rows that exceed a limit below the target scale, the memory for held answers, the total of
+// the control work and the missing benchmarks. It comes first on the page, so that shortfalls are seen first.
 func (estimate *Estimate) writeFindings(page *page) {
 	page.linef("Where the design does not reach the target scale (section 1 of [design.md](design.md)):\n")
 	found := false
--- a/estimator/row.go
+++ b/estimator/row.go
@@ -39,7 +39,7 @@
 // constantTerm returns a term that depends on no measurement.
 func constantTerm(value float64) term { return term{multiplier: value} }
 
-// Grade tells how well measurements support a quantity.
+// Grade rates how well measurements support a quantity.
 type Grade int
 
 // Grades from best to worst; a sum has the worst grade of its terms.
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -25,7 +25,8 @@
 type Source interface {
 	// Newest returns the newest record of each key, and the offset from which to continue reading.
 	Newest(ctx context.Context, topic string) ([]Record, int64, error)
-	// Read returns the records starting at an offset, and the offset that follows them. It waits up to wait for a record.
+	// Read returns the records starting at an offset, and the offset that follows them. It waits up to wait for a
+	// record.
 	Read(ctx context.Context, topic string, from int64, wait time.Duration) ([]Record, int64, error)
 }
 
--- a/limiter/entry.go
+++ b/limiter/entry.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// unlimited stands for an absent limit or quota.
+	// unlimited represents an absent limit or quota.
 	unlimited = 1 << 30
 	// minRetryAfter keeps refused callers from retrying before a few tasks have had time to finish.
 	minRetryAfter = 100 * time.Millisecond
--- a/lister/lister.go
+++ b/lister/lister.go
@@ -19,7 +19,7 @@
 	requestTimeout = 3 * time.Second
 )
 
-// State is the state of an instance as seen by the platform.
+// State is the state of an instance as reported by the platform.
 type State string
 
 // States of a listed instance.
--- a/measurer/deployment.go
+++ b/measurer/deployment.go
@@ -51,7 +51,7 @@
 // speeds returns the speeds of count runners, spread evenly on a logarithmic scale and in random order.
 //
 // The even spread gives all failure domains nearly the same capacity per
-// runner, because the load balancer knows the numbers of runners, but not their
+// runner, because the load balancer uses the numbers of runners, but not their
 // speeds.
 func speeds(count int, random *rand.Rand) []float64 {
 	speeds := make([]float64, count)
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -71,7 +71,7 @@
 // Failed means that the task failed on its worker for a reason other than its resources.
 type Failed struct{}
 
-// NotStarted means that the task did not run, so that it says nothing about its resources or its worker.
+// NotStarted means that the task did not run, so that its resources and the state of its worker cannot be inferred.
 type NotStarted struct{}
 
 func (Done) isResult()              {}
--- a/reporter/answer.go
+++ b/reporter/answer.go
@@ -77,7 +77,7 @@
 	Team string `json:"team"`
 }
 
-// emptyName replaces an empty name, because an empty team in a report stands for the whole kind.
+// emptyName replaces an empty name, because an empty team in a report denotes the whole kind.
 const emptyName = "(none)"
 
 // withPlaceholders returns series with empty names replaced.
--- a/reporter/bench_test.go
+++ b/reporter/bench_test.go
@@ -54,7 +54,7 @@
 		}
 		i := 0
 		for b.Loop() {
-			// Every key is new: it is reused only after more than two retention periods, when it is forgotten.
+			// Every key is new: it is reused only after more than two retention periods, when it has been dropped.
 			at := testStart.Add(time.Duration(i/256) * 2 * time.Second)
 			reporter.Record(benchAnswer(names[i%len(names)], keys[i%len(keys)]), at)
 			i++
--- a/reporter/differential_test.go
+++ b/reporter/differential_test.go
@@ -113,7 +113,7 @@
 	instance := &naiveInstance{name: name, incarnation: fmt.Sprintf("%s#%d", name, simulation.serial), begin: minuteOf(simulation.now)}
 	instance.reporter = New(Config{
 		Domain: "local", Instance: name, Incarnation: instance.incarnation, Objectives: simulatedObjectives,
-		// Longer than any schedule, because naive remembers keys without limit and the reporter only for the retention
+		// Longer than any schedule, because naive keeps keys without limit and the reporter only for the retention
 		// period.
 		Retention: 365 * 24 * time.Hour, MaxKeys: 1 << 20, MaxSeries: 1024,
 	}, simulation.now)
--- a/reporter/doc.go
+++ b/reporter/doc.go
@@ -9,8 +9,8 @@
 // retention periods.
 //
 // An answer is counted separately, as unclaimed, if the owner was unreachable, if the outcome is not known yet, or if
-// there is no space left to remember the key. Unclaimed answers are not part of the burn rate, but a verdict is only ok
-// if it would still be ok with all of them counted as bad.
+// there is no space left to store the key. Unclaimed answers are not part of the burn rate, but a verdict is only ok if
+// it would still be ok with all of them counted as bad.
 //
 // Known inaccuracies:
 //   - A key that is resubmitted after its grant has expired counts again.
--- a/reporter/report.go
+++ b/reporter/report.go
@@ -15,9 +15,9 @@
 
 // Verdicts, in descending order of severity.
 const (
-	// Page means that the budget burns so fast that somebody must be called immediately.
+	// Page means that the budget burns so fast that an operator must be paged immediately.
 	Page Verdict = "page"
-	// Ticket means that the budget burns so fast that somebody must look at it in working hours.
+	// Ticket means that the budget burns so fast that an operator must investigate it in working hours.
 	Ticket Verdict = "ticket"
 	// Missing means that the verdict is ok from the known answers, but might not be with the missing or unclaimed ones.
 	Missing Verdict = "missing"
--- a/reporter/reporter.go
+++ b/reporter/reporter.go
@@ -19,10 +19,9 @@
 	Domain, Instance, Incarnation string
 	// Objectives holds the objective of each kind that has one.
 	Objectives map[string]Objective
-	// Retention is how long a key may be resubmitted; a granted or counted key is remembered for one to two such
-	// periods.
+	// Retention is how long a key may be resubmitted; a granted or counted key is kept for one to two such periods.
 	Retention time.Duration
-	// MaxKeys limits the keys that are remembered per retention period.
+	// MaxKeys limits the keys that are kept per retention period.
 	MaxKeys int
 	// MaxSeries limits the pairs of kind and team that are counted separately in one minute.
 	MaxSeries int
--- a/reporter/sum_test.go
+++ b/reporter/sum_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// appendSum appends the sum of the records that a builder has seen, which may be fewer than the log contains.
+// appendSum appends the sum of the records that a builder has read, which may be fewer than the log contains.
 func (simulation *sumSimulation) appendSum(simulatedBuilder *simulatedBuilder) {
 	simulation.readSums(simulatedBuilder.builder.Aggregator, &simulatedBuilder.next, &simulatedBuilder.nextSum)
 	if simulation.losesCoverage && simulation.IntN(5) == 0 {
@@ -169,7 +169,7 @@
 }
 
 // Guards against minutes that are lost, counted twice, or shown as covered without a record when reading sums. Causes
-// are a second sum of the same hour by a builder that had seen fewer records, late minutes, records and sums that are
+// are a second sum of the same hour by a builder that had read fewer records, late minutes, records and sums that are
 // appended twice, and damaged records.
 func TestSumsAgainstNaive(t *testing.T) {
 	used := 0
--- a/router/choose.go
+++ b/router/choose.go
@@ -135,7 +135,8 @@
 }
 
 // cheapest returns the candidate with the lowest cost. It compares all candidates if there are at most maxFullScan, and
-// otherwise only sample of them. If all that it compares are paused, it returns the first candidate that is not, or nil.
+// otherwise only sample of them. If all that it compares are paused, it returns the first candidate that is not, or
+// nil.
 func (router *Router) cheapest(candidates candidates, sample int, kindID int32, now int64, cost func(*Router, *target, int32, int64) float64) *target {
 	var cheapest *target
 	var lowest float64
--- a/router/target.go
+++ b/router/target.go
@@ -14,7 +14,7 @@
 	defaultRunTime = 200 * time.Millisecond
 )
 
-// state is the health of a target as seen by the router.
+// state is the health of a target as assessed by the router.
 type state uint8
 
 const (
@@ -81,9 +81,9 @@
 
 // slotsOf returns the number of target's slots that belong to the share.
 //
-// An offset derived from the FNV-1a hash of the target's name varies from target
-// to target which instances the fractions of slots are rounded up for, while the
-// shares of all instances still add up to the slots of the target.
+// Fractions of slots are rounded with an offset derived from the FNV-1a hash of
+// the target's name, so that they are rounded up for different instances from
+// target to target. The shares of all instances add up to the slots of the target.
 func (share Share) slotsOf(target Target) int32 {
 	hash := uint32(2166136261)
 	for i := range len(target.name) {
--- a/submitter/submitter.go
+++ b/submitter/submitter.go
@@ -148,8 +148,9 @@
 	return ""
 }
 
-// storePrefix replaces the stored prefix, since newer prefixes expire later. It ignores solo prefixes, which an instance
-// issues while it has no view or reaches no other member, because a job under one cannot move to another instance.
+// storePrefix replaces the stored prefix, since newer prefixes expire later. It ignores solo prefixes, which an
+// instance issues while it has no view or reaches no other member, because a job under one cannot move to another
+// instance.
 func (submitter *Submitter) storePrefix(prefix string) {
 	if prefix != "" && !strings.Contains(prefix, ".solo") {
 		submitter.prefix.Store(&prefix)
--- a/supervisor/registry.go
+++ b/supervisor/registry.go
@@ -136,7 +136,7 @@
 }
 
 // unregister deletes the record of this instance. If the store is unavailable, the record stays, and the other
-// instances notice from their closed links that this one is gone.
+// instances detect from their closed links that this one has ended.
 func (registry *peerRegistry) unregister(store *platform.Store, logger hclog.Logger) {
 	if err := registry.put(context.Background(), store, nil); err != nil {
 		logger.Warn("cannot delete instance record", "error", eris.ToString(err, false))
--- a/supervisor/supervisor.go
+++ b/supervisor/supervisor.go
@@ -40,13 +40,14 @@
 )
 
 var (
-	// configurationPolling detects an unresponsive connection early enough that a new version is in force within 2 s after
-	// the store has acknowledged it.
+	// configurationPolling detects an unresponsive connection early enough that a new version is in force within 2 s
+	// after the store has acknowledged it.
 	configurationPolling = follower.PollOptions{MaxWait: 700 * time.Millisecond, Interval: 10 * time.Millisecond, TimeoutMargin: 700 * time.Millisecond}
-	// targetPolling reads the frequent heartbeats of the targets in batches and notices a leaving target well within 2 s.
+	// targetPolling reads the frequent heartbeats of the targets in batches and detects a leaving target well
+	// within 2 s.
 	targetPolling = follower.PollOptions{Interval: 500 * time.Millisecond, TimeoutMargin: 800 * time.Millisecond}
-	// instancePolling reads the infrequent records of instances. After all instances were lost, they must find each other
-	// quickly.
+	// instancePolling reads the infrequent records of instances. After all instances were lost, they must
+	// discover each other quickly.
 	instancePolling = follower.PollOptions{MaxWait: 3 * time.Second, Interval: 50 * time.Millisecond, TimeoutMargin: 800 * time.Millisecond}
 )
 
@@ -54,7 +55,8 @@
 type Supervisor struct {
 	// settings are the settings in use. Only the goroutine of Run accesses them and the next two fields.
 	settings platform.Settings
-	// deferredSettings are the settings of the last reload that changed a setting which takes effect only after a restart.
+	// deferredSettings are the settings of the last reload that changed a setting which takes effect only after a
+	// restart.
 	deferredSettings platform.Settings
 	// settingsUnreadable means that the last attempt to read the settings file failed.
 	settingsUnreadable bool
@@ -210,7 +212,7 @@
 	supervisor.group.Go(func() { supervisor.peers.register(supervisor.ctx, supervisor.store, supervisor.logger) })
 }
 
-// applyConfiguration puts the configuration with the highest version in force. It never goes back to a lower version.
+// applyConfiguration puts the configuration with the highest version in force. It never reverts to a lower version.
 func (supervisor *Supervisor) applyConfiguration(update follower.Update) {
 	newest := supervisor.api.Configuration()
 	current := newest
@@ -258,9 +260,9 @@
 	supervisor.logger.Info("settings changed", "store", settings.StoreAddress, "grace-ms", settings.GraceMS)
 }
 
-// stop shuts the instance down without interrupting requests: it first fails the readiness checks so that the platform
-// sends no new connections, then shuts down the callers' server, which waits for open requests, and finally waits for
-// the jobs that are still running.
+// stop shuts the instance down without interrupting requests. It first fails the readiness checks, so that the platform
+// sends no new connections. It then shuts down the callers' server, which waits for open requests, and finally waits
+// for the jobs that are still running.
 func (supervisor *Supervisor) stop() {
 	began := time.Now()
 	end := began.Add(time.Duration(supervisor.settings.GraceMS)*time.Millisecond - exitReserve)
