--- a/keeper/answers.go
+++ b/keeper/answers.go
@@ -12,7 +12,7 @@
 	records []*record
 }
 
-// add takes in a record with its answer and evicts the oldest answers beyond the limit.
+// add adds a record with its answer and evicts the oldest answers beyond the limit.
 func (answerCache *answerCache) add(ended *record) {
 	size := answerBytes(ended.outcome)
 	if size == 0 {
--- a/keeper/attempt.go
+++ b/keeper/attempt.go
@@ -18,7 +18,8 @@
 // replicate starts an attempt: it asks a witness to store a record of this owner.
 func (shard *shard) replicate(key Key, submission Submission, stored *record, now time.Time, effects *effects) Decision {
 	if key.form == SoloKey || shard.isOnlyMember() {
-		// Only a cancellation gets here. No other instance can decide the key, so the cancellation is final at once.
+		// Only a cancellation reaches this point. No other instance can decide the key, so the cancellation is final at
+		// once.
 		stored.confirmed = true
 		return Answer{Outcome: cancelledOutcome()}
 	}
--- a/keeper/decision.go
+++ b/keeper/decision.go
@@ -101,7 +101,7 @@
 	Resubmit bool
 }
 
-// RefusalConfirmed means that the refusal is true and may be sent to the caller.
+// RefusalConfirmed means that the refusal is valid and may be sent to the caller.
 type RefusalConfirmed struct {
 	Key     string
 	Ticket  uint64
--- a/scheduler/model.go
+++ b/scheduler/model.go
@@ -259,7 +259,7 @@
 	Load Load
 }
 
-// Load is the load that a job met when it was admitted or refused.
+// Load is the load at the time when a job was admitted or refused.
 type Load struct {
 	// TasksAhead counts the waiting tasks of all instances with the same or a more urgent priority. FreeSlots is how
 	// many tasks of the job's resources could start at once; counting stops at TasksAhead plus the job's own tasks.
--- a/server/bundles.go
+++ b/server/bundles.go
@@ -75,7 +75,7 @@
 	server.applyEvents(bundles, bundles.ApplyPage(bundler.Page{Earliest: page.Earliest, Next: page.Next, Entries: entries}, time.Now()))
 }
 
-// applyEvents logs the verdicts on bundle records and puts a new bundle in force.
+// applyEvents logs the decisions on bundle records and puts a new bundle in force.
 func (server *Server) applyEvents(bundles *bundler.Bundler, events []bundler.Event) {
 	for _, event := range events {
 		server.logger.Info("bundle record read", "stream", bundles.Stream(), "offset", event.Offset,
--- a/server/drain.go
+++ b/server/drain.go
@@ -83,7 +83,7 @@
 }
 
 // Shutdown makes the instance not ready, keeps serving until serveUntil, waits for the requests and jobs in flight,
-// hands its slices over, and then returns. If ctx is done first, it returns an error that says what was left.
+// hands its slices over, and then returns. If ctx is done first, it returns an error that states what was unfinished.
 func (server *Server) Shutdown(ctx context.Context, serveUntil time.Time) error {
 	defer server.stop()
 	defer server.linker.Close()
--- a/supervisor/supervisor.go
+++ b/supervisor/supervisor.go
@@ -46,8 +46,8 @@
 	// targetPolling reads the frequent heartbeats of the targets in batches and detects a leaving target well
 	// within 2 s.
 	targetPolling = follower.PollOptions{Interval: 500 * time.Millisecond, TimeoutMargin: 800 * time.Millisecond}
-	// instancePolling reads the infrequent records of instances. After all instances were lost, they must
-	// discover each other quickly.
+	// instancePolling reads the infrequent records of instances. After all instances were lost, they must discover each
+	// other quickly.
 	instancePolling = follower.PollOptions{MaxWait: 3 * time.Second, Interval: 50 * time.Millisecond, TimeoutMargin: 800 * time.Millisecond}
 )
 
