--- a/keeper/attempt.go
+++ b/keeper/attempt.go
@@ -18,7 +18,8 @@
 // replicate starts an attempt: it asks a witness to store a record of this owner.
 func (shard *shard) replicate(key Key, submission Submission, stored *record, now time.Time, effects *effects) Decision {
 	if key.form == SoloKey || shard.isOnlyMember() {
-		// Only a cancellation gets here. No other instance can decide the key, so the cancellation is final at once.
+		// Only a cancellation reaches this point. No other instance can decide the key, so the cancellation is final at
+		// once.
 		stored.confirmed = true
 		return Answer{Outcome: cancelledOutcome()}
 	}
@@ -103,7 +104,7 @@
 	shard.failAttempt(attempt, detailNoWitness, false, effects)
 }
 
-// withdraw tells the witness to drop the record of a start that will not happen. A cancellation stays true, so its
+// withdraw asks the witness to drop the record of a start that will not happen. A cancellation remains valid, so its
 // copies may stay.
 func (shard *shard) withdraw(attempt *attempt, stored *record, effects *effects) {
 	if stored.state == StatePending {
