--- a/executor/executor.go
+++ b/executor/executor.go
@@ -30,7 +30,7 @@
 	// pauseThreshold is the gap between ticks that indicates that this process was paused.
 	pauseThreshold = 150 * time.Millisecond
 	// domainCheckInterval is how often failure domains are checked. domainTimeout is how long all instances of a domain
-	// must be silent for the domain to be unresponsive: more than one and a half heartbeats.
+	// must have sent nothing for the domain to be unresponsive: more than one and a half heartbeats.
 	domainCheckInterval = 20 * time.Millisecond
 	domainTimeout       = 200 * time.Millisecond
 	// startTimeout limits the wait for the answer to a start request: thirty round trips between failure domains, and
@@ -333,7 +333,7 @@
 	ctx, cancel := context.WithTimeout(executor.ctx, startTimeout)
 	defer cancel()
 	sent := executor.now()
-	result := executor.client.Start(ctx, start.On, start, start.Issued.Add(scheduler.LeaseDuration))
+	result := executor.client.Start(ctx, start.RunTarget, start, start.Issued.Add(scheduler.LeaseDuration))
 	now := executor.now()
 	executor.meter.recordStart(result, now.Sub(start.Arrived), now.Sub(sent))
 	executor.logStart(start, result, now.Sub(sent))
@@ -348,7 +348,7 @@
 	var err error
 	for range stopAttempts {
 		ctx, cancel := context.WithTimeout(executor.ctx, stopTimeout)
-		err = executor.client.Stop(ctx, stop.On, stop.Run)
+		err = executor.client.Stop(ctx, stop.RunTarget, stop.Run)
 		cancel()
 		if err == nil {
 			break
@@ -358,9 +358,9 @@
 	executor.logStop(stop, err)
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
-	executor.scheduler.HandleStopResult(stop.On.ID, stop.Run, err == nil, executor.now())
+	executor.scheduler.HandleStopResult(stop.RunTarget.ID, stop.Run, err == nil, executor.now())
 	executor.runActions()
-	executor.wake(stop.On.ID)
+	executor.wake(stop.RunTarget.ID)
 }
 
 // tick handles time-based events until the executor is closed.
@@ -380,7 +380,7 @@
 		executor.mu.Lock()
 		if now.Sub(lastTick) > pauseThreshold {
 			executor.logger.Warn("instance was paused", "for-ms", now.Sub(lastTick).Milliseconds())
-			executor.scheduler.NotePause(now)
+			executor.scheduler.RecordPause(now)
 			lastDomainCheck = now.Add(pauseThreshold)
 		}
 		lastTick = now
@@ -420,7 +420,7 @@
 // again. During a partition, starts would otherwise be sent to each target there until that target itself is found
 // unreachable. The caller holds the lock.
 func (executor *Executor) updateSuspendedDomains() {
-	for domain, unresponsive := range executor.peers.SilentDomains(domainTimeout) {
+	for domain, unresponsive := range executor.peers.UnresponsiveDomains(domainTimeout) {
 		if domain == executor.self.Domain || executor.unresponsive[domain] == unresponsive {
 			continue
 		}
--- a/executor/log.go
+++ b/executor/log.go
@@ -38,11 +38,11 @@
 
 func (executor *Executor) logStop(stop scheduler.StopRun, err error) {
 	if err != nil {
-		executor.logger.Warn("stop not answered", "task", stop.Run.Task, "attempt", stop.Run.Attempt, "target", stop.On.ID,
+		executor.logger.Warn("stop not answered", "task", stop.Run.Task, "attempt", stop.Run.Attempt, "target", stop.RunTarget.ID,
 			"reason", stop.Reason, "error", eris.ToString(err, false))
 		return
 	}
-	executor.logger.Info("run stopped", "task", stop.Run.Task, "attempt", stop.Run.Attempt, "target", stop.On.ID, "reason", stop.Reason)
+	executor.logger.Info("run stopped", "task", stop.Run.Task, "attempt", stop.Run.Attempt, "target", stop.RunTarget.ID, "reason", stop.Reason)
 }
 
 func (executor *Executor) logEnd(target string, end scheduler.End, owner string) {
--- a/executor/poller.go
+++ b/executor/poller.go
@@ -110,7 +110,7 @@
 	if state.Occupied && !state.Unreachable && !state.UnreachableByReader && poller.failures == 0 {
 		request.Lease = now.Add(scheduler.LeaseDuration)
 		executor.mu.Lock()
-		executor.scheduler.NoteRenewal(poller.id, now)
+		executor.scheduler.RecordLeaseRenewal(poller.id, now)
 		executor.mu.Unlock()
 	}
 	if executor.degraded(now) {
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -23,7 +23,7 @@
 	minBroadcastInterval = 4 * time.Millisecond
 	// heartbeatInterval is the maximum time between two messages to a peer.
 	heartbeatInterval = 120 * time.Millisecond
-	// PeerTimeout is how long an instance may be silent before it is considered lost: four heartbeats. Its runs are
+	// PeerTimeout is how long an instance may send nothing before it is considered lost: four heartbeats. Its runs are
 	// then stopped, well before a caller that it lost sends its job again.
 	PeerTimeout = 500 * time.Millisecond
 	// pauseThreshold is the delay of a heartbeat that indicates that this process was paused.
@@ -385,14 +385,14 @@
 	return update
 }
 
-// detectLostPeers finds the peers that have been silent for too long and reports them to the receiver.
+// detectLostPeers finds the peers that have sent nothing for PeerTimeout and reports them to the receiver.
 func (gossiper *Gossiper) detectLostPeers() {
 	now := gossiper.now()
 	var lost []string
 	links := gossiper.currentLinks()
 	gossiper.mu.Lock()
 	if now.Sub(gossiper.checkedAt) > heartbeatInterval+pauseThreshold {
-		// This process was paused, so the silence says nothing about the peers.
+		// This process was paused, so missing messages say nothing about the peers.
 		for _, peer := range gossiper.peers {
 			peer.lastHeard = now
 		}
@@ -458,22 +458,22 @@
 	}
 }
 
-// SilentDomains returns, for each failure domain with peers that are not leaving, whether all of them have been silent
-// for longer than duration. While both this instance and a peer delegate, the peer is left out.
-func (gossiper *Gossiper) SilentDomains(duration time.Duration) map[string]bool {
+// UnresponsiveDomains returns, for each failure domain with peers that are not leaving, whether all of them have sent
+// nothing for longer than duration. While both this instance and a peer delegate, the peer is left out.
+func (gossiper *Gossiper) UnresponsiveDomains(duration time.Duration) map[string]bool {
 	now := gossiper.now()
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	silent := make(map[string]bool)
+	unresponsive := make(map[string]bool)
 	for _, peer := range gossiper.peers {
 		if peer.leaving || peer.delegating && gossiper.delegating {
 			continue
 		}
-		silentPeer := now.Sub(peer.lastHeard) > duration
-		known, ok := silent[peer.hello.Domain]
-		silent[peer.hello.Domain] = silentPeer && (known || !ok)
+		peerUnresponsive := now.Sub(peer.lastHeard) > duration
+		known, ok := unresponsive[peer.hello.Domain]
+		unresponsive[peer.hello.Domain] = peerUnresponsive && (known || !ok)
 	}
-	return silent
+	return unresponsive
 }
 
 // Alive reports whether the instance is known and not considered lost.
--- a/gossiper/gossiper_test.go
+++ b/gossiper/gossiper_test.go
@@ -166,7 +166,7 @@
 }
 
 // A delegating instance with runs of its own must still receive reports. Without reports of renewed leases it would
-// consider its runs lost, as after a power loss in Thang Long grown trouble-1.
+// consider its runs lost, as in a load test with 37 instances after all of them had lost power.
 func TestBusyInstanceReceivesReports(t *testing.T) {
 	is := is.New(t)
 	large, _, _ := newTestGossiper(0.8)
@@ -182,8 +182,8 @@
 	is.Equal(len(reports), 0)
 }
 
-// A pause of this process must not make its peers count as lost, and a peer that falls silent must be detected.
-func TestSilenceIsNoticed(t *testing.T) {
+// A pause of this process must not make its peers count as lost, and a peer that sends nothing must be detected.
+func TestLostPeersAreDetected(t *testing.T) {
 	is := is.New(t)
 	gossiper, receiver, now := newTestGossiper(0.4)
 	gossiper.contact("peer", 0.4)
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -22,7 +22,7 @@
 	case StartUnanswered:
 		if target != nil {
 			target.heldUntil = now.Add(unansweredBackoff)
-			scheduler.emit(StopRun{On: target.Target, Run: run, Reason: "start was not answered"})
+			scheduler.emit(StopRun{RunTarget: target.Target, Run: run, Reason: "start was not answered"})
 		}
 		if current {
 			task.state = stopping
@@ -50,7 +50,7 @@
 		task.state = running
 	case target != nil && (task == nil || !task.latest(target.ID, run) || task.state == waiting):
 		// While the start request was in flight, the job was abandoned or the task put back into the queue.
-		scheduler.emit(StopRun{On: target.Target, Run: run, Reason: "run is no longer needed"})
+		scheduler.emit(StopRun{RunTarget: target.Target, Run: run, Reason: "run is no longer needed"})
 	}
 }
 
@@ -194,7 +194,7 @@
 	switch {
 	case end.Cause == Done && task.state != done:
 		if task.mayBeRunning() && !isActive {
-			scheduler.emit(StopRun{On: task.runTarget.Target, Run: task.run(), Reason: "an earlier run succeeded"})
+			scheduler.emit(StopRun{RunTarget: task.runTarget.Target, Run: task.run(), Reason: "an earlier run succeeded"})
 		}
 		scheduler.completeTask(task, now)
 	case !isActive && task.state == waiting && isLatest:
@@ -385,7 +385,7 @@
 // HandlePeerStop stops a run on behalf of an instance that cannot reach the target.
 func (scheduler *Scheduler) HandlePeerStop(targetID string, run Run) {
 	if target, ok := scheduler.targets[targetID]; ok {
-		scheduler.emit(StopRun{On: target.Target, Run: run, Reason: "requested by an instance that cannot reach the target"})
+		scheduler.emit(StopRun{RunTarget: target.Target, Run: run, Reason: "requested by an instance that cannot reach the target"})
 	}
 }
 
--- a/scheduler/lease_test.go
+++ b/scheduler/lease_test.go
@@ -134,7 +134,7 @@
 	is := is.New(t)
 	scheduler := newTestScheduler(2)
 	start := startOne(scheduler, testJob("j", 1, 900, 0))
-	scheduler.NoteRenewal(start.Target, at(400))
+	scheduler.RecordLeaseRenewal(start.Target, at(400))
 	scheduler.MarkUnreachable(start.Target)
 	leaseEnd := 400 + int((LeaseDuration+leaseMargin)/time.Millisecond)
 	restartedAt := 0
@@ -149,14 +149,14 @@
 }
 
 // After a pause, an instance has missed lease renewals and must not consider its runs lost right away.
-func TestPauseIsNoLoss(t *testing.T) {
+func TestRunsAreNotLostAfterPause(t *testing.T) {
 	is := is.New(t)
 	scheduler := newTestScheduler(2)
 	start := startOne(scheduler, testJob("j", 1, 900, 0))
-	scheduler.NotePause(at(1500))
+	scheduler.RecordPause(at(1500))
 	scheduler.Tick(at(1500))
 	is.Equal(len(drain(scheduler).starts), 0)
-	scheduler.NoteRenewal(start.Target, at(1510))
+	scheduler.RecordLeaseRenewal(start.Target, at(1510))
 	scheduler.Tick(at(1900))
 	is.Equal(len(drain(scheduler).starts), 0)
 }
@@ -175,7 +175,7 @@
 }
 
 // A lease must be assumed to last beyond the reader's last report: a reader that was cut off from the owner renewed the
-// lease and then terminated without stopping the run, and the owner started a second run (Chakra trouble-2, seed
+// lease and then terminated without stopping the run, and the owner started a second run (load test with faults, seed
 // 383704058273).
 func TestLeaseIsCountedPastTheLastReport(t *testing.T) {
 	is := is.New(t)
@@ -193,8 +193,8 @@
 }
 
 // A run that its target lists may continue for a whole lease from then on, since another instance may have renewed the
-// lease unnoticed. Otherwise a second run is started, as on small instances that received no renewal reports (Thang
-// Long grown trouble-1, run c19b69c3efe06f77.0.0.1 at 46.558 s).
+// lease unnoticed. Otherwise a second run is started, as on small instances that received no renewal reports (load test
+// with faults on 37 instances, run c19b69c3efe06f77.0.0.1 at 46.558 s).
 func TestListedRunKeepsItsLease(t *testing.T) {
 	is := is.New(t)
 	scheduler := New("self", "a")
@@ -292,7 +292,7 @@
 		scheduler.HandlePoll("t0", PollResult{Incarnation: 1, Running: []ActiveRun{active}, Sent: at(now), Answered: at(now)})
 		scheduler.StopOrphans("t0", func(string) bool { return true }, at(now))
 		for _, stop := range drain(scheduler).stops {
-			if stop.On.ID == "t0" {
+			if stop.RunTarget.ID == "t0" {
 				stopped = now
 			}
 		}
--- a/scheduler/model.go
+++ b/scheduler/model.go
@@ -225,9 +225,9 @@
 // StartTask asks to start a run on a target.
 type StartTask struct {
 	Claim
-	On   Target
-	Job  string
-	Body string
+	RunTarget Target
+	Job       string
+	Body      string
 	// Arrived is when the job arrived, and Issued when the start was decided; the requested lease counts from Issued.
 	Arrived time.Time
 	Issued  time.Time
@@ -241,9 +241,9 @@
 
 // StopRun asks to stop a run on a target.
 type StopRun struct {
-	On     Target
-	Run    Run
-	Reason string
+	RunTarget Target
+	Run       Run
+	Reason    string
 }
 
 // AnswerJob asks to send the outcome of a job to its callers.
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -168,7 +168,7 @@
 	}
 	scheduler.emit(StartTask{
 		Claim:           Claim{Target: runTarget.ID, Run: task.run(), Resources: step.Resources, Estimate: step.Estimate},
-		On:              runTarget.Target,
+		RunTarget:       runTarget.Target,
 		Job:             task.job.ID,
 		Body:            task.job.Body,
 		Arrived:         task.job.Arrived,
--- a/scheduler/place_test.go
+++ b/scheduler/place_test.go
@@ -101,7 +101,7 @@
 
 // Targets must stay usable for a while when their discovery entries disappear during an outage of the store, but not
 // for long.
-func TestTargetWithoutEntryIsUsedForAWhile(t *testing.T) {
+func TestTargetWithoutEntryStaysUsableForLimitedTime(t *testing.T) {
 	is := is.New(t)
 	scheduler := newTestScheduler(1)
 	scheduler.SetTargets(nil, at(100))
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -269,7 +269,7 @@
 	neverStarted := job.neverStarted()
 	for _, task := range job.tasks {
 		if task.mayBeRunning() {
-			scheduler.emit(StopRun{On: task.runTarget.Target, Run: task.run(), Reason: reason})
+			scheduler.emit(StopRun{RunTarget: task.runTarget.Target, Run: task.run(), Reason: reason})
 		}
 		delete(scheduler.tasks, task.name)
 	}
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -20,7 +20,7 @@
 //   - each job of a live instance is answered by its deadline;
 //   - no target runs more than it has capacity for.
 //
-// A naive variant starts a task elsewhere as soon as a request gets no answer; it shows that the checks can fail.
+// A naive version starts a task elsewhere as soon as a request gets no answer; it shows that the checks can fail.
 
 const (
 	simulatedInstances = 3
@@ -187,7 +187,7 @@
 			continue
 		}
 		if instance.pausedUntil != 0 {
-			instance.scheduler.NotePause(at(simulation.now))
+			instance.scheduler.RecordPause(at(simulation.now))
 			instance.pausedUntil = 0
 		}
 		instance.scheduler.Tick(at(simulation.now))
@@ -223,7 +223,7 @@
 			continue
 		}
 		if state.Occupied && !state.Unreachable {
-			instance.scheduler.NoteRenewal(target.id, at(simulation.now))
+			instance.scheduler.RecordLeaseRenewal(target.id, at(simulation.now))
 			target.leaseEnd = max(target.leaseEnd, simulation.now+1000)
 		}
 		poll := PollResult{Incarnation: 1, Sent: at(simulation.now - 1), Answered: at(simulation.now)}
@@ -317,9 +317,9 @@
 					scheduler.HandleStartResult(action.Target, action.Run, result, at(simulation.now))
 				})
 		case StopRun:
-			simulation.request(number, action.On.ID, func(target *simulatedTarget) StartResult { return simulation.stop(target, action.Run) },
+			simulation.request(number, action.RunTarget.ID, func(target *simulatedTarget) StartResult { return simulation.stop(target, action.Run) },
 				func(_ StartResult, answered bool) {
-					scheduler.HandleStopResult(action.On.ID, action.Run, answered, at(simulation.now))
+					scheduler.HandleStopResult(action.RunTarget.ID, action.Run, answered, at(simulation.now))
 				})
 		case RelayStop:
 			if reader := simulation.reader(simulation.index(action.Target)); reader >= 0 && reader != number {
@@ -461,7 +461,7 @@
 const simulationSeeds = 150
 
 // The properties listed above must hold under combined faults, in schedules drawn from seeds.
-func TestPromisesHoldInRandomSchedules(t *testing.T) {
+func TestPropertiesHoldInRandomSchedules(t *testing.T) {
 	complete := 0
 	for seed := range uint64(simulationSeeds) {
 		simulation := newSimulation(seed, false)
@@ -489,6 +489,6 @@
 		duplicateRuns += simulation.duplicateRuns
 	}
 	if duplicateRuns == 0 {
-		t.Error("the naive variant ran no task twice")
+		t.Error("the naive version ran no task twice")
 	}
 }
--- a/scheduler/target_test.go
+++ b/scheduler/target_test.go
@@ -59,7 +59,7 @@
 }
 
 // A job that always fails must not make its targets count as faulty.
-func TestHopelessJobDoesNotExcludeTargets(t *testing.T) {
+func TestAlwaysFailingJobDoesNotExcludeTargets(t *testing.T) {
 	is := is.New(t)
 	scheduler := newTestScheduler(3)
 	scheduler.Submit(testJob("bad", 2, 100, 0), at(0))
--- a/scheduler/tick.go
+++ b/scheduler/tick.go
@@ -17,8 +17,8 @@
 	scheduler.place(now)
 }
 
-// NotePause records that this instance was paused until now; messages about renewed leases may still be unread.
-func (scheduler *Scheduler) NotePause(now time.Time) {
+// RecordPause records that this instance was paused until now; messages about renewed leases may still be unread.
+func (scheduler *Scheduler) RecordPause(now time.Time) {
 	scheduler.lossDetectionFrom = now.Add(pauseGrace)
 }
 
@@ -40,8 +40,8 @@
 	}
 }
 
-// NoteRenewal records that a request that renews a target's lease is about to be sent.
-func (scheduler *Scheduler) NoteRenewal(targetID string, now time.Time) {
+// RecordLeaseRenewal records that a request that renews a target's lease is about to be sent.
+func (scheduler *Scheduler) RecordLeaseRenewal(targetID string, now time.Time) {
 	if target, ok := scheduler.targets[targetID]; ok {
 		target.extendLease(now)
 	}
@@ -132,7 +132,7 @@
 			// The run takes at least this long. A target that is six times too slow ends too few runs to learn its
 			// speed from them alone.
 			task.runTarget.speed.add(float64(task.spec().Estimate)/float64(now.Sub(task.startedAt)), stragglerWeight)
-			scheduler.emit(StopRun{On: task.runTarget.Target, Run: task.run(), Reason: "run is a straggler"})
+			scheduler.emit(StopRun{RunTarget: task.runTarget.Target, Run: task.run(), Reason: "run is a straggler"})
 		}
 	}
 }
@@ -182,7 +182,7 @@
 			continue
 		}
 		allocation.stopRequestedAt = now
-		scheduler.emit(StopRun{On: target.Target, Run: run, Reason: "the run's instance is lost or has abandoned it"})
+		scheduler.emit(StopRun{RunTarget: target.Target, Run: run, Reason: "the run's instance is lost or has abandoned it"})
 	}
 }
 
