--- a/bundler/fold_test.go
+++ b/bundler/fold_test.go
@@ -186,7 +186,7 @@
 }
 
 // Guards against a request that sees two bundles because a new bundle in force changes the snapshot that it holds.
-func TestSnapshotOutlivesSwitch(t *testing.T) {
+func TestSnapshotIsUnchangedByNewBundle(t *testing.T) {
 	is := is.New(t)
 	bundler := New(testKeys)
 	bundler.ApplyPage(page(0, v1), start)
@@ -201,7 +201,7 @@
 
 // Guards against time windows in which no instance renews, all instances renew, or the bundle is not renewed because the
 // first instance failed.
-func TestRenewalTurns(t *testing.T) {
+func TestOneInstanceRenewsFirst(t *testing.T) {
 	is := is.New(t)
 	names := []string{"a", "b", "c", "d", "e", "f"}
 	windowLength := 60 * time.Second / renewalWindowsPerRetention
--- a/cmd/hyssoplift/restart_test.go
+++ b/cmd/hyssoplift/restart_test.go
@@ -85,7 +85,7 @@
 }
 
 // Guards against a planned stop that interrupts a request: all instances are restarted one after the other under load.
-func TestRollingRestartCutsNothing(t *testing.T) {
+func TestRollingRestartInterruptsNoRequest(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	cluster := newCluster(t)
@@ -127,7 +127,7 @@
 }
 
 // Guards against a stop that hangs because a task does not end, or that exits without logging the jobs it abandons.
-func TestSecondSignalSaysWhatWasLeft(t *testing.T) {
+func TestSecondSignalLogsAbandonedJobs(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	folder := buildCommands(t)
--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -53,7 +53,7 @@
 }
 
 // Guards against missed records after a failed read, a connection that stops responding, or a trimmed topic.
-func TestFollowKeepsUp(t *testing.T) {
+func TestFollowMissesNoRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		scriptedSource := &scriptedSource{responses: []func(context.Context) ([]Record, int64, error){
--- a/keeper/directed_test.go
+++ b/keeper/directed_test.go
@@ -183,9 +183,9 @@
 	return simulation
 }
 
-// TestDirected guards against each single fault of the fault model. In every case the naive version violates a guarantee,
+// TestSingleFaults guards against each single fault of the fault model. In every case the naive version violates a guarantee,
 // and the keeper none.
-func TestDirected(t *testing.T) {
+func TestSingleFaults(t *testing.T) {
 	for _, directed := range directedCases() {
 		t.Run(directed.name, func(t *testing.T) {
 			is := is.New(t)
@@ -201,9 +201,9 @@
 	}
 }
 
-// TestUndisturbed guards against a protocol that is safe only because it answers unknown: without faults, every
+// TestWithoutFaults guards against a protocol that is safe only because it answers unknown: without faults, every
 // submission and resubmission gets its complete answer.
-func TestUndisturbed(t *testing.T) {
+func TestWithoutFaults(t *testing.T) {
 	is := is.New(t)
 	simulation := newSimulation(11, false, 3)
 	simulation.noFalseSuspicions = true
--- a/keeper/protocol_test.go
+++ b/keeper/protocol_test.go
@@ -143,8 +143,8 @@
 	is.True(len(outgoing) > 0) // the deferred request is answered
 }
 
-// TestChain guards against readers of the log that disagree on which views are valid.
-func TestChain(t *testing.T) {
+// TestReadersAgreeOnViews guards against readers of the log that disagree on which views are valid.
+func TestReadersAgreeOnViews(t *testing.T) {
 	members := benchMembers(3)
 	type entry struct {
 		offset int64
--- a/recorder/recorder_test.go
+++ b/recorder/recorder_test.go
@@ -27,7 +27,7 @@
 }
 
 // Guards against Write blocking on a slow log reader, and against lines dropped without a report in the log.
-func TestFullQueueDropsAndTells(t *testing.T) {
+func TestFullQueueDropsAndReportsLines(t *testing.T) {
 	is := is.New(t)
 	output := &blockedWriter{writeStarted: make(chan struct{}), unblock: make(chan struct{})}
 	asyncWriter := New(output)
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -316,7 +316,7 @@
 
 // Guards against targets that attract tasks by failing fast, that hold tasks by not answering or being slow, or that
 // stay ejected after the fault.
-func TestOutliersGetLessAndReturn(t *testing.T) {
+func TestFaultyTargetsAreEjectedAndRestored(t *testing.T) {
 	is := is.New(t)
 	for _, fault := range []faultBehavior{
 		{"fails at once", time.Millisecond, Failed{}},
@@ -335,7 +335,7 @@
 }
 
 // Guards against an instance that ejects its targets although the tasks themselves are at fault.
-func TestBadKindEjectsFew(t *testing.T) {
+func TestFailingKindEjectsFewTargets(t *testing.T) {
 	is := is.New(t)
 	router, now := New(Config{Seed: 1}), time.Unix(1000, 0)
 	router.Update(snapshot(20, 4), now)
--- a/server/bundles_test.go
+++ b/server/bundles_test.go
@@ -60,7 +60,7 @@
 }
 
 // Guards against a new bundle that aborts or changes a request in flight.
-func TestSwitchInFlight(t *testing.T) {
+func TestNewBundleKeepsRequestsInFlight(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
