--- a/server/dispatch.go
+++ b/server/dispatch.go
@@ -133,7 +133,7 @@
 // done first.
 func (server *Server) awaitTarget(ctx context.Context, kind string, taskGrant *taskGrant) bool {
 	for ctx.Err() == nil {
-		chosen, ok := server.scheduler.snapshot.Load().pick(kind, time.Now())
+		chosen, ok := server.scheduler.currentRoutingTable.Load().pick(kind, time.Now())
 		if ok {
 			taskGrant.place = chosen
 			return true
--- a/server/decider.go
+++ b/server/keeper_driver.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// deciderShards is the number of locks over which the waiting requests are distributed.
-	deciderShards = 64
+	// waiterShards is the number of locks over which the waiting requests are distributed.
+	waiterShards = 64
 	// expireInterval is the resolution of the keeper's timeouts.
 	expireInterval = 5 * time.Millisecond
 	// decisionGrace is how long past its deadline a job waits for a pending decision.
@@ -33,28 +33,29 @@
 	event  chan keeper.Event
 }
 
-// deciderShard holds the waiting requests of some keys. Its lock is held from the keeper's decision until the waiter is
+// waiterShard holds the waiting requests of some keys. Its lock is held from the keeper's decision until the waiter is
 // registered, so that no event is missed in between.
-type deciderShard struct {
+type waiterShard struct {
 	mu      sync.Mutex
 	tickets map[uint64]*waiter
 	keys    map[string][]*waiter
 }
 
-// decider passes messages between the keeper and the links, and the keeper's events to the requests that wait for them.
-type decider struct {
+// keeperDriver triggers the keeper's timeouts, passes messages between the keeper and the links, and passes the keeper's
+// events to the requests that wait for them.
+type keeperDriver struct {
 	keeper *keeper.Keeper
 	linker *linker.Linker
 	logger hclog.Logger
 	seed   maphash.Seed
-	shards [deciderShards]*deciderShard
+	shards [waiterShards]*waiterShard
 }
 
-// newDecider returns a decider that triggers the keeper's timeouts until ctx is done.
-func newDecider(ctx context.Context, jobKeeper *keeper.Keeper, peerLinker *linker.Linker, logger hclog.Logger) *decider {
-	decider := &decider{keeper: jobKeeper, linker: peerLinker, logger: logger, seed: maphash.MakeSeed()}
-	for i := range decider.shards {
-		decider.shards[i] = &deciderShard{tickets: make(map[uint64]*waiter), keys: make(map[string][]*waiter)}
+// newKeeperDriver returns a keeperDriver that triggers the keeper's timeouts until ctx is done.
+func newKeeperDriver(ctx context.Context, jobKeeper *keeper.Keeper, peerLinker *linker.Linker, logger hclog.Logger) *keeperDriver {
+	keeperDriver := &keeperDriver{keeper: jobKeeper, linker: peerLinker, logger: logger, seed: maphash.MakeSeed()}
+	for i := range keeperDriver.shards {
+		keeperDriver.shards[i] = &waiterShard{tickets: make(map[uint64]*waiter), keys: make(map[string][]*waiter)}
 	}
 	go func() {
 		ticker := time.NewTicker(expireInterval)
@@ -64,20 +65,20 @@
 			case <-ctx.Done():
 				return
 			case now := <-ticker.C:
-				decider.apply(decider.keeper.HandleDeadlines(now))
+				keeperDriver.apply(keeperDriver.keeper.HandleDeadlines(now))
 			}
 		}
 	}()
-	return decider
+	return keeperDriver
 }
 
-func (decider *decider) shard(key string) *deciderShard {
-	return decider.shards[maphash.String(decider.seed, key)%deciderShards]
+func (keeperDriver *keeperDriver) shard(key string) *waiterShard {
+	return keeperDriver.shards[maphash.String(keeperDriver.seed, key)%waiterShards]
 }
 
 // decide calls the keeper, registers a waiter if an event will follow the decision, and sends the keeper's messages.
-func (decider *decider) decide(key string, call func() (keeper.Decision, []keeper.Outgoing)) (keeper.Decision, *waiter) {
-	shard := decider.shard(key)
+func (keeperDriver *keeperDriver) decide(key string, call func() (keeper.Decision, []keeper.Outgoing)) (keeper.Decision, *waiter) {
+	shard := keeperDriver.shard(key)
 	shard.mu.Lock()
 	decision, outgoing := call()
 	waiter := newWaiter(key, decision)
@@ -85,7 +86,7 @@
 		shard.add(waiter)
 	}
 	shard.mu.Unlock()
-	decider.send(outgoing)
+	keeperDriver.send(outgoing)
 	return decision, waiter
 }
 
@@ -105,7 +106,7 @@
 	return waiter
 }
 
-func (shard *deciderShard) add(waiter *waiter) {
+func (shard *waiterShard) add(waiter *waiter) {
 	if waiter.ticket != 0 {
 		shard.tickets[waiter.ticket] = waiter
 	}
@@ -114,7 +115,7 @@
 	}
 }
 
-func (shard *deciderShard) remove(removed *waiter) {
+func (shard *waiterShard) remove(removed *waiter) {
 	delete(shard.tickets, removed.ticket)
 	if !removed.joined {
 		return
@@ -128,7 +129,7 @@
 }
 
 // wait returns the event for waiter, or false if none arrives until decisionGrace after the deadline.
-func (decider *decider) wait(waiter *waiter, deadline time.Time) (keeper.Event, bool) {
+func (keeperDriver *keeperDriver) wait(waiter *waiter, deadline time.Time) (keeper.Event, bool) {
 	timer := time.NewTimer(time.Until(deadline.Add(decisionGrace)))
 	defer timer.Stop()
 	select {
@@ -136,7 +137,7 @@
 		return event, true
 	case <-timer.C:
 	}
-	shard := decider.shard(waiter.key)
+	shard := keeperDriver.shard(waiter.key)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	shard.remove(waiter)
@@ -150,69 +151,69 @@
 
 // cancelWait removes a waiter whose event is not needed. It must not be used for a waiter that may be granted the start
 // of a job.
-func (decider *decider) cancelWait(waiter *waiter) {
-	shard := decider.shard(waiter.key)
+func (keeperDriver *keeperDriver) cancelWait(waiter *waiter) {
+	shard := keeperDriver.shard(waiter.key)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	shard.remove(waiter)
 }
 
 // receive passes a peer's message to the keeper.
-func (decider *decider) receive(from string, message keeper.Message) {
-	decider.apply(decider.keeper.Receive(from, message, time.Now()))
+func (keeperDriver *keeperDriver) receive(from string, message keeper.Message) {
+	keeperDriver.apply(keeperDriver.keeper.Receive(from, message, time.Now()))
 }
 
 // finish stores the outcome of a job whose start was granted.
-func (decider *decider) finish(key string, outcome dispatcher.Outcome) {
-	decider.apply(decider.keeper.Finish(key, outcome, time.Now()))
+func (keeperDriver *keeperDriver) finish(key string, outcome dispatcher.Outcome) {
+	keeperDriver.apply(keeperDriver.keeper.Finish(key, outcome, time.Now()))
 }
 
 // apply sends messages and delivers events to their waiters.
-func (decider *decider) apply(events []keeper.Event, outgoing []keeper.Outgoing) {
-	decider.send(outgoing)
+func (keeperDriver *keeperDriver) apply(events []keeper.Event, outgoing []keeper.Outgoing) {
+	keeperDriver.send(outgoing)
 	for _, event := range events {
-		decider.deliver(event)
+		keeperDriver.deliver(event)
 	}
 }
 
-func (decider *decider) send(outgoing []keeper.Outgoing) {
+func (keeperDriver *keeperDriver) send(outgoing []keeper.Outgoing) {
 	for _, out := range outgoing {
 		// The keeper retransmits what is required, so a message that cannot be sent is treated as lost.
-		if err := decider.linker.Send(out.To.Incarnation, linker.KeeperMessage{Message: out.Message}); err != nil {
-			decider.logger.Debug("message to peer keeper not sent", "peer", out.To.Name, "error", eris.ToString(err, false))
+		if err := keeperDriver.linker.Send(out.To.Incarnation, linker.KeeperMessage{Message: out.Message}); err != nil {
+			keeperDriver.logger.Debug("message to peer keeper not sent", "peer", out.To.Name, "error", eris.ToString(err, false))
 		}
 	}
 }
 
 // deliver passes event to the requests that wait for it.
-func (decider *decider) deliver(event keeper.Event) {
+func (keeperDriver *keeperDriver) deliver(event keeper.Event) {
 	switch event := event.(type) {
 	case keeper.StartGranted:
-		if !decider.notify(event.Key, event.Ticket, event) {
+		if !keeperDriver.notify(event.Key, event.Ticket, event) {
 			// The request gave up before the acknowledgement. The start record says that the job started, so it has to
 			// be finished here.
-			decider.finish(event.Key, dispatcher.NewFailed("the start record was acknowledged too late, nothing was started", nil))
+			keeperDriver.finish(event.Key, dispatcher.NewFailed("the start record was acknowledged too late, nothing was started", nil))
 		}
 	case keeper.AttemptFailed:
-		decider.notify(event.Key, event.Ticket, event)
+		keeperDriver.notify(event.Key, event.Ticket, event)
 	case keeper.RefusalConfirmed:
-		decider.notify(event.Key, event.Ticket, event)
+		keeperDriver.notify(event.Key, event.Ticket, event)
 	case keeper.RefusalUnconfirmed:
-		decider.notify(event.Key, event.Ticket, event)
+		keeperDriver.notify(event.Key, event.Ticket, event)
 	case keeper.CancelConfirmed:
-		decider.notify(event.Key, event.Ticket, event)
+		keeperDriver.notify(event.Key, event.Ticket, event)
 	case keeper.RefusalSuperseded:
-		decider.notify(event.Key, event.Ticket, event)
+		keeperDriver.notify(event.Key, event.Ticket, event)
 	case keeper.OutcomeKnown:
-		decider.notifyAll(event)
+		keeperDriver.notifyAll(event)
 	default:
 		panic(eris.Errorf("unexpected event type %T", event))
 	}
 }
 
 // notify delivers event to the waiter with the ticket and reports whether there was one.
-func (decider *decider) notify(key string, ticket uint64, event keeper.Event) bool {
-	shard := decider.shard(key)
+func (keeperDriver *keeperDriver) notify(key string, ticket uint64, event keeper.Event) bool {
+	shard := keeperDriver.shard(key)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	waiter := shard.tickets[ticket]
@@ -225,8 +226,8 @@
 }
 
 // notifyAll delivers the outcome of a job to every request that waits for it.
-func (decider *decider) notifyAll(event keeper.OutcomeKnown) {
-	shard := decider.shard(event.Key)
+func (keeperDriver *keeperDriver) notifyAll(event keeper.OutcomeKnown) {
+	shard := keeperDriver.shard(event.Key)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	for _, waiter := range slices.Clone(shard.keys[event.Key]) {
--- a/server/links.go
+++ b/server/links.go
@@ -13,7 +13,7 @@
 		server.membership.handleHeartbeat(from, message)
 	case linker.KeeperMessage:
 		if from.Domain == server.domain() {
-			server.decider.receive(from.Incarnation, message.Message)
+			server.keeperDriver.receive(from.Incarnation, message.Message)
 		}
 	case linker.Forward:
 		go func() { server.serveForward(from, message) }()
--- a/server/lookup.go
+++ b/server/lookup.go
@@ -84,7 +84,7 @@
 		return stateAnswered, decision.Outcome
 	case keeper.AwaitWitness, keeper.AwaitConfirmation:
 		deadline, _ := ctx.Deadline()
-		event, ok := server.decider.wait(waiter, deadline.Add(-decisionGrace))
+		event, ok := server.keeperDriver.wait(waiter, deadline.Add(-decisionGrace))
 		if outcome := eventOutcome(event, ok); outcome != nil {
 			return stateAnswered, outcome
 		}
@@ -160,7 +160,7 @@
 	var err error
 	decision := server.homeDecision(key, forwarded || foreign)
 	for retryUntil := time.Now().Add(undecidedTimeout); decision == nil; {
-		decision, waiter = server.decider.decide(key, func() (keeper.Decision, []keeper.Outgoing) {
+		decision, waiter = server.keeperDriver.decide(key, func() (keeper.Decision, []keeper.Outgoing) {
 			return server.keeper.Cancel(key, forwarded, time.Now())
 		})
 		if _, undecided := decision.(keeper.RetryLater); undecided && time.Now().Before(retryUntil) {
@@ -177,7 +177,7 @@
 		return resultUnknown
 	case keeper.AwaitWitness, keeper.AwaitConfirmation, keeper.Joined:
 		deadline, _ := ctx.Deadline()
-		if event, ok := server.decider.wait(waiter, deadline.Add(-decisionGrace)); ok {
+		if event, ok := server.keeperDriver.wait(waiter, deadline.Add(-decisionGrace)); ok {
 			return cancelEventResult(event)
 		}
 		return resultUnknown
--- a/server/scheduler.go
+++ b/server/scheduler.go
@@ -36,10 +36,10 @@
 // scheduler assigns the tasks of admitted jobs to targets: the limiter determines their order, and the routers and
 // fleets choose the targets.
 type scheduler struct {
-	limiter  *limiter.Limiter
-	self     string
-	domain   string
-	snapshot atomic.Pointer[routingTable]
+	limiter             *limiter.Limiter
+	self                string
+	domain              string
+	currentRoutingTable atomic.Pointer[routingTable]
 
 	mu   sync.Mutex
 	jobs map[limiter.Ticket]*queuedJob
@@ -62,7 +62,7 @@
 		domain:  domain,
 		jobs:    make(map[limiter.Ticket]*queuedJob),
 	}
-	scheduler.snapshot.Store(&routingTable{})
+	scheduler.currentRoutingTable.Store(&routingTable{})
 	go func() {
 		ticker := time.NewTicker(schedulerInterval)
 		defer ticker.Stop()
@@ -83,7 +83,7 @@
 func (scheduler *scheduler) configure(bundle *bundler.Bundle, now time.Time) {
 	scheduler.mu.Lock()
 	defer scheduler.mu.Unlock()
-	before := scheduler.snapshot.Load()
+	before := scheduler.currentRoutingTable.Load()
 	next := &routingTable{bundle: bundle, routers: make(map[string]*router.Router), fleets: make(map[string]*workerFleet)}
 	targets := make(map[string][]bundler.Target)
 	for _, target := range bundle.Targets() {
@@ -103,7 +103,7 @@
 		}
 		next.routers[name] = scheduler.configureRouter(before.routers[name], bundle, name, list, now)
 	}
-	scheduler.snapshot.Store(next)
+	scheduler.currentRoutingTable.Store(next)
 	scheduler.limiter.Configure(limiterConfig(bundle))
 }
 
@@ -151,7 +151,7 @@
 	defer scheduler.mu.Unlock()
 	scheduler.members = members
 	share := scheduler.share()
-	for _, serviceRouter := range scheduler.snapshot.Load().routers {
+	for _, serviceRouter := range scheduler.currentRoutingTable.Load().routers {
 		serviceRouter.SetShare(share)
 	}
 }
@@ -173,13 +173,13 @@
 
 // hasTarget reports whether the failure domain has a target of the service.
 func (scheduler *scheduler) hasTarget(service string) bool {
-	routingTable := scheduler.snapshot.Load()
+	routingTable := scheduler.currentRoutingTable.Load()
 	return routingTable.routers[service] != nil || routingTable.fleets[service] != nil
 }
 
 // fitsAnyWorker reports whether a task of the kind fits on any worker of its service. Runners accept every task.
 func (scheduler *scheduler) fitsAnyWorker(kind bundler.Kind) bool {
-	fleet := scheduler.snapshot.Load().fleets[kind.Service()]
+	fleet := scheduler.currentRoutingTable.Load().fleets[kind.Service()]
 	return fleet == nil || fleet.placer.FitsAnyWorker(kind.Resources())
 }
 
@@ -207,7 +207,7 @@
 // issueGrants issues all grants that the limits and the targets currently allow.
 func (scheduler *scheduler) issueGrants(now time.Time) {
 	for {
-		routingTable := scheduler.snapshot.Load()
+		routingTable := scheduler.currentRoutingTable.Load()
 		var next taskGrant
 		grant, ok := scheduler.limiter.Next(now, func(kind string) bool {
 			var found bool
--- a/server/server.go
+++ b/server/server.go
@@ -55,7 +55,7 @@
 	drainer        *drainer
 	linker         *linker.Linker
 	keeper         *keeper.Keeper
-	decider        *decider
+	keeperDriver   *keeperDriver
 	scheduler      *scheduler
 	viewLog        *viewLog
 	membership     *membership
@@ -124,9 +124,9 @@
 	server.accountant = server.newAccountant(retention, limits.MaxRecords)
 	hello := linker.Hello{Domain: server.domain(), Name: server.self.Name, Incarnation: server.self.Incarnation, Address: server.self.Address}
 	server.linker = linker.New(hello, linker.DefaultLimits(), logger, server.receive)
-	server.decider = newDecider(ctx, server.keeper, server.linker, logger)
+	server.keeperDriver = newKeeperDriver(ctx, server.keeper, server.linker, logger)
 	server.scheduler = newScheduler(ctx, server.domain(), server.self.Incarnation)
-	server.viewLog = newViewLog(server.log, server.domain(), server.decider, logger, func(number int64, view keeper.View) {
+	server.viewLog = newViewLog(server.log, server.domain(), server.keeperDriver, logger, func(number int64, view keeper.View) {
 		server.membership.setView(number, view)
 		server.scheduler.setMembers(view.Members)
 	})
--- a/server/submit.go
+++ b/server/submit.go
@@ -126,7 +126,7 @@
 	decision, waiter := server.findJob(request.job.Key(), request.forwarded)
 	if waiter != nil {
 		// The submission will wait for the same confirmation.
-		server.decider.cancelWait(waiter)
+		server.keeperDriver.cancelWait(waiter)
 	}
 	_, absent := decision.(keeper.Absent)
 	return absent
@@ -134,7 +134,7 @@
 
 // findJob asks the keeper what is known about the key.
 func (server *Server) findJob(key string, forwarded bool) (keeper.Decision, *waiter) {
-	return server.decider.decide(key, func() (keeper.Decision, []keeper.Outgoing) {
+	return server.keeperDriver.decide(key, func() (keeper.Decision, []keeper.Outgoing) {
 		return server.keeper.Find(key, forwarded, time.Now())
 	})
 }
@@ -159,7 +159,7 @@
 // decide submits the job to the keeper. job is nil if it has no place in the queue.
 func (server *Server) decide(ctx context.Context, request *request, job *queuedJob, first taskGrant) dispatcher.Outcome {
 	submission := request.submission()
-	decision, waiter := server.decider.decide(submission.Key, func() (keeper.Decision, []keeper.Outgoing) {
+	decision, waiter := server.keeperDriver.decide(submission.Key, func() (keeper.Decision, []keeper.Outgoing) {
 		return server.keeper.Submit(submission, time.Now())
 	})
 	start, outcome := server.carryOut(ctx, request, decision, waiter)
@@ -176,7 +176,7 @@
 // refuse returns the refusal once the keeper has confirmed it, or the outcome that the keeper has instead.
 func (server *Server) refuse(ctx context.Context, request *request, refusal dispatcher.Refused) dispatcher.Outcome {
 	submission := request.submission()
-	decision, waiter := server.decider.decide(submission.Key, func() (keeper.Decision, []keeper.Outgoing) {
+	decision, waiter := server.keeperDriver.decide(submission.Key, func() (keeper.Decision, []keeper.Outgoing) {
 		return server.keeper.Refuse(submission, refusal, time.Now())
 	})
 	start, outcome := server.carryOut(ctx, request, decision, waiter)
@@ -221,7 +221,7 @@
 	case keeper.Joined:
 		return false, func() dispatcher.Outcome { return server.awaitOutcome(request, waiter) }
 	case keeper.AwaitWitness, keeper.AwaitConfirmation:
-		event, ok := server.decider.wait(waiter, request.job.Deadline())
+		event, ok := server.keeperDriver.wait(waiter, request.job.Deadline())
 		if _, granted := event.(keeper.StartGranted); granted {
 			return true, nil
 		}
@@ -246,7 +246,7 @@
 
 // awaitOutcome waits for the outcome of a job that another request runs.
 func (server *Server) awaitOutcome(request *request, waiter *waiter) dispatcher.Outcome {
-	event, ok := server.decider.wait(waiter, request.job.Deadline())
+	event, ok := server.keeperDriver.wait(waiter, request.job.Deadline())
 	if granted, start := event.(keeper.StartGranted); start {
 		panic(eris.Errorf("the start of job %s was granted to a request that joined it", granted.Key))
 	}
@@ -286,7 +286,7 @@
 	ctx, cancel := context.WithDeadline(ctx, request.job.Deadline())
 	defer cancel()
 	outcome := server.runQueued(ctx, request, job, first)
-	server.decider.finish(request.job.Key(), outcome)
+	server.keeperDriver.finish(request.job.Key(), outcome)
 	return outcome
 }
 
--- a/server/views.go
+++ b/server/views.go
@@ -24,10 +24,10 @@
 
 // viewLog reads the views of the failure domain from the log and appends proposals to it.
 type viewLog struct {
-	log     *appender.Appender
-	stream  string
-	decider *decider
-	logger  hclog.Logger
+	log          *appender.Appender
+	stream       string
+	keeperDriver *keeperDriver
+	logger       hclog.Logger
 	// onChange is called after each record that puts another view in force.
 	onChange func(number int64, view keeper.View)
 
@@ -43,8 +43,8 @@
 	lastRenewal int64
 }
 
-func newViewLog(log *appender.Appender, domain string, decider *decider, logger hclog.Logger, onChange func(int64, keeper.View)) *viewLog {
-	return &viewLog{log: log, stream: viewStreamPrefix + domain, decider: decider, logger: logger, onChange: onChange}
+func newViewLog(log *appender.Appender, domain string, keeperDriver *keeperDriver, logger hclog.Logger, onChange func(int64, keeper.View)) *viewLog {
+	return &viewLog{log: log, stream: viewStreamPrefix + domain, keeperDriver: keeperDriver, logger: logger, onChange: onChange}
 }
 
 // follow reads the stream until ctx is done.
@@ -60,7 +60,7 @@
 			continue
 		}
 		if !opened || page.Earliest > next {
-			viewLog.decider.keeper.SetEarliestOffset(page.Earliest)
+			viewLog.keeperDriver.keeper.SetEarliestOffset(page.Earliest)
 			next, opened = max(next, page.Earliest), true
 		}
 		for _, record := range page.Records {
@@ -88,10 +88,10 @@
 		viewLog.logger.Error("view record ignored", "offset", record.Offset, "error", err.Error())
 		return
 	}
-	previousNumber, previous := viewLog.decider.keeper.View()
+	previousNumber, previous := viewLog.keeperDriver.keeper.View()
 	now := time.Now()
-	viewLog.decider.apply(viewLog.decider.keeper.Adopt(record.Offset, view, now))
-	number, current := viewLog.decider.keeper.View()
+	viewLog.keeperDriver.apply(viewLog.keeperDriver.keeper.Adopt(record.Offset, view, now))
+	number, current := viewLog.keeperDriver.keeper.View()
 	if number == previousNumber {
 		viewLog.logger.Info("view superseded by an earlier record", "offset", record.Offset, "in-force", number)
 		return
@@ -128,7 +128,7 @@
 
 // renewal returns a view that repeats the members, if the view in force is older than age.
 func (viewLog *viewLog) renewal(now time.Time, age time.Duration) (keeper.View, bool) {
-	number, current := viewLog.decider.keeper.View()
+	number, current := viewLog.keeperDriver.keeper.View()
 	viewLog.mu.Lock()
 	defer viewLog.mu.Unlock()
 	if number == keeper.NoView || now.Sub(viewLog.adoptedAt) < age {
