--- a/checker/event.go
+++ b/checker/event.go
@@ -8,15 +8,15 @@
 	When() time.Time
 }
 
-// At is the time of an event; events embed it.
-type At struct{ Time time.Time }
+// Timestamp is the time of an event; events embed it.
+type Timestamp struct{ Time time.Time }
 
 // When returns the time of the event.
-func (at At) When() time.Time { return at.Time }
+func (timestamp Timestamp) When() time.Time { return timestamp.Time }
 
 // Submitted is a submission of a job by a caller.
 type Submitted struct {
-	At
+	Timestamp
 	// Submission is unique in the history; a resubmission of the same job has another one.
 	Submission   int64
 	Key          string
@@ -27,7 +27,7 @@
 
 // TaskStarted is the receipt of one task by a target.
 type TaskStarted struct {
-	At
+	Timestamp
 	Key      string
 	Digest   string
 	Task     string
@@ -37,7 +37,7 @@
 
 // CompleteAnswer is the receipt of a complete answer, with the results of Tasks, by the caller.
 type CompleteAnswer struct {
-	At
+	Timestamp
 	Submission int64
 	// Key and Digest are those of the job whose results the answer carries.
 	Key    string
@@ -48,7 +48,7 @@
 // FailedAnswer is the receipt of a failed answer by the caller. NotStarted holds the tasks that the answer says have not
 // started, Results those for which it carries results.
 type FailedAnswer struct {
-	At
+	Timestamp
 	Submission int64
 	NotStarted []string
 	Results    []string
@@ -56,7 +56,7 @@
 
 // Refused is the receipt of a refusal by the caller: the answer says that the job has not run.
 type Refused struct {
-	At
+	Timestamp
 	Submission int64
 	// Decided is the time at which the instance decided to refuse; if zero, the time of the receipt is used.
 	Decided time.Time
@@ -64,7 +64,7 @@
 
 // Cancelled is the receipt of an answer which says that the job was cancelled and never runs.
 type Cancelled struct {
-	At
+	Timestamp
 	Key string
 	// Decided is the time at which the instance decided the cancellation; if zero, the time of the receipt is used.
 	Decided time.Time
@@ -72,62 +72,62 @@
 
 // JobEnded is the end of a job's last task at its target; the retention of a plain key counts from it.
 type JobEnded struct {
-	At
+	Timestamp
 	Key string
 }
 
 // UnknownAnswer is the receipt of an answer that does not say whether the job ran, or the loss of the caller's request.
 type UnknownAnswer struct {
-	At
+	Timestamp
 	Submission int64
 }
 
 // TargetLeaving is the first sign, from any source, that a target leaves.
 type TargetLeaving struct {
-	At
+	Timestamp
 	Target string
 }
 
 // TargetReturned means that a leaving target has returned to normal operation.
 type TargetReturned struct {
-	At
+	Timestamp
 	Target string
 }
 
 // StopPlanned is the start of a planned stop of an instance.
 type StopPlanned struct {
-	At
+	Timestamp
 	Instance string
 }
 
 // RequestDropped is an accepted request whose connection ended without an answer.
 type RequestDropped struct {
-	At
+	Timestamp
 	Instance   string
 	Submission int64
 }
 
 // BundleAccepted is the publication of a bundle that the log has accepted as the next one.
 type BundleAccepted struct {
-	At
+	Timestamp
 	Version int64
 }
 
 // BundleInForce is an observation of the bundle that an instance uses.
 type BundleInForce struct {
-	At
+	Timestamp
 	Instance string
 	Version  int64
 }
 
 // InstanceUnreachable means that an instance can reach neither the log nor peers until InstanceReachable.
 type InstanceUnreachable struct {
-	At
+	Timestamp
 	Instance string
 }
 
 // InstanceReachable is the end of InstanceUnreachable; it may also be an instance's first event.
 type InstanceReachable struct {
-	At
+	Timestamp
 	Instance string
 }
--- a/keeper/node_test.go
+++ b/keeper/node_test.go
@@ -187,13 +187,13 @@
 	simulation := node.simulation
 	for _, task := range []string{"a", "b"} {
 		simulation.record(checker.TaskStarted{
-			At: simulation.nextTimestamp(), Key: request.submission.Key, Digest: request.body, Task: task, Instance: node.member.Incarnation,
+			Timestamp: simulation.nextTimestamp(), Key: request.submission.Key, Digest: request.body, Task: task, Instance: node.member.Incarnation,
 		})
 	}
 	node.running++
 	length := simulation.between(50*time.Millisecond, time.Second)
 	simulation.after(length, func() {
-		simulation.record(checker.JobEnded{At: simulation.nextTimestamp(), Key: request.submission.Key})
+		simulation.record(checker.JobEnded{Timestamp: simulation.nextTimestamp(), Key: request.submission.Key})
 	})
 	simulation.onFaultPoint(afterStart, node)
 	node.schedule(length, func() {
--- a/keeper/schedule_test.go
+++ b/keeper/schedule_test.go
@@ -36,7 +36,7 @@
 	id := simulation.submissions
 	if !cancel {
 		simulation.record(checker.Submitted{
-			At: simulation.nextTimestamp(), Submission: id, Key: job.key, Digest: job.body, Tasks: []string{"a", "b"}, Unrepeatable: job.unrepeatable,
+			Timestamp: simulation.nextTimestamp(), Submission: id, Key: job.key, Digest: job.body, Tasks: []string{"a", "b"}, Unrepeatable: job.unrepeatable,
 		})
 	}
 	answered := false
@@ -60,27 +60,27 @@
 
 // answer records the answer that the caller receives.
 func (simulation *simulation) answer(id int64, job jobSpec, cancel bool, outcome dispatcher.Outcome, decided time.Time) {
-	at := simulation.nextTimestamp()
+	timestamp := simulation.nextTimestamp()
 	if cancel {
 		if refused, isRefused := outcome.(dispatcher.Refused); isRefused && refused.Reason() == dispatcher.ReasonCancelled {
-			simulation.record(checker.Cancelled{At: at, Key: job.key, Decided: decided})
+			simulation.record(checker.Cancelled{Timestamp: timestamp, Key: job.key, Decided: decided})
 		}
 		return
 	}
 	switch outcome := outcome.(type) {
 	case dispatcher.Complete:
-		answered := checker.CompleteAnswer{At: at, Submission: id, Key: job.key}
+		answered := checker.CompleteAnswer{Timestamp: timestamp, Submission: id, Key: job.key}
 		for _, result := range outcome.Results() {
 			answered.Tasks, answered.Digest = append(answered.Tasks, result.Name), string(result.Result)
 		}
 		simulation.record(answered)
 	case dispatcher.Failed:
-		simulation.record(checker.FailedAnswer{At: at, Submission: id})
+		simulation.record(checker.FailedAnswer{Timestamp: timestamp, Submission: id})
 	case dispatcher.Refused:
-		simulation.record(checker.Refused{At: at, Submission: id, Decided: decided})
+		simulation.record(checker.Refused{Timestamp: timestamp, Submission: id, Decided: decided})
 	case dispatcher.Unknown:
 		simulation.unknownAnswers++
-		simulation.record(checker.UnknownAnswer{At: at, Submission: id})
+		simulation.record(checker.UnknownAnswer{Timestamp: timestamp, Submission: id})
 	}
 }
 
--- a/keeper/simulation_test.go
+++ b/keeper/simulation_test.go
@@ -108,9 +108,9 @@
 }
 
 // nextTimestamp advances the time by a nanosecond, so that each event of the history has its own time.
-func (simulation *simulation) nextTimestamp() checker.At {
+func (simulation *simulation) nextTimestamp() checker.Timestamp {
 	simulation.now = simulation.now.Add(time.Nanosecond)
-	return checker.At{Time: simulation.now}
+	return checker.Timestamp{Time: simulation.now}
 }
 
 func (simulation *simulation) record(event checker.Event) {
