--- a/limiter/limiter.go
+++ b/limiter/limiter.go
@@ -149,9 +149,9 @@
 	limiter.removeIfDone(entry)
 }
 
-// Cancel removes a job of which no task was granted from the queue. It reports false if a task was granted or the
-// job is not known.
-func (limiter *Limiter) Cancel(ticket Ticket) bool {
+// CancelUngranted removes a job of which no task was granted from the queue. It reports false, and removes nothing, if a
+// task was granted or the job is not known.
+func (limiter *Limiter) CancelUngranted(ticket Ticket) bool {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	entry, ok := limiter.jobs[ticket]
@@ -162,8 +162,9 @@
 	return true
 }
 
-// Drop removes the tasks of a job that were not granted, as after a failed task, and returns their number.
-func (limiter *Limiter) Drop(ticket Ticket) int {
+// DropWaitingTasks removes the tasks of a job that were not granted, as after a failed task, and returns their number;
+// granted tasks stay in flight.
+func (limiter *Limiter) DropWaitingTasks(ticket Ticket) int {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	entry, ok := limiter.jobs[ticket]
@@ -200,15 +201,15 @@
 	return limiter.retryBudget.take(now)
 }
 
-// Waiting returns the number of jobs with waiting tasks.
-func (limiter *Limiter) Waiting() int {
+// WaitingJobs returns the number of jobs with waiting tasks.
+func (limiter *Limiter) WaitingJobs() int {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	return len(limiter.queue)
 }
 
-// InFlight returns the number of grants that have not been passed to Release.
-func (limiter *Limiter) InFlight() int {
+// TasksInFlight returns the number of grants that have not been passed to Release.
+func (limiter *Limiter) TasksInFlight() int {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	return limiter.inFlight
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -137,7 +137,7 @@
 	modelJob := sequence.jobs[sequence.random.IntN(len(sequence.jobs))]
 	active := !modelJob.closed && (modelJob.remaining() > 0 || modelJob.inFlight > 0)
 	if sequence.random.IntN(2) == 0 {
-		if got := sequence.limiter.Cancel(modelJob.ticket); got != (active && modelJob.granted == 0) {
+		if got := sequence.limiter.CancelUngranted(modelJob.ticket); got != (active && modelJob.granted == 0) {
 			sequence.Fatalf("cancelled %+v: %v", modelJob, got)
 		} else if got {
 			modelJob.closed = true
@@ -148,7 +148,7 @@
 	if modelJob.closed {
 		want = 0
 	}
-	if got := sequence.limiter.Drop(modelJob.ticket); got != want {
+	if got := sequence.limiter.DropWaitingTasks(modelJob.ticket); got != want {
 		sequence.Fatalf("dropped %d tasks of %+v, want %d", got, modelJob, want)
 	}
 	modelJob.closed = modelJob.closed || want > 0
@@ -180,8 +180,8 @@
 			known++
 		}
 	}
-	if sequence.limiter.Waiting() != waiting || len(sequence.limiter.jobs) != known || sequence.limiter.InFlight() != len(sequence.openGrants) {
-		sequence.Fatalf("waiting %d, want %d; known %d, want %d", sequence.limiter.Waiting(), waiting, len(sequence.limiter.jobs), known)
+	if sequence.limiter.WaitingJobs() != waiting || len(sequence.limiter.jobs) != known || sequence.limiter.TasksInFlight() != len(sequence.openGrants) {
+		sequence.Fatalf("waiting %d, want %d; known %d, want %d", sequence.limiter.WaitingJobs(), waiting, len(sequence.limiter.jobs), known)
 	}
 	before := len(sequence.jobs)
 	sequence.jobs = slices.DeleteFunc(sequence.jobs, func(modelJob *modelJob) bool {
@@ -272,7 +272,7 @@
 					is.True(!refused)
 				}
 				for ok := true; ok; {
-					running := limiter.InFlight()
+					running := limiter.TasksInFlight()
 					_, ok = limiter.Next(now, func(string) bool { return running < 10 })
 				}
 				refused, _ := limiter.Admit(test.job, now).(Refused)
--- a/measurer/instance.go
+++ b/measurer/instance.go
@@ -130,7 +130,7 @@
 const cancelAfter = 100 * time.Millisecond
 
 func (instance *instance) cancel(progress *progress) {
-	if !progress.answered && instance.limiter.Cancel(progress.ticket) {
+	if !progress.answered && instance.limiter.CancelUngranted(progress.ticket) {
 		progress.answered = true
 		delete(instance.jobs, progress.ticket)
 		instance.cluster.counts.recordCancelled(progress)
@@ -222,7 +222,7 @@
 // failAttempt ends a task without a result, fails its job and drops the tasks of the job that were not granted.
 func (instance *instance) failAttempt(attempt *attempt) {
 	attempt.progress.failed = true
-	instance.limiter.Drop(attempt.progress.ticket)
+	instance.limiter.DropWaitingTasks(attempt.progress.ticket)
 	instance.finishAttempt(attempt)
 }
 
@@ -251,7 +251,7 @@
 	}
 	now := instance.cluster.clock.now
 	progress.failed = true
-	instance.limiter.Drop(progress.ticket)
+	instance.limiter.DropWaitingTasks(progress.ticket)
 	kept := instance.retries[:0]
 	for _, attempt := range instance.retries {
 		if attempt.progress != progress {
--- a/measurer/measurer_test.go
+++ b/measurer/measurer_test.go
@@ -44,9 +44,9 @@
 			is.Equal(len(counts.answered)+len(counts.notRun), cluster.submitted)
 			for _, domain := range cluster.domains {
 				for _, instance := range domain.instances {
-					is.Equal(instance.limiter.InFlight(), 0)
-					is.Equal(instance.limiter.Waiting(), 0)
-					is.Equal(instance.router.InFlight(), 0)
+					is.Equal(instance.limiter.TasksInFlight(), 0)
+					is.Equal(instance.limiter.WaitingJobs(), 0)
+					is.Equal(instance.router.TasksInFlight(), 0)
 				}
 			}
 		}
--- a/router/router.go
+++ b/router/router.go
@@ -134,8 +134,8 @@
 	router.reindex(target)
 }
 
-// InFlight returns the number of choices that have not been passed to Done.
-func (router *Router) InFlight() int {
+// TasksInFlight returns the number of choices that have not been passed to Done.
+func (router *Router) TasksInFlight() int {
 	router.mu.Lock()
 	defer router.mu.Unlock()
 	return router.inFlight
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -192,8 +192,8 @@
 			}
 		}
 	}
-	if router.availableShare != availableShare || router.InFlight() != len(sequence.openChoices) {
-		sequence.Fatalf("available %d, want %d; in flight %d, want %d", router.availableShare, availableShare, router.InFlight(), len(sequence.openChoices))
+	if router.availableShare != availableShare || router.TasksInFlight() != len(sequence.openChoices) {
+		sequence.Fatalf("available %d, want %d; in flight %d, want %d", router.availableShare, availableShare, router.TasksInFlight(), len(sequence.openChoices))
 	}
 }
 
--- a/server/dispatch.go
+++ b/server/dispatch.go
@@ -104,7 +104,7 @@
 func (run *jobRun) abort() {
 	if !run.failed {
 		run.failed = true
-		run.server.scheduler.limiter.Drop(run.job.ticket)
+		run.server.scheduler.limiter.DropWaitingTasks(run.job.ticket)
 	}
 }
 
--- a/server/meter.go
+++ b/server/meter.go
@@ -58,8 +58,8 @@
 		"hyssoplift_link_messages_dropped": traffic.Dropped,
 		"hyssoplift_link_stray_answers":    traffic.StrayAnswers,
 		"hyssoplift_start_records":         func() int64 { return int64(server.keeper.RecordCount()) },
-		"hyssoplift_jobs_waiting":          func() int64 { return int64(server.scheduler.limiter.Waiting()) },
-		"hyssoplift_tasks_in_flight":       func() int64 { return int64(server.scheduler.limiter.InFlight()) },
+		"hyssoplift_jobs_waiting":          func() int64 { return int64(server.scheduler.limiter.WaitingJobs()) },
+		"hyssoplift_tasks_in_flight":       func() int64 { return int64(server.scheduler.limiter.TasksInFlight()) },
 		"hyssoplift_view":                  func() int64 { number, _ := server.keeper.View(); return number },
 	} {
 		meter.set.NewGauge(name, func() float64 { return float64(read()) })
--- a/server/scheduler.go
+++ b/server/scheduler.go
@@ -275,7 +275,7 @@
 
 // remove removes the job: pending tasks are dropped and unused grants are returned.
 func (scheduler *scheduler) remove(job *queuedJob) {
-	scheduler.limiter.Drop(job.ticket)
+	scheduler.limiter.DropWaitingTasks(job.ticket)
 	scheduler.mu.Lock()
 	delete(scheduler.jobs, job.ticket)
 	scheduler.mu.Unlock()
