--- a/leaser/leaser.go
+++ b/leaser/leaser.go
@@ -61,16 +61,16 @@
 // Result returns the JSON value that the task returned.
 func (completed Completed) Result() json.RawMessage { return completed.status.Result }
 
-// Usage returns the result that the placer needs to learn the resources of the task.
-func (completed Completed) Usage() placer.Result { return observedUsage(completed.status) }
+// PlacerResult returns the result that the placer needs to learn the resources of the task.
+func (completed Completed) PlacerResult() placer.Result { return placerResult(completed.status) }
 
 // Detail describes the failure.
 func (taskFailed TaskFailed) Detail() string {
 	return fmt.Sprintf("worker reports %s: %s", taskFailed.status.State, taskFailed.status.Detail)
 }
 
-// Usage returns the result that the placer needs to learn the resources of the task.
-func (taskFailed TaskFailed) Usage() placer.Result { return observedUsage(taskFailed.status) }
+// PlacerResult returns the result that the placer needs to learn the resources of the task.
+func (taskFailed TaskFailed) PlacerResult() placer.Result { return placerResult(taskFailed.status) }
 
 // Detail returns why the task did not start.
 func (notStarted NotStarted) Detail() string { return notStarted.detail }
@@ -81,8 +81,8 @@
 // Detail returns why the result is not known.
 func (lost Lost) Detail() string { return lost.detail }
 
-// observedUsage converts the worker's report to a result for the placer.
-func observedUsage(status LeaseStatus) placer.Result {
+// placerResult converts the worker's report to a result for the placer.
+func placerResult(status LeaseStatus) placer.Result {
 	if status.Guard != GuardNone {
 		return placer.NewResourcesExceeded(status.Peak)
 	}
--- a/server/place.go
+++ b/server/place.go
@@ -100,9 +100,9 @@
 func (server *Server) runOnWorker(ctx context.Context, request *request, task dispatcher.Task, at workerPlace) (starter.Result, placer.Result) {
 	switch result := server.leaser.Run(ctx, at.address, request.kind.Name(), at.placed.Granted(), task).(type) {
 	case leaser.Completed:
-		return starter.NewSuccess(result.Result()), result.Usage()
+		return starter.NewSuccess(result.Result()), result.PlacerResult()
 	case leaser.TaskFailed:
-		return starter.NewTaskFailed(result.Detail()), result.Usage()
+		return starter.NewTaskFailed(result.Detail()), result.PlacerResult()
 	case leaser.NotStarted:
 		server.handleRejection(ctx, at, result.Leaving())
 		return starter.NewNotStarted(result.Detail(), result.Leaving()), placer.NotStarted{}
