--- a/bundler/bench_test.go
+++ b/bundler/bench_test.go
@@ -106,7 +106,7 @@
 		b.ResetTimer()
 		for b.Loop() {
 			next := New(testKeys)
-			next.current, next.through, next.next = bundler.current, 0, 1
+			next.current, next.unreplacedThrough, next.next = bundler.current, 0, 1
 			next.ApplyPage(Page{Next: 2, Entries: []Entry{{Offset: 1, Data: data}}}, start)
 			if next.Snapshot().Bundle().Version() != 2 {
 				b.Fatal("the change is not in force")
--- a/bundler/bundler.go
+++ b/bundler/bundler.go
@@ -36,8 +36,8 @@
 	Record Record
 	// Offset is the offset of the record that published the bundle.
 	Offset int64
-	// Through is the last offset up to which no record replaced the bundle.
-	Through int64
+	// UnreplacedThrough is the last offset up to which no record replaced the bundle.
+	UnreplacedThrough int64
 }
 
 // Snapshot is the bundle in force at one moment.
@@ -64,23 +64,23 @@
 
 // Bundler determines the bundle in force from the records of the log and the offers of peers.
 //
-// It holds the current bundle and its offset, and knows that no record up to through replaced it. The entries in
-// [start, next) have been read without a gap. They are contiguous with through if start is at most through+1; then
-// through is at least next-1, and whether the next entry replaces the bundle depends on that entry alone. Otherwise,
-// records between through and start have been trimmed, and one of them may have replaced the bundle: records that
-// publish a bundle stay pending until a renewal or a peer closes the gap.
+// It holds the current bundle and its offset, and knows that no record up to unreplacedThrough replaced it. The entries
+// in [start, next) have been read without a gap. They are contiguous with unreplacedThrough if start is at most
+// unreplacedThrough+1; then unreplacedThrough is at least next-1, and whether the next entry replaces the bundle depends
+// on that entry alone. Otherwise, records between unreplacedThrough and start have been trimmed, and one of them may have
+// replaced the bundle: records that publish a bundle stay pending until a renewal or a peer closes the gap.
 type Bundler struct {
 	keys Keys
 	// part is the failure domain whose part is read, or empty for the common part.
 	part     string
 	snapshot atomic.Pointer[Snapshot]
 
-	mu      sync.Mutex
-	current *Snapshot
-	through int64
-	start   int64
-	next    int64
-	pending []pendingRecord
+	mu                sync.Mutex
+	current           *Snapshot
+	unreplacedThrough int64
+	start             int64
+	next              int64
+	pending           []pendingRecord
 	// pendingBytes is the total text size of the records in pending.
 	pendingBytes int
 	// renewedAt is when the current bundle or its last renewal was read from the log.
@@ -98,16 +98,16 @@
 
 // NewPart returns a bundler for the part of a split failure domain.
 func NewPart(keys Keys, failureDomain string) *Bundler {
-	return &Bundler{keys: keys, part: failureDomain, through: noOffset}
+	return &Bundler{keys: keys, part: failureDomain, unreplacedThrough: noOffset}
 }
 
 // Stream returns the stream of the log whose pages the bundler applies.
 func (bundler *Bundler) Stream() string { return PartStream(bundler.part) }
 
-// open verifies record and returns its bundle. The signed text names its part, so that a record is valid on one stream
-// only.
-func (bundler *Bundler) open(record Record) (*Bundle, error) {
-	bundle, err := record.Open(bundler.keys)
+// verifyAndParse verifies record and returns its bundle. The signed text names its part, so that a record is valid on
+// one stream only.
+func (bundler *Bundler) verifyAndParse(record Record) (*Bundle, error) {
+	bundle, err := record.VerifyAndParse(bundler.keys)
 	if err == nil && bundle.part != bundler.part {
 		return nil, eris.Errorf("the record belongs on stream %s", PartStream(bundle.part))
 	}
@@ -152,18 +152,18 @@
 func (bundler *Bundler) HandleOffer(offer Offer, now time.Time) ([]Event, error) {
 	bundler.mu.Lock()
 	defer bundler.mu.Unlock()
-	if offer.Offset < 0 || offer.Through < offer.Offset {
+	if offer.Offset < 0 || offer.UnreplacedThrough < offer.Offset {
 		return nil, eris.New("the offer's offsets are inconsistent")
 	}
 	if bundler.current != nil && offer.Offset < bundler.current.offset {
-		if _, err := bundler.open(offer.Record); err == nil {
+		if _, err := bundler.verifyAndParse(offer.Record); err == nil {
 			// The peer has an older bundle in force, so the newer one here may come into force before the end of the log
 			// is read.
 			bundler.activate()
 		}
 		return nil, eris.Errorf("the peer's bundle at offset %d is older than that at offset %d", offer.Offset, bundler.current.offset)
 	}
-	events, err := bundler.adopt(offer.Record, Renewal{Offset: offer.Offset, Through: offer.Through}, now)
+	events, err := bundler.adopt(offer.Record, Renewal{Offset: offer.Offset, UnreplacedThrough: offer.UnreplacedThrough}, now)
 	if err != nil {
 		return nil, err
 	}
@@ -179,11 +179,11 @@
 	if bundler.snapshot.Load() == nil {
 		return Offer{}, false
 	}
-	return Offer{Record: bundler.current.record, Offset: bundler.current.offset, Through: bundler.through}, true
+	return Offer{Record: bundler.current.record, Offset: bundler.current.offset, UnreplacedThrough: bundler.unreplacedThrough}, true
 }
 
-// contiguous reports whether no record is missing between through and the entries that have been read.
-func (bundler *Bundler) contiguous() bool { return bundler.start <= bundler.through+1 }
+// contiguous reports whether no record is missing between unreplacedThrough and the entries that have been read.
+func (bundler *Bundler) contiguous() bool { return bundler.start <= bundler.unreplacedThrough+1 }
 
 // skipTo continues reading at offset if the entries before it have been trimmed. Pending records are dropped, because
 // records are missing after them.
@@ -203,18 +203,18 @@
 
 // applyEntry applies the next entry of the log.
 func (bundler *Bundler) applyEntry(entry Entry, now time.Time) []Event {
-	if entry.Offset <= bundler.through {
+	if entry.Offset <= bundler.unreplacedThrough {
 		return nil
 	}
 	record, err := DecodeRecord(entry.Data)
 	contiguous := bundler.contiguous()
 	if contiguous {
-		bundler.through = entry.Offset
+		bundler.unreplacedThrough = entry.Offset
 	}
 	switch {
 	case err != nil:
 		return []Event{ignoredEvent(entry.Offset, record, err)}
-	case record.Renewal != nil && record.Renewal.Through >= entry.Offset:
+	case record.Renewal != nil && record.Renewal.UnreplacedThrough >= entry.Offset:
 		return []Event{ignoredEvent(entry.Offset, record, eris.New("the renewal refers to records after itself"))}
 	case record.Renewal != nil:
 		return bundler.applyRenewal(entry.Offset, record, now)
@@ -250,7 +250,7 @@
 	if record.Version <= version {
 		return nil, eris.Errorf("version %d is not above version %d, which is in force", record.Version, version)
 	}
-	bundle, err := bundler.open(record)
+	bundle, err := bundler.verifyAndParse(record)
 	if err != nil {
 		return nil, err
 	}
@@ -261,7 +261,7 @@
 func (bundler *Bundler) applyRenewal(offset int64, record Record, now time.Time) []Event {
 	if current := bundler.current; current != nil && record.Renewal.Offset == current.offset && record.Text == current.record.Text {
 		bundler.renewedAt = now
-		return append([]Event{{Offset: offset, Decision: DecisionRenewal, Record: record}}, bundler.extendThrough(record.Renewal.Through, now)...)
+		return append([]Event{{Offset: offset, Decision: DecisionRenewal, Record: record}}, bundler.extendUnreplacedThrough(record.Renewal.UnreplacedThrough, now)...)
 	}
 	renewal := *record.Renewal
 	record.Renewal = nil
@@ -281,9 +281,9 @@
 		if record.Text != current.record.Text {
 			return nil, eris.Errorf("the text differs from the one in force from offset %d", current.offset)
 		}
-		return bundler.extendThrough(renewal.Through, now), nil
+		return bundler.extendUnreplacedThrough(renewal.UnreplacedThrough, now), nil
 	}
-	if renewal.Offset <= bundler.through {
+	if renewal.Offset <= bundler.unreplacedThrough {
 		return nil, eris.Errorf("offset %d has been read and is not that of the bundle in force", renewal.Offset)
 	}
 	if current != nil && record.Version <= current.record.Version {
@@ -292,40 +292,40 @@
 	if record.replacedOffset() >= renewal.Offset || record.Renewal != nil {
 		return nil, eris.New("the record is inconsistent with its offset")
 	}
-	bundle, err := bundler.open(record)
+	bundle, err := bundler.verifyAndParse(record)
 	if err != nil {
 		return nil, err
 	}
 	bundler.current = &Snapshot{bundle: bundle, record: record, offset: renewal.Offset}
-	bundler.through = renewal.Through
+	bundler.unreplacedThrough = renewal.UnreplacedThrough
 	events := []Event{{Offset: renewal.Offset, Decision: DecisionInForce, Record: record}}
 	return append(events, bundler.applyPending(now)...), nil
 }
 
-// extendThrough records that no record up to through replaced the current bundle.
-func (bundler *Bundler) extendThrough(through int64, now time.Time) []Event {
-	if through <= bundler.through {
+// extendUnreplacedThrough records that no record up to unreplacedThrough replaced the current bundle.
+func (bundler *Bundler) extendUnreplacedThrough(unreplacedThrough int64, now time.Time) []Event {
+	if unreplacedThrough <= bundler.unreplacedThrough {
 		return nil
 	}
-	bundler.through = through
+	bundler.unreplacedThrough = unreplacedThrough
 	return bundler.applyPending(now)
 }
 
-// applyPending applies the pending records if no record is missing between through and them.
+// applyPending applies the pending records if no record is missing between unreplacedThrough and them.
 func (bundler *Bundler) applyPending(now time.Time) []Event {
 	if !bundler.contiguous() {
 		return nil
 	}
 	var events []Event
 	for _, waiting := range bundler.pending {
-		if waiting.offset > bundler.through {
+		if waiting.offset > bundler.unreplacedThrough {
 			events = append(events, bundler.replace(waiting.offset, waiting.record, now))
 		}
 	}
 	bundler.pending, bundler.pendingBytes = nil, 0
-	bundler.through = max(bundler.through, bundler.next-1)
-	// Entries up to through did not replace the bundle, so they need not be read.
-	bundler.next = bundler.through + 1
+	bundler.unreplacedThrough = max(bundler.unreplacedThrough, bundler.next-1)
+	// Entries up to unreplacedThrough did not replace the bundle, so they need not be read.
+	bundler.next = bundler.unreplacedThrough + 1
 	return events
 }
 
--- a/bundler/composer_test.go
+++ b/bundler/composer_test.go
@@ -48,7 +48,7 @@
 	is.Equal(compose(), "2/1 w-1")
 	part.ApplyPage(page(2, signed(partText(2, "hanoi-a", "w-2"), 1)), start)
 	is.Equal(compose(), "2/2 w-2")
-	_, err := common.HandleOffer(Offer{Record: signed(partText(9, "hanoi-a", "w-9"), noOffset), Offset: 50, Through: 50}, start)
+	_, err := common.HandleOffer(Offer{Record: signed(partText(9, "hanoi-a", "w-9"), noOffset), Offset: 50, UnreplacedThrough: 50}, start)
 	is.True(err != nil) // a part is not accepted as the common part
 	is.Equal(compose(), "2/2 w-2")
 	common.ApplyPage(page(2, signed(bundleText(3, "joined"), 1)), start)
--- a/bundler/doc.go
+++ b/bundler/doc.go
@@ -3,10 +3,10 @@
 //
 // The log is trimmed, so instances repeat the bundle in force from time to time in a record called a renewal.
 //
-// The bundle in force is identified by the offset of the record that published it. A second offset, through, states
-// that no record up to it replaced the bundle. A reader that has every record after through can continue from there. A
-// reader that misses some of them waits for a later through, which a renewal in the log or a peer brings. Without
-// through, a reader of a trimmed log could not tell whether a record that it still finds came into force or lost
+// The bundle in force is identified by the offset of the record that published it. A second offset, UnreplacedThrough,
+// states that no record up to it replaced the bundle. A reader that has every record after it can continue from there. A
+// reader that misses some of them waits for a later UnreplacedThrough, which a renewal in the log or a peer brings.
+// Without it, a reader of a trimmed log could not tell whether a record that it still finds came into force or lost
 // against a record that has been trimmed.
 //
 // A large bundle can be split: the common part is published on one stream and the targets of each split failure domain
--- a/bundler/fold_test.go
+++ b/bundler/fold_test.go
@@ -22,8 +22,8 @@
 	want  string
 }
 
-func offerStep(record Record, offset, through int64, want string) step {
-	return step{offer: &Offer{Record: record, Offset: offset, Through: through}, want: want}
+func offerStep(record Record, offset, unreplacedThrough int64, want string) step {
+	return step{offer: &Offer{Record: record, Offset: offset, UnreplacedThrough: unreplacedThrough}, want: want}
 }
 
 func pageStep(want string, earliest int64, records ...Record) step {
--- a/bundler/keys.go
+++ b/bundler/keys.go
@@ -96,6 +96,6 @@
 func (signer Signer) Approve(record Record, keys Keys) (Record, error) {
 	record.Approver = signer.name
 	record.Signatures.Approver = Sign(signer.key, RoleApprover, record.Text)
-	_, err := record.Open(keys)
+	_, err := record.VerifyAndParse(keys)
 	return record, err
 }
--- a/bundler/publication.go
+++ b/bundler/publication.go
@@ -44,7 +44,7 @@
 	if !bundler.contiguous() {
 		return nil, eris.New("the log was trimmed and holds no renewal of the bundle in force yet: wait for the instances to renew it")
 	}
-	bundle, err := bundler.open(record)
+	bundle, err := bundler.verifyAndParse(record)
 	if err != nil {
 		return nil, err
 	}
--- a/bundler/record.go
+++ b/bundler/record.go
@@ -46,9 +46,9 @@
 type Renewal struct {
 	// Offset is the offset of the original record.
 	Offset int64 `json:"offset"`
-	// Through is the last offset up to which no record replaced the original. A reader needs it to tell whether a
+	// UnreplacedThrough is the last offset up to which no record replaced the original. A reader needs it to tell whether a
 	// trimmed record could have replaced the original.
-	Through int64 `json:"through"`
+	UnreplacedThrough int64 `json:"through"`
 }
 
 // Encode returns the record as JSON.
@@ -79,14 +79,14 @@
 	if decoder.InputOffset() != int64(len(data)) {
 		return record, eris.New("the bundle record has bytes after its end")
 	}
-	if renewal := record.Renewal; renewal != nil && (renewal.Offset < 0 || renewal.Through < renewal.Offset) {
+	if renewal := record.Renewal; renewal != nil && (renewal.Offset < 0 || renewal.UnreplacedThrough < renewal.Offset) {
 		return record, eris.New("the renewal's offsets are inconsistent")
 	}
 	return record, nil
 }
 
-// Open verifies the signatures of the record and returns its bundle.
-func (record Record) Open(keys Keys) (*Bundle, error) {
+// VerifyAndParse verifies the signatures of the record, parses its text and returns the bundle.
+func (record Record) VerifyAndParse(keys Keys) (*Bundle, error) {
 	if record.Author == record.Approver {
 		return nil, eris.Errorf("author and approver are both %q", record.Author)
 	}
--- a/bundler/renewal.go
+++ b/bundler/renewal.go
@@ -47,6 +47,6 @@
 		return nil, eris.New("no bundle is in force")
 	}
 	record := offer.Record
-	record.Renewal = &Renewal{Offset: offer.Offset, Through: offer.Through}
+	record.Renewal = &Renewal{Offset: offer.Offset, UnreplacedThrough: offer.UnreplacedThrough}
 	return record.Encode()
 }
--- a/bundler/support_test.go
+++ b/bundler/support_test.go
@@ -66,8 +66,8 @@
 	return signed(bundleText(version, note), replaces)
 }
 
-func renewal(record Record, offset, through int64) Record {
-	record.Renewal = &Renewal{Offset: offset, Through: through}
+func renewal(record Record, offset, unreplacedThrough int64) Record {
+	record.Renewal = &Renewal{Offset: offset, UnreplacedThrough: unreplacedThrough}
 	return record
 }
 
--- a/linker/linker_test.go
+++ b/linker/linker_test.go
@@ -115,7 +115,7 @@
 		Cancel{ID: 1, Key: "k"},
 		CancelAnswer{ID: 1, Key: "k", Result: "too-late"},
 		BundleRequest{ID: 1, Stream: "bundles", After: -1},
-		BundleResponse{ID: 1, Offset: 4, Through: 5, Record: []byte("b")},
+		BundleResponse{ID: 1, Offset: 4, UnreplacedThrough: 5, Record: []byte("b")},
 		StateUpdate{
 			Claims:       []Claim{{Target: "t", Task: "k", Attempt: 1, MilliCores: 2, MemoryMB: 3, Accelerators: 4, EstimateMS: 5}},
 			Ends:         []RunEnd{{Target: "t", Task: "k", Attempt: 1, Number: 2, Cause: 1}},
--- a/linker/message.go
+++ b/linker/message.go
@@ -148,10 +148,10 @@
 // BundleResponse carries the signed record of a bundle and its offsets in the log. Record is empty if the responder has
 // no bundle after the offset in the request.
 type BundleResponse struct {
-	ID      uint64 `cbor:"id"`
-	Offset  int64  `cbor:"offset"`
-	Through int64  `cbor:"through"`
-	Record  []byte `cbor:"record,omitempty"`
+	ID                uint64 `cbor:"id"`
+	Offset            int64  `cbor:"offset"`
+	UnreplacedThrough int64  `cbor:"through"`
+	Record            []byte `cbor:"record,omitempty"`
 }
 
 // Claim announces to the reader of a target that the sender starts a run there, with the resources that the run uses.
--- a/server/offers.go
+++ b/server/offers.go
@@ -65,7 +65,7 @@
 	record, err := bundler.DecodeRecord(offered.Record)
 	if err == nil {
 		var events []bundler.Event
-		events, err = bundles.HandleOffer(bundler.Offer{Record: record, Offset: offered.Offset, Through: offered.Through}, time.Now())
+		events, err = bundles.HandleOffer(bundler.Offer{Record: record, Offset: offered.Offset, UnreplacedThrough: offered.UnreplacedThrough}, time.Now())
 		server.applyEvents(bundles, events)
 	}
 	if err != nil {
@@ -86,7 +86,7 @@
 			server.logger.Error("bundle not offered", "stream", request.Stream, "error", eris.ToString(err, false))
 			continue
 		}
-		response.Offset, response.Through, response.Record = offer.Offset, offer.Through, data
+		response.Offset, response.UnreplacedThrough, response.Record = offer.Offset, offer.UnreplacedThrough, data
 	}
 	server.reply(from, response)
 }
