--- a/bundler/fold_test.go
+++ b/bundler/fold_test.go
@@ -151,7 +151,7 @@
 }
 
 // Guards against a bundle that is in force although neither the records of the log nor a renewal or a peer confirm it.
-// The naive consumer must fail every case.
+// The naive version must fail every case.
 func TestInForce(t *testing.T) {
 	for _, test := range inForceCases {
 		t.Run(test.name, func(t *testing.T) {
@@ -159,7 +159,7 @@
 				t.Errorf("step %d: got %q, want %q", i, got, test.steps[i].want)
 			}
 			if i, _ := runSteps(&naiveConsumer{}, test.steps); i < 0 {
-				t.Error("the naive consumer passes, so the case tests nothing")
+				t.Error("the naive version passes, so the case tests nothing")
 			}
 		})
 	}
--- a/bundler/schedule_test.go
+++ b/bundler/schedule_test.go
@@ -287,7 +287,7 @@
 
 // Guards against violations of the guarantee bundle-in-force under random faults, with several instances and operators
 // and fixed seeds: no instance reverts to an older bundle, only the bundles of the reference come into force, and they
-// do so within 10 s. The naive consumer must violate this.
+// do so within 10 s. The naive version must violate this.
 func TestRandomSchedules(t *testing.T) {
 	seeds, naiveViolations, accepted, conflicts := uint64(20), 0, 0, 0
 	if testing.Short() {
@@ -303,11 +303,11 @@
 		naiveSimulation := newSimulation(seed, func() consumer { return &naiveConsumer{} })
 		naiveSimulation.run()
 		if len(naiveSimulation.violations) == 0 {
-			t.Errorf("seed %d: the naive consumer passes, so the schedule tests nothing", seed)
+			t.Errorf("seed %d: the naive version passes, so the schedule tests nothing", seed)
 		}
 		naiveViolations += len(naiveSimulation.violations)
 	}
-	t.Logf("%d seeds, %d bundles accepted, %d publications with a conflict, %d violations by the naive consumer", seeds, accepted, conflicts, naiveViolations)
+	t.Logf("%d seeds, %d bundles accepted, %d publications with a conflict, %d violations by the naive version", seeds, accepted, conflicts, naiveViolations)
 	if accepted < 20*int(seeds) || conflicts < 5*int(seeds) {
 		t.Errorf("too few bundles accepted or conflicts to test anything: %d and %d", accepted, conflicts)
 	}
--- a/bundler/support_test.go
+++ b/bundler/support_test.go
@@ -96,8 +96,8 @@
 	Offer() (Offer, bool)
 }
 
-// naiveConsumer is a faulty consumer: it puts every record that parses in force, whether it comes from the log or from
-// a peer.
+// naiveConsumer is the naive version of a consumer, which is faulty: it puts every record that parses in force, whether it
+// comes from the log or from a peer.
 type naiveConsumer struct {
 	next  int64
 	offer Offer
--- a/cmd/hyssoplift-standin/main.go
+++ b/cmd/hyssoplift-standin/main.go
@@ -48,7 +48,7 @@
 	case "worker":
 		handler = emulator.NewWorker(placer.Resources{MilliCores: *cores * 1000, MemoryMB: *memory})
 	default:
-		return eris.Errorf("unknown stand-in %q", args[0])
+		return eris.Errorf("unknown service %q", args[0])
 	}
 	listener, err := net.Listen("tcp", *listen)
 	if err != nil {
--- a/cmd/hyssoplift/cluster_test.go
+++ b/cmd/hyssoplift/cluster_test.go
@@ -14,7 +14,7 @@
 	"github.com/hyssoplift/hyssoplift/server"
 )
 
-// cluster is a failure domain whose instances and stand-ins run as separate processes.
+// cluster is a failure domain whose instances and emulated services run as separate processes.
 type cluster struct {
 	t      *testing.T
 	folder string
--- a/cmd/hyssoplift/main_test.go
+++ b/cmd/hyssoplift/main_test.go
@@ -45,7 +45,7 @@
 	t.Helper()
 	// The check of linkedPackages never fails; without a use, staticcheck reports the variable.
 	if _, err := os.ReadFile("../hyssoplift-standin/main.go"); err != nil || slices.Contains(linkedPackages, nil) {
-		t.Fatalf("reading the source of the stand-ins: %v", err)
+		t.Fatalf("reading the source of the emulated services: %v", err)
 	}
 	folder := t.TempDir()
 	build := exec.Command("go", "build", "-o", folder, ".", "../hyssoplift-standin")
@@ -68,7 +68,7 @@
 	return command
 }
 
-// startStandin starts a stand-in of the platform and returns the address that it prints.
+// startStandin starts an emulated service of the platform and returns the address that it prints.
 func startStandin(t *testing.T, folder string, args ...string) string {
 	t.Helper()
 	command := newCommand(t, filepath.Join(folder, "hyssoplift-standin"), args...)
@@ -77,11 +77,11 @@
 		err = command.Start()
 	}
 	if err != nil {
-		t.Fatalf("starting stand-in %v: %v", args, err)
+		t.Fatalf("starting emulated service %v: %v", args, err)
 	}
 	line, err := bufio.NewReader(output).ReadString('\n')
 	if err != nil {
-		t.Fatalf("reading the address of stand-in %v: %v", args, err)
+		t.Fatalf("reading the address of emulated service %v: %v", args, err)
 	}
 	return strings.TrimSpace(line)
 }
--- a/keeper/node_test.go
+++ b/keeper/node_test.go
@@ -38,7 +38,7 @@
 	reply func(outcome dispatcher.Outcome, decided time.Time)
 }
 
-// node is one incarnation of an instance: a decider with a minimal stand-in for the server.
+// node is one incarnation of an instance: a decider with a minimal emulation of the server.
 type node struct {
 	simulation *simulation
 	slot       int
@@ -251,7 +251,7 @@
 	}
 }
 
-// checkMembers is an unreliable stand-in for the watcher: it suspects members and proposes views, sometimes wrongly.
+// checkMembers is an unreliable emulation of the watcher: it suspects members and proposes views, sometimes wrongly.
 func (node *node) checkMembers() {
 	simulation := node.simulation
 	number, view := node.decider.View()
