--- a/bundler/fold_test.go
+++ b/bundler/fold_test.go
@@ -22,8 +22,8 @@
 	want  string
 }
 
-func offerStep(record Record, offset, through int64, want string) step {
-	return step{offer: &Offer{Record: record, Offset: offset, Through: through}, want: want}
+func offerStep(record Record, offset, unreplacedThrough int64, want string) step {
+	return step{offer: &Offer{Record: record, Offset: offset, UnreplacedThrough: unreplacedThrough}, want: want}
 }
 
 func pageStep(want string, earliest int64, records ...Record) step {
@@ -151,7 +151,7 @@
 }
 
 // Guards against a bundle that is in force although neither the records of the log nor a renewal or a peer confirm it.
-// The naive consumer must fail every case.
+// The naive version must fail every case.
 func TestInForce(t *testing.T) {
 	for _, test := range inForceCases {
 		t.Run(test.name, func(t *testing.T) {
@@ -159,7 +159,7 @@
 				t.Errorf("step %d: got %q, want %q", i, got, test.steps[i].want)
 			}
 			if i, _ := runSteps(&naiveConsumer{}, test.steps); i < 0 {
-				t.Error("the naive consumer passes, so the case tests nothing")
+				t.Error("the naive version passes, so the case tests nothing")
 			}
 		})
 	}
@@ -186,7 +186,7 @@
 }
 
 // Guards against a request that uses two bundles because a new bundle in force changes the snapshot that it holds.
-func TestSnapshotOutlivesSwitch(t *testing.T) {
+func TestSnapshotIsUnchangedByNewBundle(t *testing.T) {
 	is := is.New(t)
 	bundler := New(testKeys)
 	bundler.ApplyPage(page(0, v1), start)
@@ -201,7 +201,7 @@
 
 // Guards against time windows in which no instance renews, all instances renew, or the bundle is not renewed because
 // the first instance failed.
-func TestRenewalTurns(t *testing.T) {
+func TestOneInstanceRenewsFirst(t *testing.T) {
 	is := is.New(t)
 	names := []string{"a", "b", "c", "d", "e", "f"}
 	windowLength := 60 * time.Second / renewalWindowsPerRetention
--- a/bundler/support_test.go
+++ b/bundler/support_test.go
@@ -66,8 +66,8 @@
 	return signed(bundleText(version, note), replaces)
 }
 
-func renewal(record Record, offset, through int64) Record {
-	record.Renewal = &Renewal{Offset: offset, Through: through}
+func renewal(record Record, offset, unreplacedThrough int64) Record {
+	record.Renewal = &Renewal{Offset: offset, UnreplacedThrough: unreplacedThrough}
 	return record
 }
 
@@ -96,8 +96,8 @@
 	Offer() (Offer, bool)
 }
 
-// naiveConsumer is a faulty consumer: it puts every record that parses in force, whether it comes from the log or from
-// a peer.
+// naiveConsumer is the naive version of a consumer, which is faulty: it puts every record that parses in force, whether
+// it comes from the log or from a peer.
 type naiveConsumer struct {
 	next  int64
 	offer Offer
--- a/executor/executor.go
+++ b/executor/executor.go
@@ -334,7 +334,7 @@
 	ctx, cancel := context.WithTimeout(executor.ctx, startTimeout)
 	defer cancel()
 	sent := executor.now()
-	result := executor.client.Start(ctx, start.On, start, start.Issued.Add(scheduler.LeaseDuration))
+	result := executor.client.Start(ctx, start.RunTarget, start, start.Issued.Add(scheduler.LeaseDuration))
 	now := executor.now()
 	executor.meter.recordStart(result, now.Sub(start.Arrived), now.Sub(sent))
 	executor.logStart(start, result, now.Sub(sent))
@@ -349,7 +349,7 @@
 	var err error
 	for range stopAttempts {
 		ctx, cancel := context.WithTimeout(executor.ctx, stopTimeout)
-		err = executor.client.Stop(ctx, stop.On, stop.Run)
+		err = executor.client.Stop(ctx, stop.RunTarget, stop.Run)
 		cancel()
 		if err == nil {
 			break
@@ -359,9 +359,9 @@
 	executor.logStop(stop, err)
 	executor.mu.Lock()
 	defer executor.mu.Unlock()
-	executor.scheduler.HandleStopResult(stop.On.ID, stop.Run, err == nil, executor.now())
+	executor.scheduler.HandleStopResult(stop.RunTarget.ID, stop.Run, err == nil, executor.now())
 	executor.runActions()
-	executor.wake(stop.On.ID)
+	executor.wake(stop.RunTarget.ID)
 }
 
 // tick handles time-based events until the executor is closed.
@@ -381,7 +381,7 @@
 		executor.mu.Lock()
 		if now.Sub(lastTick) > pauseThreshold {
 			executor.logger.Warn("instance was paused", "for-ms", now.Sub(lastTick).Milliseconds())
-			executor.scheduler.NotePause(now)
+			executor.scheduler.RecordPause(now)
 			lastDomainCheck = now.Add(pauseThreshold)
 		}
 		lastTick = now
@@ -421,7 +421,7 @@
 // again. During a partition, starts would otherwise be sent to each target there until that target itself is found
 // unreachable. The caller holds the lock.
 func (executor *Executor) updateSuspendedDomains() {
-	for domain, unresponsive := range executor.peers.SilentDomains(domainTimeout) {
+	for domain, unresponsive := range executor.peers.UnresponsiveDomains(domainTimeout) {
 		if domain == executor.self.Domain || executor.unresponsive[domain] == unresponsive {
 			continue
 		}
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -458,22 +458,22 @@
 	}
 }
 
-// SilentDomains returns, for each failure domain with peers that are not leaving, whether none of them has sent
+// UnresponsiveDomains returns, for each failure domain with peers that are not leaving, whether none of them has sent
 // anything for longer than duration. While both this instance and a peer delegate, the peer is left out.
-func (gossiper *Gossiper) SilentDomains(duration time.Duration) map[string]bool {
+func (gossiper *Gossiper) UnresponsiveDomains(duration time.Duration) map[string]bool {
 	now := gossiper.now()
 	gossiper.mu.Lock()
 	defer gossiper.mu.Unlock()
-	silent := make(map[string]bool)
+	unresponsive := make(map[string]bool)
 	for _, peer := range gossiper.peers {
 		if peer.leaving || peer.delegating && gossiper.delegating {
 			continue
 		}
-		silentPeer := now.Sub(peer.lastHeard) > duration
-		known, ok := silent[peer.hello.Domain]
-		silent[peer.hello.Domain] = silentPeer && (known || !ok)
+		peerUnresponsive := now.Sub(peer.lastHeard) > duration
+		known, ok := unresponsive[peer.hello.Domain]
+		unresponsive[peer.hello.Domain] = peerUnresponsive && (known || !ok)
 	}
-	return silent
+	return unresponsive
 }
 
 // Alive reports whether the instance is known and not considered lost.
