--- a/gossiper/gossiper_test.go
+++ b/gossiper/gossiper_test.go
@@ -166,7 +166,8 @@
 }
 
 // A delegating instance with runs of its own must still receive reports. Without reports of renewed leases it would
-// consider its runs lost, as after a power loss in a load test with 37 instances.
+// consider its runs lost, as after a power loss in the load test Thang Long grown trouble-1 with 37
+// instances.
 func TestBusyInstanceReceivesReports(t *testing.T) {
 	is := is.New(t)
 	large, _, _ := newTestGossiper(0.8)
--- a/scheduler/lease_test.go
+++ b/scheduler/lease_test.go
@@ -175,8 +175,8 @@
 }
 
 // A lease must be assumed to last beyond the reader's last report. Otherwise, if a reader that is cut off from the
-// owner renews the lease and then terminates without stopping the run, the owner starts a second run (load test with
-// faults, seed 383704058273).
+// owner renews the lease and then terminates without stopping the run, the owner starts a second run (load test
+// Chakra trouble-2, seed 383704058273).
 func TestLeaseIsCountedPastTheLastReport(t *testing.T) {
 	is := is.New(t)
 	scheduler := New("self", "a")
@@ -194,7 +194,7 @@
 
 // A run that its target lists may continue for a whole lease from then on, since another instance may have renewed the
 // lease unnoticed. Otherwise a second run is started, as on small instances that received no renewal reports (load test
-// with faults on 37 instances, run c19b69c3efe06f77.0.0.1 at 46.558 s).
+// Thang Long grown trouble-1 with 37 instances, run c19b69c3efe06f77.0.0.1 at 46.558 s).
 func TestListedRunKeepsItsLease(t *testing.T) {
 	is := is.New(t)
 	scheduler := New("self", "a")
